--- a/door/arrive.go
+++ b/admission/arrive.go
@@ -1,23 +1,23 @@
-package door
+package admission
 
 // waitEighths is how many eighths of its time a request may wait.
 const waitEighths = 3
 
 // Arrive takes in a request. It is let in, queued or refused before Arrive returns.
-func (d *Door) Arrive(now Time, a Arrival) {
+func (d *Controller) Arrive(now Time, a Arrival) {
 	d.now = now
-	d.grow(int(a.Job) + 1)
-	class := &d.classes[a.Profile]
-	again := class.tries.Further(a.Left, 2*d.tickSpan) || a.Repeated
-	place := d.names.at(a.Customer)
+	d.grow(int(a.Request) + 1)
+	class := &d.classes[a.Class]
+	again := class.tries.Observe(a.TimeLeft, 2*d.tickSpan) || a.MarkedRetry
+	place := d.names.at(a.Tenant)
 	laneIndex := d.laneAt(a.Group, class.Need)
 	l := &d.lanes[laneIndex]
-	d.tickets[a.Job] = ticket{
+	d.tickets[a.Request] = ticket{
 		lane:      laneIndex,
 		place:     place,
-		class:     int32(a.Profile),
+		class:     int32(a.Class),
 		bytes:     int32(a.Bytes),
-		token:     d.names.token(a.Customer, a.Mark),
+		token:     d.names.token(a.Tenant, a.RetryKey),
 		work:      class.work,
 		arrivedAt: now,
 		older:     none,
@@ -25,7 +25,7 @@
 	}
 	if l.flows == nil && l.hasRoom(d) {
 		d.totals.Passed++
-		d.letIn(a.Job)
+		d.letIn(a.Request)
 		return
 	}
 	if l.flows == nil {
@@ -35,8 +35,8 @@
 }
 
 // admit lets a request in, has it wait, or refuses it, by its tenant's share.
-func (d *Door) admit(a *Arrival, l *lane, again bool) {
-	t := &d.tickets[a.Job]
+func (d *Controller) admit(a *Arrival, l *lane, again bool) {
+	t := &d.tickets[a.Request]
 	f := &l.flows[t.place]
 	f.calendar.advance(d.now / d.slot)
 	d.prioritize(t, f, again)
@@ -47,25 +47,25 @@
 		}
 		d.totals.Passed++
 		l.charge(f, weight, t.work)
-		d.letIn(a.Job)
+		d.letIn(a.Request)
 		return
 	}
 	if !d.mayWait(a, l) {
-		d.refuse(a.Job)
+		d.refuse(a.Request)
 		return
 	}
 	if d.full(a.Bytes) && !d.displace(l, t.place, t) {
 		d.totals.Displaced++
-		d.refuse(a.Job)
+		d.refuse(a.Request)
 		return
 	}
 	d.totals.Queued++
-	d.enqueue(a.Job, l, a.Client)
+	d.enqueue(a.Request, l, a.Client)
 }
 
 // prioritize sets a request's priority. A retry that comes as it was told takes its promise up; a first try
 // earns its tenant credit for retries.
-func (d *Door) prioritize(t *ticket, f *flow, again bool) {
+func (d *Controller) prioritize(t *ticket, f *flow, again bool) {
 	t.priority = firstTry
 	if again {
 		t.priority = retry
@@ -73,7 +73,7 @@
 	}
 	switch t.priority {
 	case firstTry:
-		f.retryCredit = min(f.retryCredit+d.bounds.Further, d.maxRetryCredit())
+		f.retryCredit = min(f.retryCredit+d.bounds.RetriesPerRequest, d.maxRetryCredit())
 		f.firstTryWork += float32(t.work)
 	case promised:
 		d.totals.Kept++
@@ -84,8 +84,8 @@
 // would be let in in time.
 //
 // Danger: tries that come again at once feed the queue that refused them.
-func (d *Door) mayWait(a *Arrival, l *lane) bool {
-	t := &d.tickets[a.Job]
+func (d *Controller) mayWait(a *Arrival, l *lane) bool {
+	t := &d.tickets[a.Request]
 	f := &l.flows[t.place]
 	if t.priority == retry {
 		if f.retryCredit < 1 {
@@ -93,7 +93,7 @@
 		}
 		f.retryCredit--
 	}
-	t.failsAt = d.now + d.classes[a.Profile].waitLimit(t.priority, a.Left)
+	t.failsAt = d.now + d.classes[a.Class].waitLimit(t.priority, a.TimeLeft)
 	wait := Time(l.expectedWait(d, f, d.weight(l, t.place), t.priority, a.Client))
 	return d.now+wait <= t.failsAt
 }
@@ -110,13 +110,13 @@
 }
 
 // letIn hands a request that is in no queue to the module.
-func (d *Door) letIn(request int32) {
+func (d *Controller) letIn(request int32) {
 	t := &d.tickets[request]
 	t.state = admitted
 	t.stateSince = d.now
 	l := &d.lanes[t.lane]
 	l.admitted++
-	d.gate.LetIn(request)
+	d.gate.Admit(request)
 	if t.state != absent {
 		l.learnFromAdmission(d, t.state == attempting)
 	}
--- a/door/attempts.go
+++ b/admission/attempts.go
@@ -1,10 +1,10 @@
-package door
+package admission
 
 // workWeight is the weight of a new value in the average work of a class, as a divisor.
 const workWeight = 32
 
-// Sent takes in that an attempt of a request has started.
-func (d *Door) Sent(now Time, request int32) {
+// AttemptStarted takes in that an attempt of a request has started.
+func (d *Controller) AttemptStarted(now Time, request int32) {
 	d.now = now
 	if int(request) >= len(d.tickets) || d.tickets[request].state != admitted {
 		return
@@ -16,9 +16,9 @@
 	d.lanes[t.lane].attempting++
 }
 
-// Back takes in that a request's attempt has ended, and no other has started so far. The time of an attempt
+// AttemptEnded takes in that a request's attempt has ended, and no other has started so far. The time of an attempt
 // that was answered is averaged into the work of its class.
-func (d *Door) Back(now Time, request int32, delivered bool) {
+func (d *Controller) AttemptEnded(now Time, request int32, delivered bool) {
 	d.now = now
 	if int(request) >= len(d.tickets) || d.tickets[request].state != attempting {
 		return
@@ -33,12 +33,12 @@
 	d.lanes[t.lane].attempting--
 }
 
-// Ended takes in that a request has had its final answer, or its client is gone. It may be in any state, or
+// RequestEnded takes in that a request has had its final answer, or its client is gone. It may be in any state, or
 // not be held any more.
 //
 // Danger: a tenant whose attempts often fail must not pay less than what they cost. It was charged for one
 // attempt, and is charged for the others here.
-func (d *Door) Ended(now Time, request int32) {
+func (d *Controller) RequestEnded(now Time, request int32) {
 	d.now = now
 	if int(request) >= len(d.tickets) {
 		return
--- a/door/bench_test.go
+++ b/admission/bench_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"cmp"
@@ -8,23 +8,23 @@
 	"slices"
 	"testing"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // through is a gate to a module that sends at once, or never.
 type through struct {
-	door *Door
+	door *Controller
 	now  Time
 	jams bool
 }
 
-func (g *through) LetIn(job int32) {
+func (g *through) Admit(job int32) {
 	if !g.jams {
-		g.door.Sent(g.now, job)
+		g.door.AttemptStarted(g.now, job)
 	}
 }
-func (g *through) TurnBack(int32, Time) {}
-func (g *through) Log(string)           {}
+func (g *through) Reject(int32, Time) {}
+func (g *through) Log(string)         {}
 
 func open(t testing.TB, jams bool) *through {
 	g := &through{now: 1e12, jams: jams}
@@ -45,9 +45,9 @@
 
 // job takes one job through the door while nothing waits.
 func (g *through) job(name []byte, client uint64) {
-	g.door.Arrive(g.now, Arrival{Job: 0, Customer: name, Client: client, Group: 1, Left: 1200 * ms, Mark: name, Bytes: 200})
-	g.door.Back(g.now, 0, true)
-	g.door.Ended(g.now, 0)
+	g.door.Arrive(g.now, Arrival{Request: 0, Tenant: name, Client: client, Group: 1, TimeLeft: 1200 * ms, RetryKey: name, Bytes: 200})
+	g.door.AttemptEnded(g.now, 0, true)
+	g.door.RequestEnded(g.now, 0)
 }
 
 func TestPassingAllocatesNothing(t *testing.T) {
@@ -58,7 +58,7 @@
 		g.job(names[i%len(names)], uint64(i))
 		if i++; i%100 == 0 {
 			g.now += 5 * ms
-			g.door.Beat(g.now)
+			g.door.Tick(g.now)
 		}
 	}
 	for range 10000 {
@@ -72,7 +72,7 @@
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		b.Run(fmt.Sprintf("names=%d", n), func(b *testing.B) {
-			g, chance, name := open(b, false), mwc.New(1), []byte("customer--------")
+			g, chance, name := open(b, false), random.New(1), []byte("customer--------")
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				binary.BigEndian.PutUint64(name[8:], uint64(chance.Below(int64(n)))) // a list of them would measure the cache
@@ -86,13 +86,13 @@
 func BenchmarkContended(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		b.Run(fmt.Sprintf("names=%d", n), func(b *testing.B) {
-			g, chance, name := open(b, true), mwc.New(1), []byte("customer--------")
+			g, chance, name := open(b, true), random.New(1), []byte("customer--------")
 			d := g.door
 			d.grow(256)
 			come := func(i int) {
 				binary.BigEndian.PutUint64(name[8:], uint64(chance.Below(int64(n))))
-				d.Arrive(g.now, Arrival{Job: int32(i % 256), Profile: 1, Customer: name, Client: uint64(i), Group: 1,
-					Left: 3 * second, Bytes: 200})
+				d.Arrive(g.now, Arrival{Request: int32(i % 256), Class: 1, Tenant: name, Client: uint64(i), Group: 1,
+					TimeLeft: 3 * second, Bytes: 200})
 			}
 			for i := range 116 { // the module is full, and a hundred wait
 				come(i)
@@ -101,11 +101,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for d.tickets[next%256].state != absent { // let in long ago: it ends, and the next is let in
-					d.Ended(g.now, int32(next%256))
+					d.RequestEnded(g.now, int32(next%256))
 				}
 				come(next)
 				next++
-				d.Turn(g.now)
+				d.AdmitWaiting(g.now)
 			}
 		})
 	}
@@ -115,17 +115,17 @@
 func TestMemoryOfAMillionNames(t *testing.T) {
 	g := open(t, true)
 	for i := range 116 { // it is contended from the start
-		g.door.Arrive(g.now, Arrival{Job: int32(i), Profile: 1, Customer: []byte("c"), Client: uint64(i), Group: 1, Left: 3 * second, Bytes: 200})
+		g.door.Arrive(g.now, Arrival{Request: int32(i), Class: 1, Tenant: []byte("c"), Client: uint64(i), Group: 1, TimeLeft: 3 * second, Bytes: 200})
 	}
 	before := HeapNow()
 	name := make([]byte, 0, 32)
 	for i := range 1_000_000 {
 		name = fmt.Appendf(name[:0], "once-%d", i)
-		g.door.Arrive(g.now, Arrival{Job: int32(116 + i%2000), Profile: 1, Customer: name, Client: uint64(i), Group: 1, Left: 3 * second, Bytes: 200})
-		g.door.Ended(g.now, int32(116+i%2000))
+		g.door.Arrive(g.now, Arrival{Request: int32(116 + i%2000), Class: 1, Tenant: name, Client: uint64(i), Group: 1, TimeLeft: 3 * second, Bytes: 200})
+		g.door.RequestEnded(g.now, int32(116+i%2000))
 		if i%1000 == 0 {
 			g.now += 5 * ms
-			g.door.Beat(g.now)
+			g.door.Tick(g.now)
 		}
 	}
 	grown := int64(HeapNow()) - int64(before)
@@ -156,10 +156,10 @@
 	const n = 4096
 	keys := make([]float64, n)
 	for _, size := range []int{64, 2048} {
-		setup := func() (chance mwc.Source) {
-			chance = mwc.New(5)
+		setup := func() (chance random.Source) {
+			chance = random.New(5)
 			for i := range keys {
-				keys[i] = float64(chance.Next())
+				keys[i] = float64(chance.Uint32())
 			}
 			return chance
 		}
@@ -229,14 +229,14 @@
 func BenchmarkNames(b *testing.B) {
 	names := customers(1_000_000)
 	b.Run("shelves", func(b *testing.B) {
-		n, chance := newNames(7, nil, 128, 64), mwc.New(1)
+		n, chance := newNames(7, nil, 128, 64), random.New(1)
 		b.ReportAllocs()
 		for b.Loop() {
 			n.at(names[chance.Below(int64(len(names)))])
 		}
 	})
 	b.Run("map", func(b *testing.B) {
-		m, chance := map[string]int{}, mwc.New(1)
+		m, chance := map[string]int{}, random.New(1)
 		b.ReportAllocs()
 		for b.Loop() {
 			m[string(names[chance.Below(int64(len(names)))])]++
--- a/door/calendar.go
+++ b/admission/calendar.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 const (
 	slots = 32 // of the calendar: the longest time that may be named, divided
--- a/door/contention.go
+++ b/admission/contention.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 var needNames = [...]string{"any data", "bounded age", "session", "fresh", "writes"}
 
 // logContention is called at each tick, and logs when contention begins and ends.
-func (l *lane) logContention(d *Door) {
+func (l *lane) logContention(d *Controller) {
 	if l.waiting > 0 {
 		l.quietSince = 0
 		if l.waitingSince == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (l *lane) beginContention(d *Door) {
+func (l *lane) beginContention(d *Controller) {
 	l.contended = true
 	l.refused = 0
 	d.totals.Contended++
@@ -52,7 +52,7 @@
 	}
 }
 
-func (l *lane) endContention(d *Door) {
+func (l *lane) endContention(d *Controller) {
 	l.contended = false
 	heaviest := l.heaviest(d, func(f *flow) float64 { return f.workDone })
 	d.gate.Log(fmt.Sprintf(
@@ -61,7 +61,7 @@
 }
 
 // heaviest names the tenants with the largest parts of a sum.
-func (l *lane) heaviest(d *Door, valueOf func(f *flow) float64) string {
+func (l *lane) heaviest(d *Controller, valueOf func(f *flow) float64) string {
 	var places [logTenants]int32
 	var values [logTenants]float64
 	sum := 0.0
--- a/door/digest_test.go
+++ b/admission/digest_test.go
@@ -1,4 +1,4 @@
-package door_test
+package admission_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"sort"
 	"testing"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // playDigest is the FNV-1a hash of every action of the play below: who is let in and who is turned back when,
@@ -17,13 +17,13 @@
 // that is meant to change actions records it anew and says so.
 const playDigest = "44653aafa528a8bc"
 
-const digestMillisecond = door.Time(10)
+const digestMillisecond = admission.Time(10)
 
 // bed is the module, the stores and the clients behind and before one door.
 type bed struct {
-	door    *door.Door
-	now     door.Time
-	chance  mwc.Source
+	door    *admission.Controller
+	now     admission.Time
+	chance  random.Source
 	actions hash.Hash64
 	slots   [2]int // free places at each group's stores
 	held    [2][]int32
@@ -34,7 +34,7 @@
 }
 
 type event struct {
-	at door.Time
+	at admission.Time
 	do func()
 }
 
@@ -43,7 +43,7 @@
 	class    int
 	client   uint64
 	mark     []byte
-	left     door.Time
+	left     admission.Time
 }
 
 func (b *bed) act(format string, values ...any) {
@@ -51,10 +51,12 @@
 	fmt.Fprintf(b.actions, format+"\n", values...)
 }
 
-func (b *bed) after(span door.Time, do func()) { b.events = append(b.events, event{b.now + span, do}) }
+func (b *bed) after(span admission.Time, do func()) {
+	b.events = append(b.events, event{b.now + span, do})
+}
 
-// LetIn sends the request at once if a store has a place, else holds it.
-func (b *bed) LetIn(request int32) {
+// Admit sends the request at once if a store has a place, else holds it.
+func (b *bed) Admit(request int32) {
 	b.act("let in %d", request)
 	group := b.group[request]
 	if b.slots[group] > 0 {
@@ -67,22 +69,22 @@
 func (b *bed) send(request int32) {
 	group := b.group[request]
 	b.slots[group]--
-	b.door.Sent(b.now, request)
+	b.door.AttemptStarted(b.now, request)
 	b.after(20*digestMillisecond+b.chance.Below(120*digestMillisecond), func() {
 		b.slots[group]++
 		delivered := b.chance.Below(12) != 0
-		b.door.Back(b.now, request, delivered)
+		b.door.AttemptEnded(b.now, request, delivered)
 		if !delivered && b.chance.Below(3) != 0 {
 			b.send(request)
 		} else {
-			b.door.Ended(b.now, request)
+			b.door.RequestEnded(b.now, request)
 		}
 		if len(b.held[group]) > 0 && b.slots[group] > 0 {
 			first := b.held[group][0]
 			b.held[group] = b.held[group][1:]
 			if b.chance.Below(8) == 0 { // the module turns it back
-				b.act("promise %d", b.door.Promise(b.now, first, b.chance.Below(100*digestMillisecond)))
-				b.door.Ended(b.now, first)
+				b.act("promise %d", b.door.RetryAfter(b.now, first, b.chance.Below(100*digestMillisecond)))
+				b.door.RequestEnded(b.now, first)
 			} else {
 				b.send(first)
 			}
@@ -90,8 +92,8 @@
 	})
 }
 
-// TurnBack has most clients come again, as told or earlier.
-func (b *bed) TurnBack(request int32, pause door.Time) {
+// Reject has most clients come again, as told or earlier.
+func (b *bed) Reject(request int32, pause admission.Time) {
 	b.act("turn back %d %d", request, pause)
 	a := b.back[request]
 	a.left -= 150 * digestMillisecond
@@ -114,16 +116,16 @@
 	request := b.next
 	b.next++
 	b.group[request], b.back[request] = a.class%2, a
-	b.door.Arrive(b.now, door.Arrival{Job: request, Profile: a.class, Customer: []byte(a.customer), Client: a.client,
-		Mark: a.mark, Group: uint64(a.class % 2), Left: a.left, Repeated: repeated && b.chance.Below(2) == 0,
+	b.door.Arrive(b.now, admission.Arrival{Request: request, Class: a.class, Tenant: []byte(a.customer), Client: a.client,
+		RetryKey: a.mark, Group: uint64(a.class % 2), TimeLeft: a.left, MarkedRetry: repeated && b.chance.Below(2) == 0,
 		Bytes: 100 + int(b.chance.Below(400))})
 	if b.chance.Below(40) == 0 {
-		b.after(b.chance.Below(300*digestMillisecond), func() { b.door.Ended(b.now, request) })
+		b.after(b.chance.Below(300*digestMillisecond), func() { b.door.RequestEnded(b.now, request) })
 	}
 }
 
 // run plays a span with so many arrivals a millisecond.
-func (b *bed) run(span door.Time, rate float64) {
+func (b *bed) run(span admission.Time, rate float64) {
 	due := 0.0
 	for end := b.now + span; b.now < end; b.now += digestMillisecond {
 		sort.SliceStable(b.events, func(i, k int) bool { return b.events[i].at < b.events[k].at })
@@ -138,14 +140,14 @@
 				customer = fmt.Sprint("stranger", b.chance.Below(3000))
 			}
 			class := int(b.chance.Below(3))
-			left := [...]door.Time{1200, 3000, 800}[class] * digestMillisecond
+			left := [...]admission.Time{1200, 3000, 800}[class] * digestMillisecond
 			mark := []byte(fmt.Sprint(b.next))
 			b.arrive(arrival{customer, class, uint64(b.chance.Below(50)), mark, left}, false)
 		}
 		if b.now/digestMillisecond%5 == 0 {
-			b.door.Beat(b.now)
+			b.door.Tick(b.now)
 		} else {
-			b.door.Turn(b.now)
+			b.door.AdmitWaiting(b.now)
 		}
 	}
 	b.act("%+v %d", b.door.Totals(), b.door.Waiting())
@@ -154,7 +156,7 @@
 // TestPlayDigest plays one seeded day at the door (calm, a surge, stores that hang, too little room) and
 // compares the hash of all actions.
 func TestPlayDigest(t *testing.T) {
-	settings := balance.Settings{Seed: 7, Round: 5 * digestMillisecond, MostPause: 1000 * digestMillisecond,
+	settings := balance.Settings{Seed: 7, EventInterval: 5 * digestMillisecond, MaxRetryAfter: 1000 * digestMillisecond,
 		Tenants: []balance.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 300}, {Name: "t2"}},
 		Classes: []balance.Class{
 			{Name: "read", ExpectedTime: 300 * digestMillisecond, Deadline: 1200 * digestMillisecond, Credit: 1},
@@ -162,10 +164,10 @@
 				Deadline: 3000 * digestMillisecond, Credit: 4, LateCredit: 0.3},
 			{Name: "quick", Need: balance.Session, ExpectedTime: 100 * digestMillisecond,
 				Deadline: 800 * digestMillisecond, Credit: 2}}}
-	bounds := door.Bounds{Jobs: 300, Bytes: 90_000, Customers: 16, Places: 16, Strangers: 0.25, Further: 0.5}
-	b := &bed{now: 1e12, chance: mwc.New(5), actions: fnv.New64a(), slots: [2]int{30, 12}, group: map[int32]int{},
+	bounds := admission.Bounds{MaxRequests: 300, MaxBytes: 90_000, DedicatedTenants: 16, SharedQueues: 16, SharedWeight: 0.25, RetriesPerRequest: 0.5}
+	b := &bed{now: 1e12, chance: random.New(5), actions: fnv.New64a(), slots: [2]int{30, 12}, group: map[int32]int{},
 		back: map[int32]arrival{}}
-	opened, err := door.New(b.now, settings, bounds, b)
+	opened, err := admission.New(b.now, settings, bounds, b)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/door/doc.go
+++ b/admission/doc.go
@@ -29,4 +29,4 @@
 //	calendar.go    work that was promised a time
 //	successor.go   other settings or bounds while it runs
 //	pile.go        pairing heaps
-package door
+package admission
--- a/door/door.go
+++ b/admission/door.go
@@ -1,35 +1,35 @@
-package door
+package admission
 
 import (
 	"errors"
 	"fmt"
 
 	"micatrack/balance"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // Time is a moment or a span in whole tenths of a millisecond.
 type Time = balance.Time
 
-// Gate carries out the actions of a door. Each request that arrives is let in or refused, once.
-type Gate interface {
+// Handler carries out the actions of a door. Each request that arrives is let in or refused, once.
+type Handler interface {
 	// LetIn hands a request to the decision module. Door.Sent may be called before it returns.
-	LetIn(request int32)
+	Admit(request int32)
 	// TurnBack refuses a request, which was never sent, so trying again is harmless. Pause is when the client
 	// should come back; 0 says nothing of that.
-	TurnBack(request int32, pause Time)
+	Reject(request int32, pause Time)
 	// Log writes one line of the front's log.
 	Log(text string)
 }
 
 // Bounds is how much a door may hold.
 type Bounds struct {
-	Jobs      int     // requests that wait at once; at least 1
-	Bytes     int     // of their statements; at least 1
-	Customers int     // tenants with places of their own, besides those that the settings name; at least 1
-	Places    int     // places shared by all other tenants; at least 1
-	Strangers float64 // weight of those together, as a part of that of the tenants with own places; more than 0
-	Further   float64 // retries let in for each first try; not negative
+	MaxRequests       int     // requests that wait at once; at least 1
+	MaxBytes          int     // of their statements; at least 1
+	DedicatedTenants  int     // tenants with places of their own, besides those that the settings name; at least 1
+	SharedQueues      int     // places shared by all other tenants; at least 1
+	SharedWeight      float64 // weight of those together, as a part of that of the tenants with own places; more than 0
+	RetriesPerRequest float64 // retries let in for each first try; not negative
 }
 
 // Figures of the estimates that a door begins with, and of a class's rank.
@@ -47,15 +47,15 @@
 	balance.Class
 	work  float64 // of an attempt, averaged; tenths of a millisecond
 	rank  float64 // credit for the work, as a part of the mean over all classes
-	tries balance.Tries
+	tries balance.RetryDetector
 }
 
-// Door is the admission control of one front. It is not safe for concurrent use.
-type Door struct {
-	gate    Gate
+// Controller is the admission control of one front. It is not safe for concurrent use.
+type Controller struct {
+	gate    Handler
 	now     Time // of the call in hand
 	bounds  Bounds
-	chance  mwc.Source
+	chance  random.Source
 	classes []requestClass
 
 	// Tenants (names.go).
@@ -97,23 +97,23 @@
 
 // New returns a door. The settings give the classes, the tenants and their quotas, the time between ticks and
 // the longest pause. It returns an error for settings or bounds out of range.
-func New(now Time, settings balance.Settings, bounds Bounds, gate Gate) (*Door, error) {
+func New(now Time, settings balance.Settings, bounds Bounds, gate Handler) (*Controller, error) {
 	err := checkBounds(&settings, &bounds)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{
+	d := &Controller{
 		gate:       gate,
 		now:        now,
 		bounds:     bounds,
-		chance:     mwc.New(settings.Seed + 1),
+		chance:     random.New(settings.Seed + 1),
 		laneOf:     make(map[laneKey]int32, maxLanes),
 		lanes:      make([]lane, 0, maxLanes),
 		nextToFail: none,
-		slot:       max(settings.MostPause/slots, 1),
-		mostPause:  settings.MostPause,
-		promises:   newPromises(bounds.Jobs),
-		tickSpan:   max(settings.Round, 1),
+		slot:       max(settings.MaxRetryAfter/slots, 1),
+		mostPause:  settings.MaxRetryAfter,
+		promises:   newPromises(bounds.MaxRequests),
+		tickSpan:   max(settings.EventInterval, 1),
 	}
 	d.setClasses(settings.Classes)
 	d.setTenants(&settings)
@@ -127,7 +127,7 @@
 	if len(settings.Classes) == 0 {
 		return errNoClasses
 	}
-	if b.Jobs < 1 || b.Bytes < 1 || b.Customers < 1 || b.Places < 1 || b.Strangers <= 0 || b.Further < 0 {
+	if b.MaxRequests < 1 || b.MaxBytes < 1 || b.DedicatedTenants < 1 || b.SharedQueues < 1 || b.SharedWeight <= 0 || b.RetriesPerRequest < 0 {
 		return fmt.Errorf("door: bounds out of range: %+v", *b)
 	}
 	for k := range settings.Classes {
@@ -140,7 +140,7 @@
 }
 
 // setClasses takes the classes over, and ranks each by its credit for the work.
-func (d *Door) setClasses(classes []balance.Class) {
+func (d *Controller) setClasses(classes []balance.Class) {
 	d.quickest = classes[0].ExpectedTime
 	d.epoch = classes[0].Deadline
 	sum := 0.0
@@ -159,7 +159,7 @@
 }
 
 // setTenants gives each tenant of the settings a place and a weight, by its quota over the mean.
-func (d *Door) setTenants(settings *balance.Settings) {
+func (d *Controller) setTenants(settings *balance.Settings) {
 	mean := 0.0
 	fixed := []string{}
 	for _, tenant := range settings.Tenants {
@@ -173,11 +173,11 @@
 		}
 		d.quotas = append(d.quotas, weight)
 	}
-	d.names = newNames(settings.Seed, fixed, d.bounds.Customers, d.bounds.Places)
+	d.names = newNames(settings.Seed, fixed, d.bounds.DedicatedTenants, d.bounds.SharedQueues)
 }
 
 // Waiting returns how many requests wait.
-func (d *Door) Waiting() int { return d.waiting }
+func (d *Controller) Waiting() int { return d.waiting }
 
 // Totals returns the counts so far.
-func (d *Door) Totals() Totals { return d.totals }
+func (d *Controller) Totals() Totals { return d.totals }
--- a/door/door_test.go
+++ b/admission/door_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"micatrack/balance"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same verdict every time
@@ -21,13 +21,13 @@
 )
 
 func testSettings() balance.Settings {
-	return balance.Settings{Seed: 7, Round: 5 * ms, MostPause: second, Classes: []balance.Class{
+	return balance.Settings{Seed: 7, EventInterval: 5 * ms, MaxRetryAfter: second, Classes: []balance.Class{
 		{Name: "read", ExpectedTime: 300 * ms, Deadline: 1200 * ms, Credit: 1},
 		{Name: "save", Need: balance.Write, ExpectedTime: 600 * ms, Deadline: 3 * second, Credit: 4, LateCredit: 0.3}}}
 }
 
 func testBounds() Bounds {
-	return Bounds{Jobs: 4096, Bytes: 16 << 20, Customers: 128, Places: 64, Strangers: 0.25, Further: 0.5}
+	return Bounds{MaxRequests: 4096, MaxBytes: 16 << 20, DedicatedTenants: 128, SharedQueues: 64, SharedWeight: 0.25, RetriesPerRequest: 0.5}
 }
 
 // TestBounds: what waits is bounded in number and bytes; when it is full the customer with most waiting for its
@@ -35,7 +35,7 @@
 func TestBounds(t *testing.T) {
 	l := &refusals{t: t, now: 1e12, back: map[int32]bool{}}
 	b := testBounds()
-	b.Jobs, b.Bytes = 20, 10_000
+	b.MaxRequests, b.MaxBytes = 20, 10_000
 	c := testSettings()
 	d, err := New(l.now, c, b, l)
 	if err != nil {
@@ -44,7 +44,7 @@
 	job := int32(0)
 	come := func(customer string, n, bytes int) {
 		for range n {
-			d.Arrive(l.now, Arrival{Job: job, Profile: 1, Customer: []byte(customer), Client: uint64(job), Left: 3 * second, Bytes: bytes})
+			d.Arrive(l.now, Arrival{Request: job, Class: 1, Tenant: []byte(customer), Client: uint64(job), TimeLeft: 3 * second, Bytes: bytes})
 			job++
 		}
 	}
@@ -58,15 +58,15 @@
 		t.Errorf("%d wait, of those turned back: %v", d.Waiting(), l.back)
 	}
 	come("b", 1, 9_900)
-	if d.Waiting() > 20 || d.bytes > b.Bytes || l.back[quietRoom+35] {
+	if d.Waiting() > 20 || d.bytes > b.MaxBytes || l.back[quietRoom+35] {
 		t.Errorf("%d wait with %d bytes", d.Waiting(), d.bytes)
 	}
 	l.now += 2 * second
-	d.Beat(l.now)
+	d.Tick(l.now)
 	if d.Waiting() != 0 || d.bytes != 0 || d.nextToFail != -1 {
 		t.Errorf("%d wait with %d bytes after all their time", d.Waiting(), d.bytes)
 	}
-	for _, bad := range []Bounds{{}, {Jobs: 1, Bytes: 1, Customers: 1, Places: 1}, {Jobs: 1, Bytes: 1, Customers: 1, Places: 1, Strangers: 1, Further: -1}} {
+	for _, bad := range []Bounds{{}, {MaxRequests: 1, MaxBytes: 1, DedicatedTenants: 1, SharedQueues: 1}, {MaxRequests: 1, MaxBytes: 1, DedicatedTenants: 1, SharedQueues: 1, SharedWeight: 1, RetriesPerRequest: -1}} {
 		if _, err := New(0, c, bad, l); err == nil {
 			t.Errorf("%+v is taken", bad)
 		}
@@ -80,9 +80,9 @@
 	back map[int32]bool
 }
 
-func (r *refusals) LetIn(int32) {}
+func (r *refusals) Admit(int32) {}
 func (r *refusals) Log(string)  {}
-func (r *refusals) TurnBack(job int32, _ Time) {
+func (r *refusals) Reject(job int32, _ Time) {
 	if r.back[job] {
 		r.t.Fatalf("job %d is turned back twice", job)
 	}
@@ -94,7 +94,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := &refusals{t: t, now: 1e12, back: map[int32]bool{}}
 		b := testBounds()
-		b.Jobs = 8
+		b.MaxRequests = 8
 		d, err := New(l.now, testSettings(), b, l)
 		if err != nil {
 			t.Fatal(err)
@@ -106,28 +106,28 @@
 			switch op % 8 {
 			case 0, 1, 2:
 				here[job] = true
-				d.Arrive(l.now, Arrival{Job: job, Profile: op / 8 % 2, Customer: []byte{byte(op / 16 % 4)}, Client: uint64(op), Group: uint64(op / 64 % 3),
-					Left: Time(1+op%4) * second, Repeated: op&512 != 0, Mark: []byte{byte(op / 32)}, Bytes: 10})
+				d.Arrive(l.now, Arrival{Request: job, Class: op / 8 % 2, Tenant: []byte{byte(op / 16 % 4)}, Client: uint64(op), Group: uint64(op / 64 % 3),
+					TimeLeft: Time(1+op%4) * second, MarkedRetry: op&512 != 0, RetryKey: []byte{byte(op / 32)}, Bytes: 10})
 				job++
 			case 3:
 				if !l.back[some] {
-					d.Sent(l.now, some)
+					d.AttemptStarted(l.now, some)
 				}
 			case 4:
-				d.Back(l.now, some, op&512 != 0)
+				d.AttemptEnded(l.now, some, op&512 != 0)
 			case 5:
-				d.Ended(l.now, some)
+				d.RequestEnded(l.now, some)
 				delete(here, some)
 			case 6:
 				l.now += Time(op)
-				d.Beat(l.now)
+				d.Tick(l.now)
 			case 7:
-				d.Turn(l.now)
-				d.Promise(l.now, some, Time(op))
+				d.AdmitWaiting(l.now)
+				d.RetryAfter(l.now, some, Time(op))
 			}
 		}
 		for i := range here {
-			d.Ended(l.now, i)
+			d.RequestEnded(l.now, i)
 		}
 		if d.waiting != 0 || d.bytes != 0 || d.nextToFail != -1 {
 			t.Fatalf("%d wait, %d bytes", d.waiting, d.bytes)
@@ -183,7 +183,7 @@
 // left without a place, though strangers come by the hundred thousand.
 func TestShelvesFindTheHeavy(t *testing.T) {
 	n := newNames(7, nil, 64, 16)
-	chance := mwc.New(3)
+	chance := random.New(3)
 	exact, serial := map[string]int{}, 0
 	for range 4 { // epochs
 		for range 20000 {
--- a/door/export_test.go
+++ b/admission/export_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import "runtime"
 
@@ -7,11 +7,11 @@
 const Begin = quietRoom
 
 // Epoch is how long places are spread alike.
-func Epoch(d *Door) Time { return d.epoch }
+func Epoch(d *Controller) Time { return d.epoch }
 
 // Collide has two customers share a place, with no place of their own to be had; changed tells whether they were spread
 // anew since.
-func Collide(d *Door, a, b string) (changed func() bool) {
+func Collide(d *Controller, a, b string) (changed func() bool) {
 	n := d.names
 	n.idle = nil
 	for n.salt = 1; n.at([]byte(a)) != n.at([]byte(b)); n.salt++ {
@@ -21,7 +21,7 @@
 }
 
 // Expected is how long a further try would wait by what waits in the first lane now; otherwise where none ever did.
-func Expected(d *Door, customer string, client uint64, otherwise Time) Time {
+func Expected(d *Controller, customer string, client uint64, otherwise Time) Time {
 	l := &d.lanes[0]
 	if l.flows == nil {
 		return otherwise
--- a/door/fairness_test.go
+++ b/admission/fairness_test.go
@@ -1,4 +1,4 @@
-package door_test
+package admission_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/internal/tenantsim"
 )
 
@@ -19,8 +19,8 @@
 )
 
 // newWorld makes a world with a door or without one; at the end of the test it says what must not have happened.
-func newWorld(t *testing.T, places int, on bool, parties ...*tenantsim.Tenant) *tenantsim.World {
-	var b *door.Bounds
+func newWorld(t *testing.T, places int, on bool, parties ...*tenantsim.Tenant) *tenantsim.Simulation {
+	var b *admission.Bounds
 	if on {
 		bounds := tenantsim.Bounds()
 		b = &bounds
@@ -69,7 +69,7 @@
 		}
 		w := newWorld(t, 10, r.door, append(parties, big)...)
 		w.FIFO = r.fifo
-		w.Play(30 * 1000 * ms)
+		w.Run(30 * 1000 * ms)
 		var shares []float64
 		worst, sum := 1.0, 0.0
 		for _, p := range parties {
@@ -99,21 +99,21 @@
 
 // fair gives each customer's jobs at max-min fair sharing of that many.
 func fair(parties []*tenantsim.Tenant, more *tenantsim.Tenant, jobs float64) []float64 {
-	m := &tenantsim.Ideal{}
+	m := &tenantsim.FluidModel{}
 	for _, p := range append(slices.Clone(parties), more) {
 		m.Weights, m.Queued, m.Served = append(m.Weights, 1), append(m.Queued, float64(p.Requests)), append(m.Served, 0)
 	}
-	m.Pass(jobs)
+	m.Serve(jobs)
 	return m.Served
 }
 
 // TestRetriesAreTheirOwn (hard case 2): a customer whose further tries come to ten times its first ones.
 func TestRetriesAreTheirOwn(t *testing.T) {
 	parties := steadyOnes(20, 10)
-	hasty := &tenantsim.Tenant{Name: "hasty", Rate: tenantsim.ConstantRate(100), Clients: 8, Retries: 40, Impatient: true, Marked: true}
+	hasty := &tenantsim.Tenant{Name: "hasty", Rate: tenantsim.ConstantRate(100), Clients: 8, Retries: 40, IgnoresPause: true, Marked: true}
 	w := newWorld(t, 10, true, append(parties, hasty)...)
-	w.Play(30 * 1000 * ms)
-	t.Log(hasty, w.Door.Totals(), hasty.FirstsInTime, hasty.FirstTries)
+	w.Run(30 * 1000 * ms)
+	t.Log(hasty, w.Admission.Totals(), hasty.FirstTriesInTime, hasty.FirstTries)
 	for _, p := range parties {
 		if p.Share() < 0.97 {
 			t.Errorf("%v", p)
@@ -122,8 +122,8 @@
 	if hasty.Refused < 10*hasty.FirstTries/2 {
 		t.Errorf("only %d turned back of %d", hasty.Refused, hasty.FirstTries)
 	}
-	if float64(hasty.FirstsInTime) < 0.5*float64(hasty.FirstTries) {
-		t.Errorf("of %d first tries %d were in time", hasty.FirstTries, hasty.FirstsInTime)
+	if float64(hasty.FirstTriesInTime) < 0.5*float64(hasty.FirstTries) {
+		t.Errorf("of %d first tries %d were in time", hasty.FirstTries, hasty.FirstTriesInTime)
 	}
 }
 
@@ -132,18 +132,18 @@
 	for _, r := range []struct {
 		name string
 		door bool
-		set  func(w *tenantsim.World)
+		set  func(w *tenantsim.Simulation)
 	}{
-		{"a constant time", false, func(w *tenantsim.World) {
-			w.Pause = func(w *tenantsim.World) balance.Time { return w.Settings.MostPause / 2 }
+		{"a constant time", false, func(w *tenantsim.Simulation) {
+			w.Pause = func(w *tenantsim.Simulation) balance.Time { return w.Settings.MaxRetryAfter / 2 }
 		}},
-		{"drawn, as the module does", false, func(w *tenantsim.World) {}},
-		{"by what waits, not booked", true, func(w *tenantsim.World) {
+		{"drawn, as the module does", false, func(w *tenantsim.Simulation) {}},
+		{"by what waits, not booked", true, func(w *tenantsim.Simulation) {
 			w.OverridePause = func(p *tenantsim.Tenant, client uint64, pause balance.Time) balance.Time {
-				return min(door.Expected(w.Door, p.Name, client, pause), w.Settings.MostPause)
+				return min(admission.Expected(w.Admission, p.Name, client, pause), w.Settings.MaxRetryAfter)
 			}
 		}},
-		{"booked", true, func(w *tenantsim.World) {}},
+		{"booked", true, func(w *tenantsim.Simulation) {}},
 	} {
 		parties := steadyOnes(20, 8)
 		for i := range 4 {
@@ -156,14 +156,14 @@
 		}
 		w := newWorld(t, 10, r.door, parties...)
 		r.set(w)
-		w.Play(15 * 1000 * ms)
+		w.Run(15 * 1000 * ms)
 		w.Speed = 0.5
-		w.Play(10 * 1000 * ms)
+		w.Run(10 * 1000 * ms)
 		w.Speed = 1
-		w.Play(10 * 1000 * ms)
+		w.Run(10 * 1000 * ms)
 		told, kept, missed, offs := 0, 0, 0, []float64{}
 		for _, p := range parties {
-			told, kept, missed, offs = told+p.Promised, kept+p.Kept, missed+p.Missed, append(offs, p.PauseErrors...)
+			told, kept, missed, offs = told+p.Reserved, kept+p.ReservationsKept, missed+p.ReservationsMissed, append(offs, p.PauseErrors...)
 		}
 		slices.Sort(offs)
 		part, median := float64(kept)/float64(kept+missed), 0.0
@@ -172,7 +172,7 @@
 		}
 		t.Logf("%-26s told %d, let in %.3f, median error %.3f", r.name, told, part, median)
 		if r.name == "booked" {
-			t.Log(w.Door.Totals())
+			t.Log(w.Admission.Totals())
 			if part < 0.9 || median > 0.2 || told < 300 {
 				t.Errorf("told %d: %.3f let in, median error %.3f", told, part, median)
 			}
@@ -184,7 +184,7 @@
 // minute, beside twenty steady customers.
 func TestBurstOfStrangers(t *testing.T) {
 	parties := steadyOnes(20, 8)
-	flood := &tenantsim.Tenant{Name: "crowd", NewNames: true, Rate: func(now balance.Time) float64 {
+	flood := &tenantsim.Tenant{Name: "crowd", UniqueNames: true, Rate: func(now balance.Time) float64 {
 		switch s := (now - tenantsim.Start) / 10000; {
 		case s >= 10 && s < 11:
 			return 210_000
@@ -194,13 +194,13 @@
 		return 0
 	}}
 	w := newWorld(t, 10, true, append(parties, flood)...)
-	w.Play(9 * 1000 * ms)
-	before := door.HeapNow()
-	w.Play(3 * 1000 * ms)
+	w.Run(9 * 1000 * ms)
+	before := admission.HeapNow()
+	w.Run(3 * 1000 * ms)
 	burst := flood.Requests
-	grown := int64(door.HeapNow()) - int64(before)
-	w.Play(68 * 1000 * ms)
-	more := int64(door.HeapNow()) - int64(before)
+	grown := int64(admission.HeapNow()) - int64(before)
+	w.Run(68 * 1000 * ms)
+	more := int64(admission.HeapNow()) - int64(before)
 	t.Logf("%d strangers in the burst, %d in all, %d served; heap grown by %d KiB after the burst, %d at the end", burst, flood.Requests,
 		flood.InTime, grown>>10, more>>10)
 	if burst < 200_000 || grown > 8<<20 || more > 8<<20 {
@@ -222,18 +222,18 @@
 	small := &tenantsim.Tenant{Name: "small", Rate: tenantsim.ConstantRate(4), Clients: 2}
 	heavy := &tenantsim.Tenant{Name: "heavy", Rate: tenantsim.ConstantRate(900), Clients: 64}
 	w := newWorld(t, 4, true, small, heavy)
-	changed := door.Collide(w.Door, "small", "heavy")
+	changed := admission.Collide(w.Admission, "small", "heavy")
 	last, worst := w.Now, balance.Time(0)
-	w.OnEnd = func(w *tenantsim.World, e *tenantsim.Try, how string) {
+	w.OnEnd = func(w *tenantsim.Simulation, e *tenantsim.Try, how string) {
 		if e.Tenant == small && how == "delivered" {
 			worst, last = max(worst, w.Now-last), w.Now
 		}
 	}
 	for w.Now-tenantsim.Start < 20*second {
-		w.Play(100 * ms)
+		w.Run(100 * ms)
 	}
-	t.Logf("%v; longest without: %d ms; an epoch is %d ms", small, worst/ms, door.Epoch(w.Door)/ms)
-	if !changed() || worst > door.Epoch(w.Door)+600*ms || small.Share() < 0.5 {
+	t.Logf("%v; longest without: %d ms; an epoch is %d ms", small, worst/ms, admission.Epoch(w.Admission)/ms)
+	if !changed() || worst > admission.Epoch(w.Admission)+600*ms || small.Share() < 0.5 {
 		t.Errorf("%v: longest without %d ms", small, worst/ms)
 	}
 }
@@ -244,7 +244,7 @@
 	greedy := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(300), Client: 1000}
 	modest := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(100), Clients: 10}
 	w := newWorld(t, 6, true, greedy, modest)
-	w.Play(10 * second)
+	w.Run(10 * second)
 	t.Log(greedy, modest)
 	if modest.Share() < 2*greedy.Share() {
 		t.Errorf("%.3f of the modest clients' jobs are in time, %.3f of the greedy one's", modest.Share(), greedy.Share())
@@ -254,7 +254,7 @@
 // line is a gate to stores with a few places, behind a module that holds in order of arrival.
 type line struct {
 	t      interface{ Fatalf(string, ...any) }
-	door   *door.Door
+	door   *admission.Controller
 	now    balance.Time
 	places int
 	held   []int32
@@ -265,19 +265,19 @@
 	work   float64
 }
 
-func (l *line) LetIn(job int32) {
+func (l *line) Admit(job int32) {
 	l.held = append(l.held, job)
 	l.send()
 }
-func (l *line) TurnBack(job int32, _ balance.Time) { l.t.Fatalf("job %d is turned back", job) }
-func (l *line) Log(string)                         {}
+func (l *line) Reject(job int32, _ balance.Time) { l.t.Fatalf("job %d is turned back", job) }
+func (l *line) Log(string)                       {}
 func (l *line) send() {
 	for len(l.out) < l.places && len(l.held) > 0 {
 		job := l.held[0]
 		l.held = l.held[1:]
 		l.out, l.ends = append(l.out, job), append(l.ends, l.now+balance.Time(l.work))
 		l.served[l.owner[job]] += l.work
-		l.door.Sent(l.now, job)
+		l.door.AttemptStarted(l.now, job)
 	}
 }
 
@@ -291,12 +291,12 @@
 		c.Classes = []balance.Class{{Name: "p", ExpectedTime: 200 * ms, Deadline: 1 << 30, Credit: 1, LateCredit: 1}}
 		l := &line{t: t, now: 1e12, places: rapid.IntRange(1, 4).Draw(t, "places"), owner: map[int32]int{}, served: make([]float64, n),
 			work: 50 * ms}
-		m := &tenantsim.Ideal{Weights: make([]float64, n), Queued: make([]float64, n), Served: make([]float64, n)}
+		m := &tenantsim.FluidModel{Weights: make([]float64, n), Queued: make([]float64, n), Served: make([]float64, n)}
 		for i := range n {
 			c.Tenants = append(c.Tenants, balance.Tenant{Name: fmt.Sprint(i), Quota: float64(rapid.IntRange(1, 4).Draw(t, "quota"))})
 		}
 		var err error
-		if l.door, err = door.New(l.now, c, tenantsim.Bounds(), l); err != nil {
+		if l.door, err = admission.New(l.now, c, tenantsim.Bounds(), l); err != nil {
 			t.Fatal(err)
 		}
 		mean, all := 0.0, 0.0
@@ -320,14 +320,14 @@
 				for range b.jobs {
 					l.owner[job] = b.customer
 					m.Queued[b.customer] += l.work
-					l.door.Arrive(l.now, door.Arrival{Job: job, Customer: []byte(c.Tenants[b.customer].Name), Client: uint64(job), Left: 1 << 30,
+					l.door.Arrive(l.now, admission.Arrival{Request: job, Tenant: []byte(c.Tenants[b.customer].Name), Client: uint64(job), TimeLeft: 1 << 30,
 						Bytes: 1})
 					job++
 				}
 			}
-			l.door.Beat(l.now)
+			l.door.Tick(l.now)
 			for i := range n {
-				bound := l.work * (2 + float64(n)*m.Weights[i]/all + float64(l.places) + door.Begin)
+				bound := l.work * (2 + float64(n)*m.Weights[i]/all + float64(l.places) + admission.Begin)
 				if lag := m.Served[i] - l.served[i]; lag > bound {
 					t.Fatalf("step %d: customer %d is %.0f behind, bound %.0f", step, i, lag, bound)
 				} else {
@@ -335,14 +335,14 @@
 				}
 			}
 			l.now += 5 * ms
-			m.Pass(float64(l.places) * 5 * ms)
+			m.Serve(float64(l.places) * 5 * ms)
 			for k := 0; k < len(l.out); k++ {
 				if l.ends[k] <= l.now {
 					done := l.out[k]
 					l.out, l.ends = append(l.out[:k:k], l.out[k+1:]...), append(l.ends[:k:k], l.ends[k+1:]...)
 					k--
-					l.door.Back(l.now, done, true)
-					l.door.Ended(l.now, done)
+					l.door.AttemptEnded(l.now, done, true)
+					l.door.RequestEnded(l.now, done)
 					l.send()
 				}
 			}
--- a/door/lane.go
+++ b/admission/lane.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import "micatrack/balance"
 
@@ -73,9 +73,11 @@
 	workDone     float64 // let in since contention was logged
 }
 
-func (d *Door) newFlow() flow { return flow{next: none, newest: none, retryCredit: d.maxRetryCredit()} }
+func (d *Controller) newFlow() flow {
+	return flow{next: none, newest: none, retryCredit: d.maxRetryCredit()}
+}
 
-func (d *Door) newFlows() []flow {
+func (d *Controller) newFlows() []flow {
 	flows := make([]flow, d.names.places())
 	for k := range flows {
 		flows[k] = d.newFlow()
@@ -84,10 +86,10 @@
 }
 
 // maxRetryCredit is how many retries a tenant may save up.
-func (d *Door) maxRetryCredit() float64 { return retryCreditTries * d.bounds.Further }
+func (d *Controller) maxRetryCredit() float64 { return retryCreditTries * d.bounds.RetriesPerRequest }
 
 // laneAt returns the index of the lane of a group and a need, and adds it if need be.
-func (d *Door) laneAt(group uint64, need balance.Need) int32 {
+func (d *Controller) laneAt(group uint64, need balance.Need) int32 {
 	key := laneKey{group, need}
 	if index, known := d.laneOf[key]; known {
 		return index
@@ -105,12 +107,12 @@
 // together a part of what the others weigh, however many they are.
 //
 // Danger: a client that comes under ever new names would have ever more.
-func (d *Door) weight(l *lane, place int32) float64 {
+func (d *Controller) weight(l *lane, place int32) float64 {
 	if int(place) < len(d.quotas) {
 		return d.quotas[place]
 	}
 	if d.names.owned(place) {
 		return 1
 	}
-	return min(1, max(l.ownWeight*d.bounds.Strangers, 1)/float64(max(l.sharedWaiting, 1)))
+	return min(1, max(l.ownWeight*d.bounds.SharedWeight, 1)/float64(max(l.sharedWaiting, 1)))
 }
--- a/door/names.go
+++ b/admission/names.go
@@ -1,11 +1,11 @@
-package door
+package admission
 
 import (
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 const (
@@ -22,7 +22,7 @@
 //
 // Places are numbered: the settings' customers, then the steady ones, then the shared ones.
 type names struct {
-	chance  mwc.Source
+	chance  random.Source
 	digest  xxhash.Digest
 	secret  uint64 // of the hash: a name must not choose its place
 	fixed   map[string]int32
@@ -51,7 +51,7 @@
 }
 
 func newNames(seed uint64, fixed []string, own, shared int) *names {
-	n := &names{chance: mwc.New(seed), fixed: map[string]int32{}, own: make(map[uint64]int32, own),
+	n := &names{chance: random.New(seed), fixed: map[string]int32{}, own: make(map[uint64]int32, own),
 		steady: make([]steady, own), shared: shared, shelves: make([][ways]tally, max(8*own/ways, 1))}
 	for i, name := range fixed {
 		n.fixed[name] = int32(i)
@@ -63,7 +63,7 @@
 	return n
 }
 
-func (n *names) draw() uint64 { return uint64(n.chance.Next())<<32 | uint64(n.chance.Next()) }
+func (n *names) draw() uint64 { return uint64(n.chance.Uint32())<<32 | uint64(n.chance.Uint32()) }
 
 // places is how many there are.
 func (n *names) places() int { return len(n.fixed) + len(n.steady) + n.shared }
--- a/door/order.go
+++ b/admission/order.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // servedFirst orders tenants by their tags.
 func (l *lane) servedFirst(a, b int32) bool {
@@ -7,7 +7,7 @@
 }
 
 // enter puts a tenant whose first request waits into the order of service.
-func (l *lane) enter(d *Door, place int32) {
+func (l *lane) enter(d *Controller, place int32) {
 	if l.order.before == nil {
 		l.order.before = l.servedFirst
 		l.order.grow(len(l.flows))
@@ -23,7 +23,7 @@
 }
 
 // exit takes a tenant out of the order of service.
-func (l *lane) exit(d *Door, place int32) {
+func (l *lane) exit(d *Controller, place int32) {
 	l.next = l.order.cut(l.next, place)
 	if d.names.owned(place) {
 		l.ownWeight -= d.weight(l, place)
@@ -53,7 +53,7 @@
 
 // adjust charges a tenant for work afterwards, or gives some back, but no more than what was not yet made use
 // of.
-func (l *lane) adjust(d *Door, place int32, work float64) {
+func (l *lane) adjust(d *Controller, place int32, work float64) {
 	f := &l.flows[place]
 	if work == 0 || f.start <= l.virtualTime && work < 0 {
 		return
--- a/door/pile.go
+++ b/admission/pile.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // piles keeps any number of pairing heaps over one slab of numbered things (Fredman, Sedgewick, Sleator and
 // Tarjan 1986). A thing is in one heap at most, and a heap is known by the thing on top of it, -1 if it is
--- a/door/refuse.go
+++ b/admission/refuse.go
@@ -1,17 +1,17 @@
-package door
+package admission
 
 // refuse refuses a request that is in no queue.
-func (d *Door) refuse(request int32) {
+func (d *Controller) refuse(request int32) {
 	t := &d.tickets[request]
 	pause := d.promise(t)
 	*t = ticket{}
 	d.totals.Back++
-	d.gate.TurnBack(request, pause)
+	d.gate.Reject(request, pause)
 }
 
-// Promise returns when the client of a request that the module has refused should come back. Otherwise is the
+// RetryAfter returns when the client of a request that the module has refused should come back. Otherwise is the
 // module's own answer, which is returned where this package has none.
-func (d *Door) Promise(now Time, request int32, otherwise Time) Time {
+func (d *Controller) RetryAfter(now Time, request int32, otherwise Time) Time {
 	d.now = now
 	if int(request) >= len(d.tickets) || otherwise <= 0 {
 		return otherwise
@@ -29,7 +29,7 @@
 
 // promise books a request's work against its tenant's future share and returns when its client should come
 // back. It returns 0 if the settings allow no time, or none within the longest allowed could be kept.
-func (d *Door) promise(t *ticket) Time {
+func (d *Controller) promise(t *ticket) Time {
 	l := &d.lanes[t.lane]
 	l.refused++
 	if d.mostPause <= 0 || l.flows == nil || !l.learned(d) {
@@ -58,7 +58,7 @@
 }
 
 // takePromise has a retry take up the promise that was made to it, if that is due.
-func (d *Door) takePromise(t *ticket) {
+func (d *Controller) takePromise(t *ticket) {
 	taken, due := d.promises.take(t.token, d.now/d.slot)
 	if !due {
 		return
--- a/door/request.go
+++ b/admission/request.go
@@ -1,19 +1,19 @@
-package door
+package admission
 
 // none is the number of no request, and of no place.
 const none int32 = -1
 
 // Arrival is a request as it arrives. Nothing of it is kept but numbers.
 type Arrival struct {
-	Job      int32  // its number
-	Profile  int    // its class, as the settings number them
-	Customer []byte // its tenant
-	Client   uint64 // the connection, or whatever else stands for one client of that tenant
-	Mark     []byte // the same for all tries of a request, as far as can be told; empty: nothing tells them
-	Group    uint64
-	Left     Time // until the client gives this try up
-	Repeated bool // marked as a retry
-	Bytes    int  // of its statement
+	Request     int32  // its number
+	Class       int    // its class, as the settings number them
+	Tenant      []byte // its tenant
+	Client      uint64 // the connection, or whatever else stands for one client of that tenant
+	RetryKey    []byte // the same for all tries of a request, as far as can be told; empty: nothing tells them
+	Group       uint64
+	TimeLeft    Time // until the client gives this try up
+	MarkedRetry bool // marked as a retry
+	Bytes       int  // of its statement
 }
 
 // state is that of a request.
@@ -56,7 +56,7 @@
 }
 
 // servedBefore orders the requests of one tenant.
-func (d *Door) servedBefore(a, b int32) bool {
+func (d *Controller) servedBefore(a, b int32) bool {
 	x, y := &d.tickets[a], &d.tickets[b]
 	if x.priority != y.priority {
 		return x.priority < y.priority
@@ -65,13 +65,13 @@
 }
 
 // failsBefore orders all requests that wait by when they are refused.
-func (d *Door) failsBefore(a, b int32) bool {
+func (d *Controller) failsBefore(a, b int32) bool {
 	x, y := d.tickets[a].failsAt, d.tickets[b].failsAt
 	return x < y || x == y && a < b
 }
 
 // grow makes room for so many requests.
-func (d *Door) grow(count int) {
+func (d *Controller) grow(count int) {
 	for len(d.tickets) < count {
 		d.tickets = append(d.tickets, ticket{})
 	}
--- a/door/room.go
+++ b/admission/room.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // Figures of the room in the decision module.
 const (
@@ -11,7 +11,7 @@
 // there, where tenants have no shares: the one with most credit goes first and of these the newest, whoever
 // sent it, and the oldest waits until it is too late. While requests wait here one is enough: as its attempt
 // starts the next follows in the same turn.
-func (l *lane) hasRoom(d *Door) bool {
+func (l *lane) hasRoom(d *Controller) bool {
 	held := float64(l.admitted - l.attempting)
 	return held < l.room || l.waiting > 0 && (l.attempting < l.attemptsAtHold || d.now >= l.tryAt)
 }
@@ -19,7 +19,7 @@
 // learnRoom is called at each tick. Where no attempt is under way at all, what the module holds waits for no
 // store, and that wait is none of this package's: the module is handed ever more, and refuses what is in
 // vain.
-func (l *lane) learnRoom(d *Door) {
+func (l *lane) learnRoom(d *Controller) {
 	if l.attempting > 0 || l.admitted == 0 {
 		l.idleSince = d.now
 	}
@@ -37,7 +37,7 @@
 // the stores have room; one that is held, that as many attempts as are under way now is all that the module
 // allows, or that this very request waits for something else. So another one is tried as soon as fewer are
 // under way, and from time to time: ever more seldom while that is in vain, and more often while it is not.
-func (l *lane) learnFromAdmission(d *Door, started bool) {
+func (l *lane) learnFromAdmission(d *Controller, started bool) {
 	if started {
 		l.tryPause = max(l.tryPause/2, d.tickSpan)
 		return
--- a/door/successor.go
+++ b/admission/successor.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"micatrack/balance"
 )
 
-// Alike reports whether two settings give the same door.
-func Alike(a, b *balance.Settings) bool {
-	return a.MostPause == b.MostPause && a.Round == b.Round && a.Seed == b.Seed &&
+// SameSettings reports whether two settings give the same door.
+func SameSettings(a, b *balance.Settings) bool {
+	return a.MaxRetryAfter == b.MaxRetryAfter && a.EventInterval == b.EventInterval && a.Seed == b.Seed &&
 		slices.Equal(a.Classes, b.Classes) && slices.Equal(a.Tenants, b.Tenants)
 }
 
@@ -17,7 +17,7 @@
 // classes of the same name is kept, and the counts are; places, promises and credit of tenants begin anew, and
 // requests that were let in before are the module's alone. It returns an error for settings or bounds out of
 // range. The requests that wait here have to arrive there.
-func (d *Door) Successor(now Time, settings balance.Settings, bounds Bounds) (*Door, error) {
+func (d *Controller) Successor(now Time, settings balance.Settings, bounds Bounds) (*Controller, error) {
 	next, err := New(now, settings, bounds, d.gate)
 	if err != nil {
 		return nil, err
@@ -34,8 +34,8 @@
 	return next, nil
 }
 
-// Requests returns the requests that wait, the oldest first.
-func (d *Door) Requests() []int32 {
+// WaitingRequests returns the requests that wait, the oldest first.
+func (d *Controller) WaitingRequests() []int32 {
 	var list []int32
 	for k := range d.tickets {
 		if d.tickets[k].state == waiting {
--- a/door/tick.go
+++ b/admission/tick.go
@@ -1,8 +1,8 @@
-package door
+package admission
 
-// Beat is called once in a round of the settings or more often: it refuses what has waited too long, learns
+// Tick is called once in a round of the settings or more often: it refuses what has waited too long, learns
 // from what has passed, and lets in what there is room for.
-func (d *Door) Beat(now Time) {
+func (d *Controller) Tick(now Time) {
 	d.now = now
 	for d.nextToFail >= 0 && d.tickets[d.nextToFail].failsAt <= now {
 		request := d.nextToFail
@@ -16,11 +16,11 @@
 		d.epochEnds = now + d.epoch
 		d.names.turn(d.releasePlace)
 	}
-	d.Turn(now)
+	d.AdmitWaiting(now)
 }
 
 // releasePlace has a place forget the tenant that had it, and returns false if requests of it still wait.
-func (d *Door) releasePlace(place int32) bool {
+func (d *Controller) releasePlace(place int32) bool {
 	for k := range d.lanes {
 		l := &d.lanes[k]
 		if l.flows != nil && l.flows[place].waiting > 0 {
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Turn lets in what there is room for. It is called when attempts have ended.
-func (d *Door) Turn(now Time) {
+// AdmitWaiting lets in what there is room for. It is called when attempts have ended.
+func (d *Controller) AdmitWaiting(now Time) {
 	d.now = now
 	if d.waiting == 0 {
 		return
@@ -51,7 +51,7 @@
 }
 
 // letNextIn lets in the next request of the tenant whose turn it is.
-func (d *Door) letNextIn(l *lane) {
+func (d *Controller) letNextIn(l *lane) {
 	place := l.next
 	f := &l.flows[place]
 	request := f.next
--- a/door/wait.go
+++ b/admission/wait.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // learnedDivisor gives the part of the shortest expected time after which the pace counts as learned.
 const learnedDivisor = 4
@@ -29,11 +29,11 @@
 }
 
 // learned reports whether the pace of this contention is known.
-func (l *lane) learned(d *Door) bool { return l.learnedSpan >= d.quickest/learnedDivisor }
+func (l *lane) learned(d *Controller) bool { return l.learnedSpan >= d.quickest/learnedDivisor }
 
 // expectedWait returns how long a request of the tenant would wait, in Time, by what is ahead of it at its
 // tenant's share. Until the pace is known that is 0, and the request may wait.
-func (l *lane) expectedWait(d *Door, f *flow, weight float64, p priority, client uint64) float64 {
+func (l *lane) expectedWait(d *Controller, f *flow, weight float64, p priority, client uint64) float64 {
 	if !l.learned(d) || l.pace <= 0 {
 		return 0
 	}
@@ -45,7 +45,7 @@
 }
 
 // learn is called at each tick.
-func (l *lane) learn(d *Door) {
+func (l *lane) learn(d *Controller) {
 	span := max(d.now-l.learnedAt, 1)
 	if l.waiting > 0 {
 		l.learnPace(d, span)
@@ -65,7 +65,7 @@
 // learnPace averages how fast virtual time passes: as fast as a tenant of weight 1 is served that always has
 // more to ask for. Tenants that ask for less than their share leave it to the others, and that is in it. The
 // first values count for more.
-func (l *lane) learnPace(d *Door, span Time) {
+func (l *lane) learnPace(d *Controller, span Time) {
 	l.learnedSpan = min(l.learnedSpan+span, averageFactor*d.quickest)
 	pace := (l.virtualTime - l.learnedAtVirtual) / float64(span)
 	l.pace += (pace - l.pace) * float64(span) / float64(l.learnedSpan)
--- a/door/waiting.go
+++ b/admission/waiting.go
@@ -1,12 +1,12 @@
-package door
+package admission
 
 // full reports whether so many more bytes, or one more request, would exceed the bounds.
-func (d *Door) full(bytes int) bool {
-	return d.waiting >= d.bounds.Jobs || d.bytes+bytes > d.bounds.Bytes
+func (d *Controller) full(bytes int) bool {
+	return d.waiting >= d.bounds.MaxRequests || d.bytes+bytes > d.bounds.MaxBytes
 }
 
 // enqueue has a request wait in its tenant's queue.
-func (d *Door) enqueue(request int32, l *lane, client uint64) {
+func (d *Controller) enqueue(request int32, l *lane, client uint64) {
 	t := &d.tickets[request]
 	f := &l.flows[t.place]
 	t.state = waiting
@@ -30,7 +30,7 @@
 }
 
 // dequeue takes a request out of its queue, and is the only function that does.
-func (d *Door) dequeue(request int32) {
+func (d *Controller) dequeue(request int32) {
 	t := &d.tickets[request]
 	l := &d.lanes[t.lane]
 	f := &l.flows[t.place]
@@ -53,7 +53,7 @@
 }
 
 // unlink takes a request out of its tenant's list by arrival.
-func (d *Door) unlink(t *ticket, f *flow) {
+func (d *Controller) unlink(t *ticket, f *flow) {
 	if t.newer >= 0 {
 		d.tickets[t.newer].older = t.older
 	} else {
@@ -70,7 +70,7 @@
 // its weight. It returns false if that tenant is the request's own, or there is not enough room then.
 //
 // Danger: refusing whatever comes last lets one tenant hold all the room that there is.
-func (d *Door) displace(own *lane, place int32, t *ticket) bool {
+func (d *Controller) displace(own *lane, place int32, t *ticket) bool {
 	longest := own
 	for k := range d.lanes {
 		if d.lanes[k].work > longest.work {
@@ -92,7 +92,7 @@
 }
 
 // heaviestPlace returns the place with most work waiting for its weight, or none.
-func (d *Door) heaviestPlace(l *lane) int32 {
+func (d *Controller) heaviestPlace(l *lane) int32 {
 	heaviest, most := none, 0.0
 	for k := range l.flows {
 		f := &l.flows[k]
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -10,15 +10,15 @@
 
 // A request as it comes in, and while it waits for a store.
 
-// Tries tells a client's further try by the time that it has left.
-type Tries struct {
+// RetryDetector tells a client's further try by the time that it has left.
+type RetryDetector struct {
 	usual Time // that most clients' tries have left
 	votes int  // tries in a row, on balance, that had it
 }
 
-// Further takes one try with the time it had left when it came: with less than most have it is a further one.
+// Observe takes one try with the time it had left when it came: with less than most have it is a further one.
 // Danger: the longest time ever seen is no measure.
-func (t *Tries) Further(left, slack Time) bool {
+func (t *RetryDetector) Observe(left, slack Time) bool {
 	if off := left - t.usual; max(off, -off) <= slack {
 		t.votes = min(t.votes+1, 16)
 	} else if t.votes--; t.votes < 0 {
@@ -29,7 +29,7 @@
 	return false
 }
 
-func (b *Balancer) Take(now Time, in Request) error {
+func (b *Balancer) Submit(now Time, in Request) error {
 	b.now = now
 	b.requestRate += float64(b.beat) / float64(second)
 	p, ok := b.classOf[in.Class]
@@ -47,7 +47,7 @@
 	*j = request{id: in.ID, class: p, group: b.groupAt(in.Group), slot: -1, came: now,
 		limit: min(now+in.Left, b.closing)}
 	j.wanted = now - in.Waited + min(pr.ExpectedTime+Time(pr.Stretch*float64(in.Work)), pr.Deadline)
-	if pr.tries.Further(in.Left+in.Waited, b.beat) {
+	if pr.tries.Observe(in.Left+in.Waited, b.beat) {
 		j.wanted -= max(pr.Deadline-in.Left-in.Waited, 0)
 	}
 	if in.Session != "" {
@@ -67,7 +67,7 @@
 			q.bucket, j.rank = q.bucket+1, j.rank*b.overShare
 		}
 	}
-	b.proceed(i, Return{})
+	b.proceed(i, Result{})
 	return nil
 }
 
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -25,9 +25,9 @@
 	b.front.Send(j.id, m.store, j.limit, j.least)
 }
 
-// Due tells whether an attempt that has had to wait may still set out; if not it comes back, placed anew.
+// MaySend tells whether an attempt that has had to wait may still set out; if not it comes back, placed anew.
 // Danger: meanwhile its store may drain, what is known there be too old, or its window have passed.
-func (b *Balancer) Due(now Time, id string) bool {
+func (b *Balancer) MaySend(now Time, id string) bool {
 	b.now = now
 	i, ok := b.requestOf[id]
 	return ok && b.due(&b.requests[i])
@@ -44,7 +44,7 @@
 	return max(m.position, j.least) >= b.need(j)
 }
 
-func (b *Balancer) Returned(now Time, id string, n int, store uint32, r Return) {
+func (b *Balancer) AttemptDone(now Time, id string, n int, store uint32, r Result) {
 	b.now = now
 	i, ok := b.requestOf[id]
 	if !ok || !b.requests[i].out || n != b.requests[i].sent-1 || b.members[b.requests[i].member].store != store {
@@ -59,7 +59,7 @@
 	b.grade(j, r)
 	if !r.Ending.NeverRan() {
 		j.ranAt = cmp.Or(j.ranAt, j.sentAt)
-		if r.Ending != Severed || float64(now-j.sentAt) > b.classes[j.class].typical/8 {
+		if r.Ending != ConnectionLost || float64(now-j.sentAt) > b.classes[j.class].typical/8 {
 			j.further++ // it may have cost the store time; what breaks off far sooner has not
 		}
 	}
@@ -80,25 +80,25 @@
 	}
 }
 
-func (b *Balancer) grade(j *request, r Return) {
+func (b *Balancer) grade(j *request, r Result) {
 	m, p := &b.members[j.member], &b.classes[j.class]
 	if !j.lost {
 		m.inFlight--
 	}
 	m.backAt = b.now
 	if r.Ending == Served || !r.Ending.NeverRan() {
-		b.Written(b.now, j.id, r.Note.Position)
+		b.RecordWrite(b.now, j.id, r.Note.Position)
 	}
 	took := b.now - j.sentAt
 	// Danger: lost answers look like load, and load like lost answers. A later attempt answered there tells.
-	gone := r.Ending == Severed || r.Ending == Undone || r.Ending >= Expired && j.sentAt < m.answered
+	gone := r.Ending == ConnectionLost || r.Ending == Aborted || r.Ending >= TimedOut && j.sentAt < m.answered
 	if j.spilled && r.Ending == Served && took < p.ExpectedTime*3/4 {
 		b.spill = min(b.spill+1.0/16, 1)
-	} else if j.spilled && r.Ending != Behind && !gone {
+	} else if j.spilled && r.Ending != NotEligible && !gone {
 		b.spill = max(b.spill*3/4, 1.0/16)
 	}
 	j.spilled, j.barred, m.scouted = false, false, m.scouted && p.Need != Write
-	if r.Ending <= Crowded || r.Ending == Faulted { // the store itself has answered
+	if r.Ending <= Overloaded || r.Ending == Failed { // the store itself has answered
 		note := r.Note
 		if p.Need == Write {
 			note.Position -= second / 1000 // a commit is told rounded up, a position must not be
@@ -111,16 +111,16 @@
 	switch {
 	case r.Ending == Served:
 		m.refusals, m.shut = 0, 0
-	case r.Ending == Behind && j.least > 0:
+	case r.Ending == NotEligible && j.least > 0:
 		b.wary = b.now + b.cold // Danger: a peer that says too much has reads go there in vain.
-	case r.Ending == Behind && p.Need == Write:
+	case r.Ending == NotEligible && p.Need == Write:
 		// Danger: a draining primary turns writes away as a replica while its other answers still claim the
 		// role, so a claim must be newer each time; and until it takes a write, no read relies on it.
 		m.doubted = b.shun(m)
-	case r.Ending == Crowded, r.Ending == Unreached, r.Ending == Undone, r.Ending == Faulted,
-		r.Ending == Severed:
+	case r.Ending == Overloaded, r.Ending == ConnectFailed, r.Ending == Aborted, r.Ending == Failed,
+		r.Ending == ConnectionLost:
 		m.shut = b.shun(m)
-		if r.Ending == Unreached { // a single lost connection is no restart
+		if r.Ending == ConnectFailed { // a single lost connection is no restart
 			m.suspect, m.unreached = b.mayProbe, j.sentAt // with no probes nothing would ever clear it
 		}
 	}
@@ -139,16 +139,16 @@
 	}
 	if m.inFlight == 0 && b.now-b.scarce < b.cold {
 		// Danger: where stores take few connections, those that fronts keep for later shut the other fronts out.
-		b.front.HangUp(m.store)
+		b.front.CloseIdle(m.store)
 	}
-	if gone || r.Ending == Behind || r.Ending == Unreached || r.Ending == Unsent {
+	if gone || r.Ending == NotEligible || r.Ending == ConnectFailed || r.Ending == NotSent {
 		return
 	}
 	m.strain += (float64(took)/float64(p.ExpectedTime) - m.strain) / (1 + min(m.limit, 7)) // few tell more each
 	// A mean past about a fifth has a tail that is late; a single answer may take half.
 	most := max(0.22, 0.5/(1+m.limit))
 	switch {
-	case m.strain > most || r.Ending == Crowded:
+	case m.strain > most || r.Ending == Overloaded:
 		if b.now-m.eased > p.ExpectedTime/2 {
 			m.limit = max(b.least, min(m.limit, float64(m.inFlight+1))*min(0.8, max(0.5, most/m.strain)))
 			m.eased = b.now
@@ -158,9 +158,9 @@
 	}
 }
 
-// Written tells that a write has been answered, in part at least, or may have run. Its session must see it.
+// RecordWrite tells that a write has been answered, in part at least, or may have run. Its session must see it.
 // Danger: an answer may stop short, be lost or find its client gone, and the write is there all the same.
-func (b *Balancer) Written(now Time, id string, position Time) {
+func (b *Balancer) RecordWrite(now Time, id string, position Time) {
 	b.now = now
 	if i, ok := b.requestOf[id]; ok && b.requests[i].slot >= 0 && b.classes[b.requests[i].class].Need == Write {
 		f := &b.fences[b.requests[i].slot]
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"slices"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // New starts the module with a front's settings. It returns an error if they are out of range.
 func New(now Time, c Settings, f Front) (*Balancer, error) {
-	b := &Balancer{front: f, now: now, mwc: mwc.New(c.Seed), classOf: map[string]int32{},
+	b := &Balancer{front: f, now: now, mwc: random.New(c.Seed), classOf: map[string]int32{},
 		tenants: map[string]*tenant{}, memberOf: map[uint32]int32{}, groupOf: map[uint64]int32{},
 		requestOf: map[string]int32{}, fences: make([]Time, 1<<fenceBits), writes: make([]int32, 1<<fenceBits),
 		parts: map[string]float64{}, crowded: -never, scarce: -never, spill: 1, closing: never}
@@ -36,7 +36,7 @@
 	if b.watchAt = now + b.askPace; !c.ListPushed { // all may be starting together, so it is spread
 		b.watchAt = now + b.chance(b.askWithin/8)
 	}
-	f.Wake(b.beat)
+	f.WakeAfter(b.beat)
 	return b, nil
 }
 
@@ -51,11 +51,11 @@
 			return fmt.Errorf("settings: profile %q: bound, window or times out of range", p.Name)
 		}
 	}
-	b.now, b.zone, b.overShare, b.checks, b.carried = now, c.Zone, c.OverShare, c.Checks, c.FencesCarried
-	b.askWithin, b.onlyDrains, b.priced = c.AskWithin, c.OnlyDraining, c.CrossPrice > 0
-	b.startShare, b.cold, b.coldPart, b.span = c.StartShare, c.Cold, c.FallMultiple, c.FallSpan
-	b.mostAttempts, b.mayProbe, b.mayCancel = max(c.MostAttempts, 1), c.MayProbe, c.MayCancel
-	b.mostPause, b.askPace = c.MostPause, cmp.Or(c.AgentGrace/4, never)
+	b.now, b.zone, b.overShare, b.checks, b.carried = now, c.Zone, c.OverQuotaCredit, c.StoresCheckReads, c.FencesCarried
+	b.askWithin, b.onlyDrains, b.priced = c.ListInterval, c.OnlyDrainingBinds, c.CrossZonePrice > 0
+	b.startShare, b.cold, b.coldPart, b.span = c.StartCapacity, c.WarmupTime, c.ColdOverloadFactor, c.ColdOverloadSpan
+	b.mostAttempts, b.mayProbe, b.mayCancel = max(c.MaxAttempts, 1), c.MayProbe, c.MayCancel
+	b.mostPause, b.askPace = c.MaxRetryAfter, cmp.Or(c.AgentGrace/4, never)
 	b.least = 3 / float64(max(c.Fronts, 1))
 	b.setClasses(c.Classes)
 	b.setTenants(c)
@@ -63,7 +63,7 @@
 		b.members[i].far = b.priced && b.members[i].zone != b.zone
 	}
 	// Answers must come within the slack after the limit, so the module looks around twice in it.
-	b.beat = max(c.Round, min(2*c.Round, c.AnswerSlack/2), 1)
+	b.beat = max(c.EventInterval, min(2*c.EventInterval, c.AnswerSlack/2), 1)
 	// Eight short attempts in a span, over all fronts, tip no store.
 	b.trickle = 2 * float64(b.quickest) / float64(max(b.span, 1)) / float64(max(c.Fronts, 1))
 	b.probeEvery = max(min(b.tightest, b.quickest)/3, b.beat)
@@ -128,15 +128,15 @@
 
 func (b *Balancer) odds(part float64) bool { return float64(b.chance(1<<20)) < part*(1<<20) }
 
-func (b *Balancer) Beat(now Time) {
+func (b *Balancer) Tick(now Time) {
 	b.now = now
-	b.front.Wake(b.beat)
+	b.front.WakeAfter(b.beat)
 	b.requestRate -= b.requestRate * float64(b.beat) / float64(second)
 	every := float64(len(b.members)) * float64(b.beat) / max(b.requestRate*b.probesPerRequest, 1e-6)
 	b.probeNow = max(Time(every), b.probeEvery)
 	if now >= b.watchAt {
 		b.watchAt = now + min(b.askWithin/2, b.askPace)
-		b.front.Watch()
+		b.front.WatchMembers()
 	}
 	warm := 0.0
 	for gi := range b.groups {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -21,10 +21,10 @@
 
 // hear is a probe's report from a store.
 func (w *world) hear(store uint32, position Time, role Role) {
-	r := Return{Load: Report{Position: position, Role: role}}
+	r := Result{Load: Report{Position: position, Role: role}}
 	w.believe(w.stores[store], r.Load, false)
 	w.note("hear %d %+v", store, r)
-	w.b.Probed(w.now, store, r)
+	w.b.ProbeDone(w.now, store, r)
 }
 
 func (w *world) at(t *testing.T, id string) uint32 {
@@ -100,7 +100,7 @@
 	write.Session = "s"
 	w.take(write)
 	w.pass(100)
-	w.back("w", 0, Return{Note: Report{Position: w.now - 20, Role: Primary}})
+	w.back("w", 0, Result{Note: Report{Position: w.now - 20, Role: Primary}})
 	read := ask("r", "session")
 	read.Session = "s"
 	w.take(read)
@@ -115,7 +115,7 @@
 	w.take(write)
 	w.pass(100)
 	w.hear(2, w.now-10, Replica)
-	w.back("w2", 0, Return{})
+	w.back("w2", 0, Result{})
 	if w.take(read); !w.held("r2") {
 		t.Error("a write whose position was not told is taken for none")
 	}
@@ -132,11 +132,11 @@
 		w.take(ask(id, "any"))
 		if !w.held(id) && w.at(t, id) == 2 {
 			drawn++
-			w.back(id, 0, Return{Ending: Crowded})
+			w.back(id, 0, Result{Ending: Overloaded})
 		}
 		if w.requests[id].final == 0 && w.at(t, id) == 3 {
 			w.pass(20)
-			w.back(id, len(w.requests[id].attempts)-1, Return{Note: Report{Position: w.now - 50, Role: Replica}})
+			w.back(id, len(w.requests[id].attempts)-1, Result{Note: Report{Position: w.now - 50, Role: Replica}})
 		}
 	}
 	if drawn == 0 || drawn > 10 {
@@ -149,9 +149,9 @@
 	w := three(t, testSettings())
 	w.take(ask("w1", "once"))
 	w.take(ask("r1", "fresh"))
-	w.back("w1", 0, Return{Ending: Behind, Note: Report{Position: w.now, Role: Replica}})
+	w.back("w1", 0, Result{Ending: NotEligible, Note: Report{Position: w.now, Role: Replica}})
 	w.pass(100)
-	w.back("r1", 0, Return{Note: Report{Position: w.now, Role: Primary}})
+	w.back("r1", 0, Result{Note: Report{Position: w.now, Role: Primary}})
 	w.take(ask("r2", "fresh"))
 	if !w.held("r2") {
 		t.Fatal("a fresh read relied on a denied role")
@@ -163,7 +163,7 @@
 			if !w.held("r2") {
 				t.Fatal("a fresh read went along with the write that was to prove the role")
 			}
-			w.back("w1", 1, Return{Note: Report{Position: w.now, Role: Primary}})
+			w.back("w1", 1, Result{Note: Report{Position: w.now, Role: Primary}})
 			break
 		}
 	}
@@ -179,7 +179,7 @@
 	in.Left = 30000
 	w.take(in)
 	w.pass(100)
-	w.back("m", 0, Return{Ending: Faulted, Note: Report{Position: w.now, Role: Primary}})
+	w.back("m", 0, Result{Ending: Failed, Note: Report{Position: w.now, Role: Primary}})
 	w.list(ListChanges, Member{Store: 1, Group: 9, Zone: "a", Condition: Draining, Size: 1})
 	w.pass(testSettings().Classes[5].Window)
 	w.hear(2, w.now, Primary)
@@ -194,11 +194,11 @@
 	w.take(ask("a", "marked"))
 	w.pass(10)
 	w.take(ask("b", "marked"))
-	w.back("b", 0, Return{Note: Report{Position: w.now, Role: Primary}})
+	w.back("b", 0, Result{Note: Report{Position: w.now, Role: Primary}})
 	w.b.members[0].strain = 0.21
 	limit := w.b.members[0].limit
 	w.pass(second / 2)
-	if w.back("a", 0, Return{Ending: Expired}); w.b.members[0].limit != limit {
+	if w.back("a", 0, Result{Ending: TimedOut}); w.b.members[0].limit != limit {
 		t.Error("a trip that a later one overtook counted as load")
 	}
 	for n := range 40 {
@@ -221,7 +221,7 @@
 	for _, behind := range []Time{0, 100} {
 		id := fmt.Sprint("w", behind)
 		w.take(ask(id, "once"))
-		w.back(id, 0, Return{Ending: Unreached})
+		w.back(id, 0, Result{Ending: ConnectFailed})
 		w.hear(1, w.now-behind, Primary)
 		if alive := behind == 0; alive != (m.started == 0) || alive && w.b.scarce != w.now {
 			t.Errorf("log %d behind after a refused connection: started %d, scarce %d", behind, m.started, w.b.scarce)
@@ -246,14 +246,14 @@
 			id := fmt.Sprint("w", n)
 			m.shut, m.suspect = 0, false
 			w.take(ask(id, "once"))
-			w.back(id, 0, Return{Ending: Unreached})
-			w.b.Left(w.now, id)
+			w.back(id, 0, Result{Ending: ConnectFailed})
+			w.b.ClientGone(w.now, id)
 		}
 		w.pass(100)
 		if !c.kept {
 			up = w.now
 		}
-		w.b.Probed(w.now, 1, Return{Load: Report{Position: w.now - 2000, Role: Primary}, Since: up})
+		w.b.ProbeDone(w.now, 1, Result{Load: Report{Position: w.now - 2000, Role: Primary}, Since: up})
 		if anew, scarce := m.started > 0, w.b.scarce > 0; anew != c.anew || scarce != c.scarce {
 			t.Errorf("%+v: taken for a new start %v, for one with few connections %v", c, anew, scarce)
 		}
@@ -274,7 +274,7 @@
 		p := w.take(ask("any", "any"))
 		for p.final == 0 {
 			w.pass(c.took)
-			w.back("any", len(p.attempts)-1, Return{Ending: Severed})
+			w.back("any", len(p.attempts)-1, Result{Ending: ConnectionLost})
 			for p.final == 0 && !p.attempts[len(p.attempts)-1].out {
 				for i := range w.b.members {
 					w.b.members[i].shut, w.b.members[i].position = 0, w.now
@@ -298,7 +298,7 @@
 		if w.take(ask(id, "bounded")); !w.held(id) {
 			spilled++
 			w.pass(4000)
-			w.back(id, 0, Return{Note: Report{Position: w.now, Role: Primary}})
+			w.back(id, 0, Result{Note: Report{Position: w.now, Role: Primary}})
 		}
 	}
 	if spilled < 5 || spilled > 20 {
@@ -310,7 +310,7 @@
 func TestManyFrontsBeforeAColdStore(t *testing.T) {
 	c := testSettings()
 	c.Fronts = 200
-	sent, warm := 0, Time(c.FallSpan/2)
+	sent, warm := 0, Time(c.ColdOverloadSpan/2)
 	for k := range c.Fronts {
 		c.Seed = uint64(k)*7919 + 1
 		w := newWorld(t, c)
@@ -363,7 +363,7 @@
 		w.pass(second / 10)
 		for _, id := range w.order {
 			if p := w.requests[id]; len(p.attempts) > 0 && p.attempts[0].out {
-				w.back(id, 0, Return{Note: Report{Position: w.now, Role: Primary}})
+				w.back(id, 0, Result{Note: Report{Position: w.now, Role: Primary}})
 			}
 		}
 		w.hear(1, w.now, Primary)
@@ -391,10 +391,10 @@
 // All stores were listed as gone while they served; a drain that was told binds all the same.
 func TestListThatCallsAllGone(t *testing.T) {
 	c := testSettings()
-	c.OnlyDraining = true
+	c.OnlyDrainingBinds = true
 	w := three(t, c)
 	w.list(ListChanges, Member{Store: 3, Group: 9, Condition: Draining, Size: 1})
-	w.list(ListWhole, Member{Store: 1, Group: 9, Size: 1}, Member{Store: 2, Group: 9, Size: 1}, Member{Store: 3, Group: 9})
+	w.list(ListFull, Member{Store: 1, Group: 9, Size: 1}, Member{Store: 2, Group: 9, Size: 1}, Member{Store: 3, Group: 9})
 	w.take(ask("r0", "any"))
 	if w.at(t, "r0") == 3 || w.b.members[0].open == w.b.members[2].open {
 		t.Error("stores called gone ought to serve, the drained one ought not")
@@ -405,7 +405,7 @@
 func TestStoresReplacedForGood(t *testing.T) {
 	for _, onlyDrains := range []bool{false, true} {
 		c := testSettings()
-		c.OnlyDraining = onlyDrains
+		c.OnlyDrainingBinds = onlyDrains
 		w := newWorld(t, c)
 		last := Member{}
 		for n := range uint32(60) {
@@ -415,7 +415,7 @@
 				w.list(ListChanges, last)
 			}
 			last = m
-			w.pass(c.Cold / 2)
+			w.pass(c.WarmupTime / 2)
 		}
 		if len(w.b.members) > 6 || len(w.b.memberOf) > 6 || len(w.b.groups[0].members) > 6 {
 			t.Errorf("%d members, %d known, %d in the group", len(w.b.members), len(w.b.memberOf), len(w.b.groups[0].members))
@@ -433,7 +433,7 @@
 	if n := len(w.probes); n > 3 {
 		t.Errorf("%d probes in 20 s without a job", n)
 	}
-	w.b.Probed(w.now, 2, Return{Load: Report{w.now + second, Replica}})
+	w.b.ProbeDone(w.now, 2, Result{Load: Report{w.now + second, Replica}})
 	if w.b.members[1].position > w.now {
 		t.Error("a position from a time to come was believed")
 	}
@@ -446,7 +446,7 @@
 	c.ProbePrice = 0.08
 	w := three(t, c)
 	w.take(ask("w", "once"))
-	w.back("w", 0, Return{Ending: Behind, Note: Report{Position: w.now, Role: Replica}})
+	w.back("w", 0, Result{Ending: NotEligible, Note: Report{Position: w.now, Role: Replica}})
 	w.probes = nil
 	for range 30 {
 		w.pass(1000)
@@ -463,14 +463,14 @@
 func TestProbeThatNeverLeftBlamesNoStore(t *testing.T) {
 	w := three(t, testSettings())
 	for _, store := range w.ids {
-		w.b.Probed(w.now, store, Return{Ending: Unsent})
+		w.b.ProbeDone(w.now, store, Result{Ending: NotSent})
 	}
 	w.take(ask("a", "any"))
 	if w.held("a") {
 		t.Error("a front that could not ask takes its stores for silent")
 	}
 	for _, store := range w.ids {
-		w.b.Probed(w.now, store, Return{Ending: Expired})
+		w.b.ProbeDone(w.now, store, Result{Ending: TimedOut})
 	}
 	w.take(ask("b", "any"))
 	if !w.held("b") {
@@ -482,22 +482,22 @@
 	c := testSettings()
 	c.ListPushed = false
 	w := three(t, c)
-	w.pass(c.AskWithin / 8)
-	w.b.List(w.now, ListFailed, nil)
-	w.pass(c.AskWithin / 4)
+	w.pass(c.ListInterval / 8)
+	w.b.UpdateMembers(w.now, ListFailed, nil)
+	w.pass(c.ListInterval / 4)
 	if w.watches != 2 {
 		t.Errorf("%d calls after one failed", w.watches)
 	}
-	w.list(ListWhole, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1})
+	w.list(ListFull, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1})
 	before := w.watches
-	w.b.List(w.now, ListFailed, nil)
-	if w.pass(c.AskWithin / 100); w.watches != before+1 { // a tenth of a second here
+	w.b.UpdateMembers(w.now, ListFailed, nil)
+	if w.pass(c.ListInterval / 100); w.watches != before+1 { // a tenth of a second here
 		t.Error("the first call after a watch broke does not follow at once")
 	}
 	for range 3 {
-		w.b.List(w.now, ListFailed, nil)
+		w.b.UpdateMembers(w.now, ListFailed, nil)
 	}
-	if w.pass(c.AskWithin / 32); w.watches != before+1 {
+	if w.pass(c.ListInterval / 32); w.watches != before+1 {
 		t.Error("calls that fail are not spaced")
 	}
 }
@@ -516,12 +516,12 @@
 	w.b.front = f
 	in := ask("j", "session")
 	in.Session = strings.Repeat("s", 64)
-	note := Return{Done: true, Note: Report{Position: w.now, Role: Replica}}
+	note := Result{Done: true, Note: Report{Position: w.now, Role: Replica}}
 	if n := testing.AllocsPerRun(1000, func() {
-		if err := w.b.Take(w.now, in); err != nil {
+		if err := w.b.Submit(w.now, in); err != nil {
 			t.Fatal(err)
 		}
-		w.b.Returned(w.now, "j", 0, f.store, note)
+		w.b.AttemptDone(w.now, "j", 0, f.store, note)
 	}); n != 0 {
 		t.Errorf("a job in, a trip out and an answer in allocate %v times", n)
 	}
@@ -539,7 +539,7 @@
 func drive(t testing.TB, seed uint64, shape uint8) []string {
 	r := rand.New(rand.NewPCG(seed, uint64(shape)))
 	c := testSettings()
-	c.FencesCarried, c.ListPushed, c.Checks, c.OnlyDraining = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
+	c.FencesCarried, c.ListPushed, c.StoresCheckReads, c.OnlyDrainingBinds = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
 	c.Fronts, c.Seed = 1+int(shape&16)*6, seed
 	w := newWorld(t, c)
 	conditions := []Condition{Ready, Ready, Ready, Ready, Ready, Ready, Ready, Draining, Gone}
@@ -553,7 +553,7 @@
 		}
 		return m
 	}
-	whole := func(news ListNews) {
+	whole := func(news ListKind) {
 		var all []Member
 		for i := range 8 {
 			if r.IntN(8) > 0 {
@@ -579,37 +579,37 @@
 			if id, i, ok := w.out(r); ok {
 				ending := Served
 				if r.IntN(3) == 0 {
-					ending = Ending(r.IntN(int(Recalled) + 1))
+					ending = Ending(r.IntN(int(Cancelled) + 1))
 				}
-				back := Return{Ending: ending}
-				if ending <= Crowded || ending == Faulted { // only a store's own answer bears a note
+				back := Result{Ending: ending}
+				if ending <= Overloaded || ending == Failed { // only a store's own answer bears a note
 					back.Note = report()
 				}
 				w.back(id, i, back)
 				if r.IntN(9) == 0 { // a repeated result changes nothing
-					w.b.Returned(w.now, id, i, w.requests[id].attempts[i].store, Return{Ending: Faulted})
+					w.b.AttemptDone(w.now, id, i, w.requests[id].attempts[i].store, Result{Ending: Failed})
 				}
 			}
 		case k < 15 && len(w.ids) > 0:
 			w.hear(w.ids[r.IntN(len(w.ids))], w.now-Time(r.IntN(4000)), Role(r.IntN(3)))
 		case k == 15 && r.IntN(4) == 0:
 			base += r.IntN(4) / 3 * 2 // some are replaced for good
-			whole(ListWhole)
+			whole(ListFull)
 		case k == 15:
 			w.list(ListChanges, member(r.IntN(9)))
 		case k == 16 && len(w.order) > 0:
 			if p := w.requests[w.order[r.IntN(len(w.order))]]; p.final == 0 {
 				p.final = 1
-				w.b.Left(w.now, p.in.ID)
+				w.b.ClientGone(w.now, p.in.ID)
 			}
 		case k == 17 && shape&128 != 0 && r.IntN(3) == 0:
 			w.configure(otherSettings(w.settings, r))
 		case k == 17 && r.IntN(10) == 0:
 			w.pass(Time(r.IntN(60000)))
 		case k == 18 && len(w.ids) > 0 && shape&32 == 0: // what peers say, true or not
-			w.b.Heard(w.now, w.ids[r.IntN(len(w.ids))], w.now-Time(r.IntN(2000)))
+			w.b.PeerPosition(w.now, w.ids[r.IntN(len(w.ids))], w.now-Time(r.IntN(2000)))
 		case k == 18:
-			w.b.List(w.now, ListFailed, nil)
+			w.b.UpdateMembers(w.now, ListFailed, nil)
 		default:
 			w.pass(Time(r.IntN(400)))
 		}
@@ -647,16 +647,16 @@
 	if w.take(ask("a", "bounded")); w.at(t, "a") != 1 {
 		t.Errorf("a read went to store %d, which nobody vouches for", w.at(t, "a"))
 	}
-	w.back("a", 0, Return{Ending: Served, Note: Report{w.now, Primary}})
-	w.b.Heard(w.now, 2, w.now)
+	w.back("a", 0, Result{Ending: Served, Note: Report{w.now, Primary}})
+	w.b.PeerPosition(w.now, 2, w.now)
 	if w.take(ask("b", "bounded")); w.at(t, "b") != 2 || last("b").least != w.now {
 		t.Errorf("a read went to store %d, and its answer has to show %d", w.at(t, "b"), last("b").least)
 	}
-	w.back("b", 0, Return{Ending: Served, Note: Report{w.now - 30000, Replica}})
+	w.back("b", 0, Result{Ending: Served, Note: Report{w.now - 30000, Replica}})
 	if w.at(t, "b") != 1 || w.requests["b"].final != 0 {
 		t.Errorf("after a stale answer it went to store %d", w.at(t, "b"))
 	}
-	w.b.Heard(w.now, 2, w.now)
+	w.b.PeerPosition(w.now, 2, w.now)
 	if w.take(ask("c", "bounded")); w.at(t, "c") != 1 {
 		t.Error("one that lied is believed")
 	}
@@ -683,19 +683,19 @@
 	w.list(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
 	old := []Member{{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1},
 		{Store: 2, Group: 9, Zone: "a", Condition: Ready, Size: 1}, {Store: 4, Group: 9, Zone: "a", Condition: Ready, Size: 1}}
-	w.b.List(w.now, ListOlder, append([]Member(nil), old...))
+	w.b.UpdateMembers(w.now, ListStale, append([]Member(nil), old...))
 	for _, store := range []uint32{1, 2, 3, 4} {
 		if open := w.b.members[w.b.memberOf[store]].open; open != (store == 1 || store == 4) {
 			t.Errorf("store %d: open %v", store, open)
 		}
 	}
 	old[1].Started = w.now // it drained, ended and has started anew
-	w.b.List(w.now, ListOlder, append([]Member(nil), old...))
+	w.b.UpdateMembers(w.now, ListStale, append([]Member(nil), old...))
 	if !w.b.members[w.b.memberOf[2]].open {
 		t.Error("a store that has started since stays shut")
 	}
 	w.list(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
-	w.list(ListWhole, old...)
+	w.list(ListFull, old...)
 	if !w.b.members[w.b.memberOf[2]].open {
 		t.Error("a list that is not older does not open a store")
 	}
@@ -706,11 +706,11 @@
 func TestDiscoveryIsAskedInTime(t *testing.T) {
 	for _, within := range []Time{20000, 100000, 3000000} {
 		c := testSettings()
-		c.AskWithin = within
+		c.ListInterval = within
 		w := three(t, c)
 		for n := range 40 {
 			asked, at := w.watches, w.now
-			for w.b.List(w.now, ListFailed, nil); w.watches == asked && w.now < at+toldBy; {
+			for w.b.UpdateMembers(w.now, ListFailed, nil); w.watches == asked && w.now < at+toldBy; {
 				w.pass(10)
 			}
 			if gap := w.now - at; gap > toldBy/2+200 || n > 9 && gap < min(within/16, toldBy/8) {
@@ -725,12 +725,12 @@
 func TestAgentIsAskedWithinTheGrace(t *testing.T) {
 	for _, grace := range []Time{2500, 5000, 20000} {
 		c := testSettings()
-		c.AskWithin, c.AgentGrace, c.ListPushed = 100000, grace, true
+		c.ListInterval, c.AgentGrace, c.ListPushed = 100000, grace, true
 		w := three(t, c)
 		asked, last := w.watches, w.now
 		for n := range 3000 {
 			if n == 1000 || n == 1010 || n == 1020 {
-				w.b.List(w.now, ListFailed, nil)
+				w.b.UpdateMembers(w.now, ListFailed, nil)
 			}
 			if w.pass(10); w.watches > asked {
 				asked, last = w.watches, w.now
@@ -739,7 +739,7 @@
 				t.Fatalf("grace %d: no call for %d", grace, w.now-last)
 			}
 		}
-		w.b.List(w.now, ListWhole, nil)
+		w.b.UpdateMembers(w.now, ListFull, nil)
 		if w.pass(100000); w.watches != asked {
 			t.Errorf("grace %d: %d calls while a watch stands", grace, w.watches-asked)
 		}
@@ -756,7 +756,7 @@
 		w := three(t, testSettings())
 		w.take(ask("m", "marked"))
 		w.pass(c.after)
-		w.back("m", 0, Return{Ending: Severed})
+		w.back("m", 0, Result{Ending: ConnectionLost})
 		w.pass(210) // the store is shunned for a moment
 		if p := w.requests["m"]; len(p.attempts) > 1 != c.again || !c.again && p.final == 0 {
 			t.Errorf("after %d: %d trips, final %d", c.after, len(p.attempts), p.final)
@@ -772,7 +772,7 @@
 	first := w.at(t, "r")
 	w.pass(2960)
 	w.hear(1, w.now, Primary)
-	w.back("r", 0, Return{Ending: Unsent})
+	w.back("r", 0, Result{Ending: NotSent})
 	if p := w.requests["r"]; p.final != 0 || first == 1 || !w.held("r") && len(p.attempts) > 1 && w.at(t, "r") == first {
 		t.Errorf("first to %d, then final %d, trips %d", first, p.final, len(p.attempts))
 	}
@@ -788,15 +788,15 @@
 	write.Session, read.Session = "s", "s"
 	w.take(write)
 	w.take(read)
-	if at := w.at(t, "r"); at == 1 || !w.b.Due(w.now, "r") {
+	if at := w.at(t, "r"); at == 1 || !w.b.MaySend(w.now, "r") {
 		t.Fatalf("it went to %d", at)
 	}
 	w.pass(100)
-	w.back("w", 0, Return{Note: Report{Position: w.now, Role: Primary}})
-	if w.b.Due(w.now, "r") {
+	w.back("w", 0, Result{Note: Report{Position: w.now, Role: Primary}})
+	if w.b.MaySend(w.now, "r") {
 		t.Error("a read may set out to a replica that is not known to have its session's write")
 	}
-	w.back("r", 0, Return{Ending: Unsent})
+	w.back("r", 0, Result{Ending: NotSent})
 	w.hear(2, w.now+1, Replica)
 	if w.pass(300); w.at(t, "r") == 3 {
 		t.Errorf("it went to %d, where nobody knows of the write", w.at(t, "r"))
@@ -815,11 +815,11 @@
 			w.take(write)
 			w.pass(100)
 			if left {
-				w.b.Left(w.now, "w")
+				w.b.ClientGone(w.now, "w")
 			}
-			if w.b.Written(w.now, "w", position); !left && position == 0 { // or all of it is lost
+			if w.b.RecordWrite(w.now, "w", position); !left && position == 0 { // or all of it is lost
 				w.b.fences[w.b.requests[w.b.requestOf["w"]].slot] = 0
-				w.back("w", 0, Return{Ending: Severed})
+				w.back("w", 0, Result{Ending: ConnectionLost})
 			}
 			w.hear(2, 1000089, Replica)
 			w.take(read)
@@ -857,7 +857,7 @@
 	if at := read("k", "s"); at != 2 {
 		t.Errorf("a read went to %d, where 2 keeps up", at)
 	}
-	w.back("w", 0, Return{Ending: Unreached})
+	w.back("w", 0, Result{Ending: ConnectFailed})
 	if n := w.b.writes[w.b.requests[w.b.requestOf["r"]].slot]; n != 0 {
 		t.Errorf("%d writes are out", n)
 	}
--- a/balance/configure_test.go
+++ b/balance/configure_test.go
@@ -40,7 +40,7 @@
 	}
 	r.Shuffle(len(c.Classes), func(i, k int) { c.Classes[i], c.Classes[k] = c.Classes[k], c.Classes[i] })
 	c.Tenants = []Tenant{{Name: "c", Quota: float64(r.IntN(900))}, {Name: "d", Quota: 10}}[:1+r.IntN(2)]
-	c.MostAttempts = 2 + r.IntN(6)
+	c.MaxAttempts = 2 + r.IntN(6)
 	c.Fronts = 1 + r.IntN(800)
 	return c
 }
@@ -64,7 +64,7 @@
 	w.configure(changed(w.settings, "once", func(class *Class) { class.Repeat = Idempotent }))
 	w.take(ask("behind", "once"))
 	for _, id := range []string{"before", "behind"} {
-		w.back(id, 0, Return{Ending: Severed})
+		w.back(id, 0, Result{Ending: ConnectionLost})
 	}
 	w.pass(2 * second)
 	if before, behind := len(w.requests["before"].attempts), len(w.requests["behind"].attempts); before != 1 || behind < 2 {
@@ -88,7 +88,7 @@
 	without.Classes = slices.DeleteFunc(slices.Clone(c.Classes), func(class Class) bool { return class.Name == "once" })
 	w.configure(without)
 	w.pass(100)
-	w.back("w", 0, Return{Ending: Served, Note: Report{Position: w.now, Role: Primary}})
+	w.back("w", 0, Result{Ending: Served, Note: Report{Position: w.now, Role: Primary}})
 	read := ask("r", "session")
 	read.Session = "s"
 	w.take(read)
@@ -96,7 +96,7 @@
 	if store := w.at(t, "r"); store != 1 {
 		t.Errorf("a read behind the write went to store %d, which has not shown it", store)
 	}
-	if err := w.b.Take(w.now, ask("late", "once")); err == nil {
+	if err := w.b.Submit(w.now, ask("late", "once")); err == nil {
 		t.Error("a class that was taken out is taken")
 	}
 }
@@ -110,7 +110,7 @@
 		changed(w.settings, "marked", func(class *Class) { class.Window = -1 }),
 		changed(w.settings, "any", func(class *Class) { class.ExpectedTime = 0 }),
 	} {
-		faulty.Cold, faulty.MostAttempts = 5, 1
+		faulty.WarmupTime, faulty.MaxAttempts = 5, 1
 		if err := w.b.Configure(w.now+50, faulty); err == nil {
 			t.Error("faulty settings are taken")
 		}
@@ -146,7 +146,7 @@
 		in.Tenant = "c"
 		w.take(in)
 		w.pass(100)
-		w.back(id, 0, Return{Ending: Served, Note: Report{Position: w.now, Role: Replica}})
+		w.back(id, 0, Result{Ending: Served, Note: Report{Position: w.now, Role: Replica}})
 	}
 	typical, bucket := w.b.classes[w.b.classOf["any"]].typical, w.b.tenants["c"].bucket
 	w.configure(changed(w.settings, "any", func(class *Class) { class.Credit = 9 }))
--- a/balance/front.go
+++ b/balance/front.go
@@ -5,30 +5,30 @@
 
 // Settings is what a front is handed once, when it starts.
 type Settings struct {
-	Seed          uint64
-	Fronts        int // how many there are
-	Zone          string
-	Round         Time // events come no more often than this
-	Classes       []Class
-	Tenants       []Tenant
-	OverShare     float64 // credit of a request past its tenant's share, as a part of the usual
-	Checks        bool    // a member turns away a read that it is too far behind for
-	FencesCarried bool    // reads carry the age of their session's last write; else the front remembers
-	ListPushed    bool    // the list's changes come by themselves; else they must be asked for
-	AskWithin     Time    // a front without a watch must ask this often
-	AgentGrace    Time    // a drain binds so long after the front's own agent had it, told or not; 0: no such agent
-	OnlyDraining  bool    // being gone from the list does not bind, only a drain does
-	AnswerSlack   Time
-	StartShare    float64 // part of its capacity with which a store starts, at least
-	Cold          Time    // by then it is warm
-	FallMultiple  float64 // a cold store sent more than this multiple of its capacity
-	FallSpan      Time    // for this long falls over
-	MostAttempts  int
-	MayProbe      bool
-	MayCancel     bool
-	MostPause     Time // most that a refusal may name as a time to come back; 0: it may name none
-	CrossPrice    float64
-	ProbePrice    float64
+	Seed               uint64
+	Fronts             int // how many there are
+	Zone               string
+	EventInterval      Time // events come no more often than this
+	Classes            []Class
+	Tenants            []Tenant
+	OverQuotaCredit    float64 // credit of a request past its tenant's share, as a part of the usual
+	StoresCheckReads   bool    // a member turns away a read that it is too far behind for
+	FencesCarried      bool    // reads carry the age of their session's last write; else the front remembers
+	ListPushed         bool    // the list's changes come by themselves; else they must be asked for
+	ListInterval       Time    // a front without a watch must ask this often
+	AgentGrace         Time    // a drain binds so long after the front's own agent had it, told or not; 0: no such agent
+	OnlyDrainingBinds  bool    // being gone from the list does not bind, only a drain does
+	AnswerSlack        Time
+	StartCapacity      float64 // part of its capacity with which a store starts, at least
+	WarmupTime         Time    // by then it is warm
+	ColdOverloadFactor float64 // a cold store sent more than this multiple of its capacity
+	ColdOverloadSpan   Time    // for this long falls over
+	MaxAttempts        int
+	MayProbe           bool
+	MayCancel          bool
+	MaxRetryAfter      Time // most that a refusal may name as a time to come back; 0: it may name none
+	CrossZonePrice     float64
+	ProbePrice         float64
 }
 
 // Need says how recent a class's data must be.
@@ -92,15 +92,15 @@
 	Started   Time // 0: long ago
 }
 
-// ListNews says what a list holds.
-type ListNews uint8
+// ListKind says what a list holds.
+type ListKind uint8
 
 const (
-	ListFailed ListNews = iota // a call for the list failed, or the watch broke
-	ListWhole
+	ListFailed ListKind = iota // a call for the list failed, or the watch broke
+	ListFull
 	ListChanges
 	ListCached // what the front held before it was restarted
-	ListOlder  // whole, but older than one before
+	ListStale  // whole, but older than one before
 )
 
 // Request is one request as it comes in.
@@ -136,23 +136,23 @@
 type Ending uint8
 
 const (
-	Served    Ending = iota
-	Behind           // turned away unprocessed: not primary, or too far behind
-	Crowded          // turned away unseen
-	Unreached        // no connection
-	Unsent           // never left the front
-	Undone           // broke off, and provably had no effect
-	Faulted          // from here on it may have run
-	Expired
-	Severed
-	Recalled
+	Served        Ending = iota
+	NotEligible          // turned away unprocessed: not primary, or too far behind
+	Overloaded           // turned away unseen
+	ConnectFailed        // no connection
+	NotSent              // never left the front
+	Aborted              // broke off, and provably had no effect
+	Failed               // from here on it may have run
+	TimedOut
+	ConnectionLost
+	Cancelled
 )
 
 // NeverRan tells whether the ending proves that nothing was done.
-func (e Ending) NeverRan() bool { return e >= Behind && e <= Undone }
+func (e Ending) NeverRan() bool { return e >= NotEligible && e <= Aborted }
 
-// Return is the result of one attempt or probe.
-type Return struct {
+// Result is the result of one attempt or probe.
+type Result struct {
 	Ending Ending
 	Note   Report // of the very moment of the answer
 	Load   Report // as old as the member's own report
@@ -171,9 +171,9 @@
 	// Probe asks a member for its position, whose answer may be a peer's word (Heard) if that shows need: any
 	// member's of its group, or this one's. 0: the member itself has to answer.
 	Probe(store uint32, need Time, any bool)
-	HangUp(store uint32) // closes idle connections
-	Forget(store uint32) // the module no longer knows it; its number may be another's from now on
-	Wake(after Time)
-	Watch()
+	CloseIdle(store uint32) // closes idle connections
+	Forget(store uint32)    // the module no longer knows it; its number may be another's from now on
+	WakeAfter(after Time)
+	WatchMembers()
 	Log(text string)
 }
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -58,7 +58,7 @@
 }
 
 func testSettings() Settings {
-	return Settings{Seed: 7, Fronts: 1, Zone: "a", Round: 50, FencesCarried: true, ListPushed: true, AskWithin: 100000, AnswerSlack: 200, StartShare: 0.2, Cold: 100000, FallMultiple: 3, FallSpan: 15000, MostAttempts: 6, MayProbe: true, MayCancel: true, ProbePrice: 0.01, OverShare: 0.2, Tenants: []Tenant{{Name: "c", Quota: 500}},
+	return Settings{Seed: 7, Fronts: 1, Zone: "a", EventInterval: 50, FencesCarried: true, ListPushed: true, ListInterval: 100000, AnswerSlack: 200, StartCapacity: 0.2, WarmupTime: 100000, ColdOverloadFactor: 3, ColdOverloadSpan: 15000, MaxAttempts: 6, MayProbe: true, MayCancel: true, ProbePrice: 0.01, OverQuotaCredit: 0.2, Tenants: []Tenant{{Name: "c", Quota: 500}},
 		Classes: []Class{
 			{Name: "any", Need: Any, ExpectedTime: 3000, Deadline: 12000, Credit: 1},
 			{Name: "bounded", Need: Bounded, Bound: 3000, ExpectedTime: 4000, Deadline: 15000, Credit: 2},
@@ -90,31 +90,31 @@
 }
 
 // list hands out a list and keeps what it says.
-func (w *world) list(news ListNews, members ...Member) {
+func (w *world) list(news ListKind, members ...Member) {
 	w.note("list %d %v", news, members)
-	if news == ListWhole || news == ListCached {
+	if news == ListFull || news == ListCached {
 		for _, k := range w.stores {
-			k.open = k.open && w.settings.OnlyDraining
+			k.open = k.open && w.settings.OnlyDrainingBinds
 		}
 	}
 	for _, m := range members {
 		k := w.stores[m.Store]
 		if k == nil {
-			k = &known{group: m.Group, open: w.settings.OnlyDraining}
+			k = &known{group: m.Group, open: w.settings.OnlyDrainingBinds}
 			w.stores[m.Store] = k
 			w.ids = append(w.ids, m.Store)
 		}
-		k.open = m.Condition == Ready || m.Condition == Gone && w.settings.OnlyDraining && k.open
+		k.open = m.Condition == Ready || m.Condition == Gone && w.settings.OnlyDrainingBinds && k.open
 		k.size = m.Size
 		if m.Primary && k.claimed == 0 {
 			k.claimed = w.now
 		}
-		if m.Started > k.started && w.now-m.Started < w.settings.Cold {
+		if m.Started > k.started && w.now-m.Started < w.settings.WarmupTime {
 			k.started, k.sends = m.Started, nil // what went there before it was told of counts against nobody
 		}
 	}
 	w.listing = true
-	w.b.List(w.now, news, members)
+	w.b.UpdateMembers(w.now, news, members)
 	w.listing = false
 }
 
@@ -135,7 +135,7 @@
 	w.requests[in.ID] = p
 	w.order = append(w.order, in.ID)
 	w.note("take %+v", in)
-	if err := w.b.Take(w.now, in); err != nil {
+	if err := w.b.Submit(w.now, in); err != nil {
 		w.t.Fatal(err)
 	}
 	return p
@@ -155,7 +155,7 @@
 }
 
 // back returns an attempt.
-func (w *world) back(id string, n int, r Return) {
+func (w *world) back(id string, n int, r Result) {
 	p := w.requests[id]
 	s := p.attempts[n]
 	k := w.stores[s.store]
@@ -163,7 +163,7 @@
 		if p.class.Repeat != Idempotent {
 			w.broken("twice", "%s may not run again, and went where only a peer vouched", id)
 		}
-		r.Ending = Behind
+		r.Ending = NotEligible
 	}
 	s.out, s.mayRan = false, !r.Ending.NeverRan()
 	if r.Ending == Served && p.final == 0 {
@@ -179,7 +179,7 @@
 		k.wroteSince = true
 	}
 	w.note("back %s %d %+v", id, n, r)
-	w.b.Returned(w.now, id, n, s.store, r)
+	w.b.AttemptDone(w.now, id, n, s.store, r)
 }
 
 // pass lets time go by, with a beat whenever one is due.
@@ -187,7 +187,7 @@
 	for end := w.now + span; w.now < end; {
 		w.now = min(end, max(w.now+1, w.wake))
 		if w.now >= w.wake {
-			w.b.Beat(w.now)
+			w.b.Tick(w.now)
 		}
 		w.overdue()
 	}
@@ -232,10 +232,10 @@
 		need = never
 	}
 	role := k.claimed > 0 && (k.denied == 0 || k.wroteSince || k.claimed > k.denied+2*second)
-	if p.class.Need != Write && k.position < need && least < need && !role && !w.settings.Checks {
+	if p.class.Need != Write && k.position < need && least < need && !role && !w.settings.StoresCheckReads {
 		w.broken("stale", "%s needs %d, store %d shows %d", id, need, store, k.position)
 	}
-	if k.started > 0 && w.now-k.started < w.settings.Cold {
+	if k.started > 0 && w.now-k.started < w.settings.WarmupTime {
 		w.cold(store, k)
 		k.sends = append(k.sends, w.now)
 	} else {
@@ -247,15 +247,15 @@
 
 // cold holds the sends to a cold store against the most that a warm one was ever sent in such a span, for its size.
 func (w *world) cold(store uint32, k *known) {
-	part := w.settings.StartShare + (1-w.settings.StartShare)*float64(w.now-k.started)/float64(w.settings.Cold)
-	if n := w.recent(k); n > 10+w.settings.FallMultiple*part*w.peak*k.size {
+	part := w.settings.StartCapacity + (1-w.settings.StartCapacity)*float64(w.now-k.started)/float64(w.settings.WarmupTime)
+	if n := w.recent(k); n > 10+w.settings.ColdOverloadFactor*part*w.peak*k.size {
 		w.broken("cold", "store %d was sent %v, its busiest warm peer %v", store, n, w.peak)
 	}
 }
 
 func (w *world) recent(k *known) (n float64) {
 	for _, t := range k.sends {
-		if t > w.now-w.settings.FallSpan {
+		if t > w.now-w.settings.ColdOverloadSpan {
 			n++
 		}
 	}
@@ -287,10 +287,10 @@
 	w.note("probe %d", store)
 	w.probes = append(w.probes, store)
 }
-func (w *world) HangUp(store uint32) { w.note("hang up %d", store) }
-func (w *world) Wake(after Time)     { w.wake = w.now + after }
-func (w *world) Watch()              { w.note("watch"); w.watches++ }
-func (w *world) Log(text string)     { w.note("log %s", text) }
+func (w *world) CloseIdle(store uint32) { w.note("hang up %d", store) }
+func (w *world) WakeAfter(after Time)   { w.wake = w.now + after }
+func (w *world) WatchMembers()          { w.note("watch"); w.watches++ }
+func (w *world) Log(text string)        { w.note("log %s", text) }
 
 func (w *world) Forget(store uint32) {
 	w.note("forget %d", store)
@@ -298,7 +298,7 @@
 	if k != nil && k.open && w.listing {
 		return // its line follows in the same list, and takes it up anew
 	}
-	if k == nil || k.open && !w.settings.OnlyDraining {
+	if k == nil || k.open && !w.settings.OnlyDrainingBinds {
 		w.broken("forget", "store %d is in use", store)
 	}
 	for id, p := range w.requests {
--- a/balance/list.go
+++ b/balance/list.go
@@ -7,7 +7,7 @@
 
 // Discovery's list: which stores there are, and which may be given new work.
 
-func (b *Balancer) List(now Time, news ListNews, list []Member) {
+func (b *Balancer) UpdateMembers(now Time, news ListKind, list []Member) {
 	b.now = now
 	if news == ListFailed {
 		// Danger: a drain told meanwhile binds within its grace, so the first call follows almost at once. But
@@ -23,7 +23,7 @@
 	for i := range list {
 		// Danger: a list older than one before knows nothing of a drain told since, and would open the store again.
 		e := &list[i]
-		if k, ok := b.memberOf[e.Store]; ok && news == ListOlder && !b.members[k].open &&
+		if k, ok := b.memberOf[e.Store]; ok && news == ListStale && !b.members[k].open &&
 			e.Started <= b.members[k].listed {
 			e.Condition = Draining
 		}
@@ -39,10 +39,10 @@
 	}
 }
 
-// Zone takes the fleet's plan for a zone: the part of ordinary work that may go there, 1 for all. It is
+// SetZoneShare takes the fleet's plan for a zone: the part of ordinary work that may go there, 1 for all. It is
 // advice and only narrows: what a primary alone can do still goes there, and all of a group that has no
 // replica elsewhere.
-func (b *Balancer) Zone(now Time, zone string, part float64) {
+func (b *Balancer) SetZoneShare(now Time, zone string, part float64) {
 	b.now = now
 	if b.parts[zone] = part; part >= 1 {
 		delete(b.parts, zone)
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -48,8 +48,8 @@
 	return g.primary
 }
 
-// Heard takes in what another front says that a member has. The answer to a read sent for it has to prove it.
-func (b *Balancer) Heard(now Time, store uint32, position Time) {
+// PeerPosition takes in what another front says that a member has. The answer to a read sent for it has to prove it.
+func (b *Balancer) PeerPosition(now Time, store uint32, position Time) {
 	b.now = now
 	if i, ok := b.memberOf[store]; ok && position <= now {
 		b.members[i].told = max(b.members[i].told, position)
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -32,14 +32,14 @@
 	b.front.Probe(m.store, need, any)
 }
 
-func (b *Balancer) Probed(now Time, store uint32, r Return) {
+func (b *Balancer) ProbeDone(now Time, store uint32, r Result) {
 	b.now = now
 	i, ok := b.memberOf[store]
 	if !ok {
 		return
 	}
-	if m := &b.members[i]; r.Ending != Served && r.Ending != Crowded {
-		if m.suspect = m.suspect || r.Ending != Unsent; r.Ending == Unreached {
+	if m := &b.members[i]; r.Ending != Served && r.Ending != Overloaded {
+		if m.suspect = m.suspect || r.Ending != NotSent; r.Ending == ConnectFailed {
 			m.unreached = m.probed
 		}
 		return
--- a/balance/repeat.go
+++ b/balance/repeat.go
@@ -8,9 +8,9 @@
 }
 
 // proceed places a request that is new or whose attempt came back, or gives it up.
-func (b *Balancer) proceed(i int32, r Return) {
+func (b *Balancer) proceed(i int32, r Result) {
 	j := &b.requests[i]
-	if r.Ending == Unsent && b.due(j) || b.now >= j.limit-b.beat || !b.mayRepeat(j) {
+	if r.Ending == NotSent && b.due(j) || b.now >= j.limit-b.beat || !b.mayRepeat(j) {
 		b.giveUp(i)
 	} else {
 		b.place(i)
@@ -82,15 +82,15 @@
 	b.recycle(i)
 }
 
-func (b *Balancer) Left(now Time, id string) {
+func (b *Balancer) ClientGone(now Time, id string) {
 	b.now = now
 	if i, ok := b.requestOf[id]; ok && !b.requests[i].ended {
 		b.end(i)
 	}
 }
 
-// Closing tells that the front is ended by force at that time, and what it finds unanswered then is lost.
-func (b *Balancer) Closing(now, by Time) {
+// SetShutdownDeadline tells that the front is ended by force at that time, and what it finds unanswered then is lost.
+func (b *Balancer) SetShutdownDeadline(now, by Time) {
 	b.now, b.closing = now, by
 	for i := range b.requests {
 		if j := &b.requests[i]; j.limit < never {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Streams tells that the request's answer has begun, and its limits no longer run.
-func (b *Balancer) Streams(now Time, id string) {
+// ResponseStarted tells that the request's answer has begun, and its limits no longer run.
+func (b *Balancer) ResponseStarted(now Time, id string) {
 	b.now = now
 	if i, ok := b.requestOf[id]; ok {
 		b.requests[i].limit, b.requests[i].wanted = never, never
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-import "micatrack/internal/mwc"
+import "micatrack/internal/random"
 
 // What the module keeps. These types hold no decision: the files that deploy/balancer.toml names under policy do.
 
@@ -8,7 +8,7 @@
 	Class
 	typical float64 // how long an attempt of it takes of late
 	stills  float64 // how often a replica's position stood still while it held one; feared until seen
-	tries   Tries
+	tries   RetryDetector
 }
 
 // tenant has a bucket of requests within its share, a second's worth at most.
@@ -49,7 +49,7 @@
 }
 
 // step is what a request does next; it is handed the result of the step before.
-type step func(b *Balancer, i int32, r Return)
+type step func(b *Balancer, i int32, r Result)
 
 type request struct {
 	id                     string
@@ -70,7 +70,7 @@
 	front                         Front
 	now, beat, cold               Time
 	mostPause, askWithin, span    Time
-	mwc                           mwc.Source
+	mwc                           random.Source
 	zone                          string
 	checks, carried               bool // stores check reads; reads carry the age of their fence
 	onlyDrains, priced            bool // being gone does not bind; crossings cost
--- a/cmd/micatrack/callfaults_test.go
+++ b/cmd/micatrack/callfaults_test.go
@@ -34,14 +34,14 @@
 }
 
 func short(call syscallfault.Call, random *rand.Rand) syscallfault.Fault {
-	if !call.Transfers() {
+	if !call.IsTransfer() {
 		return syscallfault.Fault{}
 	}
 	return syscallfault.Fault{Size: 1 + random.IntN(call.Size)}
 }
 
 func interrupted(call syscallfault.Call, _ *rand.Rand) syscallfault.Fault {
-	if !call.Transfers() {
+	if !call.IsTransfer() {
 		return syscallfault.Fault{}
 	}
 	return syscallfault.Fault{Errno: syscall.EINTR}
@@ -49,7 +49,7 @@
 
 // late holds up the thread behind its call, as a machine without time for it does.
 func late(_ syscallfault.Call, random *rand.Rand) syscallfault.Fault {
-	return syscallfault.Fault{Late: time.Duration(1+random.IntN(150)) * time.Millisecond}
+	return syscallfault.Fault{Delay: time.Duration(1+random.IntN(150)) * time.Millisecond}
 }
 
 var callFaults = []callFault{
@@ -67,7 +67,7 @@
 }
 
 // faulty has these kinds of faults happen to calls, by a seed.
-func faulty(seed uint64, kinds []callFault) syscallfault.Faults {
+func faulty(seed uint64, kinds []callFault) syscallfault.FaultFunc {
 	random := rand.New(rand.NewPCG(seed, 0))
 	return func(call syscallfault.Call) syscallfault.Fault {
 		for _, kind := range kinds {
@@ -89,9 +89,9 @@
 	switch answer {
 	case "value":
 		y.served.Add(1)
-	case pgwire.TooMany, pgwire.CannotNow:
+	case pgwire.TooManyConnections, pgwire.CannotConnectNow:
 		y.refused.Add(1)
-	case pgwire.Unresolved:
+	case pgwire.OutcomeUnknown:
 		y.failed.Add(1)
 	default:
 		return false
@@ -112,7 +112,7 @@
 	classes := [...]string{"any", "save", "mine"}
 	end := time.Now().Add(span)
 	request := func(id string, k int) []byte {
-		return pgwire.AppendSimple(nil, fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id, classes[k%3], patience))
+		return pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id, classes[k%3], patience))
 	}
 	for n := range clients {
 		keeps := n%2 == 0
--- a/cmd/micatrack/configlive_test.go
+++ b/cmd/micatrack/configlive_test.go
@@ -60,10 +60,10 @@
 		case kind == 'D':
 			code = "value"
 		case kind == 'E':
-			code = pgwire.Code(body)
+			code = pgwire.SQLState(body)
 		case kind == 'Z':
 			if replies++; replies == 1 {
-				c.Write(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=live%d,c=%s,d=2500,cluster=1 */ SELECT payload FROM entries "+
+				c.Write(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=live%d,c=%s,d=2500,cluster=1 */ SELECT payload FROM entries "+
 					"WHERE ref = 'k'", serial.Add(1), class)))
 			}
 		}
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole.discovery != "127.0.0.2:99" || doorBounds(&whole.operators.Door).Jobs != 77 || doorBounds(&o.operators.Door) != nil {
+	if whole.discovery != "127.0.0.2:99" || doorBounds(&whole.operators.Door).MaxRequests != 77 || doorBounds(&o.operators.Door) != nil {
 		t.Errorf("discovery %s, door %+v", whole.discovery, whole.operators.Door)
 	}
 	if c := whole.settings; c.Zone != "b" || c.Seed != o.settings.Seed || c.AgentGrace != 20000 {
--- a/cmd/micatrack/door_test.go
+++ b/cmd/micatrack/door_test.go
@@ -34,7 +34,7 @@
 // ask gives the first code of the answer, "" for a value, and the milliseconds after which to come again.
 func (r *rider) ask(text string) (code string, pause int, err error) {
 	r.c.SetDeadline(time.Now().Add(outer))
-	if _, err := r.c.Write(pgwire.AppendSimple(nil, text)); err != nil {
+	if _, err := r.c.Write(pgwire.AppendSimpleQuery(nil, text)); err != nil {
 		return "", 0, err
 	}
 	for {
@@ -44,10 +44,10 @@
 		}
 		switch kind {
 		case 'E':
-			code = pgwire.Code(body)
+			code = pgwire.SQLState(body)
 			for len(body) > 1 {
 				field := body[0]
-				text, rest, _ := pgwire.Text(body[1:])
+				text, rest, _ := pgwire.ParseString(body[1:])
 				if field == 'D' {
 					pause, _ = strconv.Atoi(string(text))
 				}
@@ -94,7 +94,7 @@
 		if code == "" && time.Since(born) <= 300*time.Millisecond {
 			s.inTime.Add(1)
 		}
-		if code != pgwire.TooMany || try == 2 {
+		if code != pgwire.TooManyConnections || try == 2 {
 			return
 		}
 		repeat = ",r=1"
--- a/cmd/micatrack/endings_test.go
+++ b/cmd/micatrack/endings_test.go
@@ -73,7 +73,7 @@
 }
 
 func (cl *client) send(id, profile string, left int) {
-	cl.c.Write(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'",
+	cl.c.Write(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'",
 		id, profile, left)))
 }
 
@@ -136,12 +136,12 @@
 			cl.send("held-"+how, "save", 2900)
 			cl.send("next-"+how, "save", 2900)
 			empty := w.client() // what was sent before has been read by then
-			empty.c.Write(pgwire.AppendSimple(nil, ""))
+			empty.c.Write(pgwire.AppendSimpleQuery(nil, ""))
 			empty.answer()
 			left["held-"+how] = w.goes(cl, how)
 			if how != "cancels" {
 				left["next-"+how] = left["held-"+how]
-			} else if rest = append(rest, cl); cl.answer() != pgwire.Cancelled {
+			} else if rest = append(rest, cl); cl.answer() != pgwire.QueryCanceled {
 				t.Error("a cancelled request is not answered as one")
 			}
 		}
@@ -185,7 +185,7 @@
 	if got := stays.answer(); got != "value" {
 		t.Errorf("one that stays: %s", got)
 	}
-	if cl := rest[len(rest)-1]; cl.answer() != pgwire.Cancelled {
+	if cl := rest[len(rest)-1]; cl.answer() != pgwire.QueryCanceled {
 		t.Error("a cancelled request is not answered as one")
 	}
 	s.gone(t, left)
@@ -216,7 +216,7 @@
 			cl.send(id, "any", 900)
 			s.wait(t, id)
 			left[id] = w.goes(cl, how)
-			if how == "cancels" && cl.answer() != pgwire.Cancelled {
+			if how == "cancels" && cl.answer() != pgwire.QueryCanceled {
 				t.Error("a cancelled request is not answered as one")
 			}
 		}
@@ -240,7 +240,7 @@
 		cl := w.client()
 		var text []byte
 		for k := range n {
-			text = pgwire.AppendSimple(text, fmt.Sprintf("/* id=p%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
+			text = pgwire.AppendSimpleQuery(text, fmt.Sprintf("/* id=p%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
 		}
 		sent := make(chan struct{})
 		go func() { cl.c.Write(text); close(sent) }()
@@ -286,7 +286,7 @@
 	s.wait(t, "sent")
 	answered.send("half-answered", "any", 900)
 	<-half
-	whole := pgwire.AppendSimple(nil, "/* id=half-read,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'")
+	whole := pgwire.AppendSimpleQuery(nil, "/* id=half-read,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'")
 	read.c.Write(whole[:len(whole)/2])
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
@@ -431,7 +431,7 @@
 					continue
 				}
 				c.SetDeadline(end)
-				c.Write(append(pgwire.AppendStartup(nil, "web", "orders"), pgwire.AppendSimple(nil, "")...))
+				c.Write(append(pgwire.AppendStartup(nil, "web", "orders"), pgwire.AppendSimpleQuery(nil, "")...))
 				for {
 					kind, _, err := message(c)
 					if err != nil || kind == 'I' {
@@ -652,7 +652,7 @@
 	}
 	var requests []byte
 	for k := range 3000 {
-		requests = pgwire.AppendSimple(requests, fmt.Sprintf("/* id=f%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
+		requests = pgwire.AppendSimpleQuery(requests, fmt.Sprintf("/* id=f%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
 	}
 	flood := func(n int, do func(c net.Conn)) {
 		var all sync.WaitGroup
--- a/cmd/micatrack/fleet.go
+++ b/cmd/micatrack/fleet.go
@@ -56,8 +56,8 @@
 	t := &together{now: now, peers: p, name: f.Name, wake: wake, log: log.With("fleet", f.Name), asks: make(chan func(), 16)}
 	span := f.PeriodMS * 10
 	addr, life := cmp.Or(f.Advertise, p.Addr()), uint64(now())/10
-	t.Fleet = fleet.New(now(), membership.Self{Name: o.name, Zone: cmp.Or(o.settings.Zone, "-"), Addr: addr, Incarnation: life, Seed: o.settings.Seed, Period: span, Seeds: f.Seeds, Members: f.Members, NoteLife: noteLife * span},
-		zones.Self{StartShare: o.settings.StartShare, Cold: o.settings.Cold, FallSpan: o.settings.FallSpan}, t)
+	t.Fleet = fleet.New(now(), membership.Config{Name: o.name, Zone: cmp.Or(o.settings.Zone, "-"), Addr: addr, Incarnation: life, RandomSeed: o.settings.Seed, Period: span, Seeds: f.Seeds, MaxMembers: f.Members, NoteTTL: noteLife * span},
+		zones.Config{ColdCapacity: o.settings.StartCapacity, WarmupTime: o.settings.WarmupTime, OverloadTolerance: o.settings.ColdOverloadSpan}, t)
 	t.bridge.Zones = t.Zones
 	if len(f.Lease.Voters) > 0 {
 		control := hosted(t, o, addr)
@@ -88,7 +88,7 @@
 
 // serves hands the fleet's plans to the core from now on. The start waits for them, as long as that is allowed.
 // Danger: a front that starts while a zone is being returned to would send it all that it can.
-func (t *together) serves(c *front.Core, known front.List, wait time.Duration) {
+func (t *together) serves(c *front.Core, known front.StoreList, wait time.Duration) {
 	t.core = c
 	t.bridge.Listed(t.now(), known)
 	for end := time.Now().Add(wait); !t.Members.Joined() && time.Now().Before(end); {
@@ -99,7 +99,7 @@
 }
 
 // turn is the fleet's part of a turn of the loop.
-func (t *together) turn(lists []front.List, halt bool) {
+func (t *together) turn(lists []front.StoreList, halt bool) {
 	now := t.now()
 	for _, l := range lists {
 		t.bridge.Listed(now, l)
@@ -111,8 +111,8 @@
 			t.deputy.ending = true
 		}
 	}
-	t.peers.Take(func(m *membership.Message) bool { return t.Fleet.Take(now, m) },
-		func() *membership.Message { return t.Members.Open(membership.Answer) })
+	t.peers.Take(func(m *membership.Message) bool { return t.Fleet.Receive(now, m) },
+		func() *membership.Message { return t.Members.SyncMessage(membership.SyncResponse) })
 	for {
 		select {
 		case ask := <-t.asks:
@@ -163,11 +163,11 @@
 
 // Send, Exchange, Part and Log are what the fleet's decisions ask for.
 func (t *together) Send(addr string, m *membership.Message) { t.peers.Send(addr, m) }
-func (t *together) Exchange(addr string) {
-	t.peers.Exchange(addr, t.Members.Open(membership.Whole))
+func (t *together) StartSync(addr string) {
+	t.peers.Exchange(addr, t.Members.SyncMessage(membership.SyncRequest))
 }
-func (t *together) Part(zone string, part float64) { t.core.Zone(zone, part) }
-func (t *together) Log(text string)                { t.log.Info(text) }
+func (t *together) SetShare(zone string, part float64) { t.core.SetZoneShare(zone, part) }
+func (t *together) Log(text string)                    { t.log.Info(text) }
 
 // control listens for the commands of this machine's operators. What they ask is done by the loop.
 func (t *together) control(addr string, wake func()) error {
@@ -225,7 +225,7 @@
 		}
 		return list, nil
 	})
-	handle("GET /plan", func(now front.Time, _ url.Values) (any, error) { return t.Zones.Rows(now), nil })
+	handle("GET /plan", func(now front.Time, _ url.Values) (any, error) { return t.Zones.Status(now), nil })
 	handle("GET /counts", func(front.Time, url.Values) (any, error) {
 		if t.look != nil {
 			w := t.look.w
@@ -233,7 +233,7 @@
 		}
 		return t.peers.Counts(), nil
 	})
-	handle("GET /why", func(now front.Time, q url.Values) (any, error) { return t.Zones.Why(now, q.Get("zone")) })
+	handle("GET /why", func(now front.Time, q url.Values) (any, error) { return t.Zones.Explain(now, q.Get("zone")) })
 	handle("POST /order", func(now front.Time, q url.Values) (any, error) {
 		span := time.Duration(0)
 		if q.Get("leave") != "" {
@@ -242,8 +242,8 @@
 				return nil, err
 			}
 		}
-		err := t.Zones.Order(now, q.Get("zone"), q.Get("leave") != "", q.Get("force") != "", int64(span/tick), uint64(now)/10)
-		return t.Zones.Rows(now), err
+		err := t.Zones.IssueOrder(now, q.Get("zone"), q.Get("leave") != "", q.Get("force") != "", int64(span/tick), uint64(now)/10)
+		return t.Zones.Status(now), err
 	})
 	go (&http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second}).Serve(l)
 	return nil
@@ -301,7 +301,7 @@
 		return show(c.OutOrStdout(), text)
 	}
 	showPlan := func(out io.Writer, text []byte) error {
-		var rows []zones.Row
+		var rows []zones.ZoneStatus
 		if err := json.Unmarshal(text, &rows); err != nil {
 			return err
 		}
--- a/cmd/micatrack/holdups_test.go
+++ b/cmd/micatrack/holdups_test.go
@@ -46,7 +46,7 @@
 		id := fmt.Sprintf("%s-%d", name, k)
 		ids = append(ids, id)
 		seen[id] = &visitResult{}
-		text = pgwire.AppendSimple(text, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id, classes[random.IntN(len(classes))]))
+		text = pgwire.AppendSimpleQuery(text, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id, classes[random.IntN(len(classes))]))
 	}
 	for len(text) > 0 { // in pieces
 		size := min(1+random.IntN(200), len(text))
--- a/cmd/micatrack/incident_test.go
+++ b/cmd/micatrack/incident_test.go
@@ -21,7 +21,7 @@
 const stallLimit = 3 * time.Second // in which a client that stops inside a message has to be told or closed
 
 // startFaulty runs the program with faults in its system calls and waits until it serves. They begin once it does.
-func (w *world) startFaulty(faults syscallfault.Faults) *syscallfault.Process {
+func (w *world) startFaulty(faults syscallfault.FaultFunc) *syscallfault.Process {
 	w.t.Helper()
 	cmd := exec.Command(program, "serve", "-config", w.config, "-operators", w.switches)
 	cmd.Env = []string{"GW_DISCOVERY=" + strings.TrimPrefix(w.http.URL, "http://"), "PATH=" + os.Getenv("PATH"),
@@ -100,7 +100,7 @@
 	w := newWorld(t, "primary", "replica")
 	writes := 0
 	w.startFaulty(func(call syscallfault.Call) (fault syscallfault.Fault) {
-		if call.Transfers() && call.Number == syscall.SYS_WRITE {
+		if call.IsTransfer() && call.Number == syscall.SYS_WRITE {
 			if writes++; writes%5 == 0 {
 				fault.Size = call.Size / 2
 			}
@@ -114,7 +114,7 @@
 	w := newWorld(t, "primary", "replica")
 	writes := 0
 	w.startFaulty(func(call syscallfault.Call) (fault syscallfault.Fault) {
-		if call.Transfers() && call.Number == syscall.SYS_WRITE {
+		if call.IsTransfer() && call.Number == syscall.SYS_WRITE {
 			if writes++; writes%5 == 0 {
 				fault.Errno = syscall.EINTR
 			}
@@ -129,7 +129,7 @@
 	w.start()
 	startup := string(pgwire.AppendStartup(nil, "web", "orders"))
 	request := func(id string) string {
-		return string(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=stalled-%s,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id)))
+		return string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=stalled-%s,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", id)))
 	}
 	half := request("half")[:40]
 	var all sync.WaitGroup
--- a/cmd/micatrack/lease.go
+++ b/cmd/micatrack/lease.go
@@ -70,7 +70,7 @@
 	d.Leases = leases.Open(order, t.now, t.peers, d, wake, t.log)
 	if l.SummaryMS > 0 {
 		d.summary = summary.New(t.now(), l.SummaryMS*10, l.SpanMS*10/4, d)
-		if err := d.Holder.Want(t.now(), summary.Name); err != nil {
+		if err := d.Holder.Want(t.now(), summary.LeaseName); err != nil {
 			return nil, err
 		}
 	}
@@ -83,14 +83,14 @@
 	if d.summary != nil {
 		select {
 		case o := <-d.told:
-			d.summary.Told(now, o.refused, o.trouble)
+			d.summary.SendFinished(now, o.refused, o.trouble)
 		default:
 		}
 		if !d.ending {
-			d.summary.Beat(now)
+			d.summary.Tick(now)
 		}
 	}
-	if d.ending && !d.handed && (d.summary == nil || !d.summary.Out()) {
+	if d.ending && !d.handed && (d.summary == nil || !d.summary.Sending()) {
 		// Danger: what is given back while an act is under way is another's before that act is over.
 		d.handed = true
 		d.Holder.DropAll(now)
@@ -112,23 +112,23 @@
 // Held, Lost, May, Tell and Log are what the leases and the summary ask for.
 func (d *deputy) Held(name string, token uint64) {
 	d.t.log.Info("lease held", "lease", name, "token", token)
-	if d.summary != nil && name == summary.Name {
-		d.summary.Held(d.t.now())
+	if d.summary != nil && name == summary.LeaseName {
+		d.summary.LeaseAcquired(d.t.now())
 	}
 }
 func (d *deputy) Lost(name, why string) { d.t.log.Info("lease lost", "lease", name, "why", why) }
 func (d *deputy) Log(text string)       { d.t.log.Info(text) }
-func (d *deputy) May(name string, longest front.Time) (uint64, bool) {
+func (d *deputy) LeaseToken(name string, longest front.Time) (uint64, bool) {
 	return d.Holder.May(name, longest)
 }
 
-// Tell logs a summary, and posts it. The loop does not wait for the collector.
-func (d *deputy) Tell(token, number uint64, within front.Time) {
+// SendSummary logs a summary, and posts it. The loop does not wait for the collector.
+func (d *deputy) SendSummary(token, number uint64, within front.Time) {
 	states := map[string]int{}
 	for _, e := range d.t.Members.List() {
 		states[e.State.String()]++
 	}
-	rows := d.t.Zones.Rows(d.t.now())
+	rows := d.t.Zones.Status(d.t.now())
 	away := 0
 	for _, r := range rows {
 		if r.Part < 1 {
@@ -142,13 +142,13 @@
 		return
 	}
 	s := struct {
-		Fleet   string         `json:"fleet"`
-		By      string         `json:"by"`
-		Token   uint64         `json:"token"`
-		Number  uint64         `json:"number"`
-		Members map[string]int `json:"members"`
-		Zones   []zones.Row    `json:"zones"`
-		Leases  *leases.View   `json:"leases,omitempty"`
+		Fleet   string             `json:"fleet"`
+		By      string             `json:"by"`
+		Token   uint64             `json:"token"`
+		Number  uint64             `json:"number"`
+		Members map[string]int     `json:"members"`
+		Zones   []zones.ZoneStatus `json:"zones"`
+		Leases  *leases.View       `json:"leases,omitempty"`
 	}{d.t.name, d.t.Members.List()[0].Name, token, number, states, rows, nil}
 	until := time.Now().Add(time.Duration(within) * tick)
 	go func() {
--- a/cmd/micatrack/main.go
+++ b/cmd/micatrack/main.go
@@ -70,7 +70,7 @@
 		fronted("check", "Read the configuration and the operators' file, say what is in them, and end",
 			func(c *cobra.Command, o orders, _ reader) error {
 				fmt.Fprintf(c.OutOrStdout(), "%s: listens on %s, discovery at %s, %d profiles, %d stores known, on: %s\n",
-					o.name, o.listen, o.discovery, len(o.settings.Classes), len(o.known.Lines), o.on())
+					o.name, o.listen, o.discovery, len(o.settings.Classes), len(o.known.Entries), o.on())
 				return nil
 			}),
 		fleetCommands(), stateCommands(), configCommands(), capacityCommand())
--- a/cmd/micatrack/main_test.go
+++ b/cmd/micatrack/main_test.go
@@ -313,7 +313,7 @@
 var serial atomic.Int64
 
 func (cl *client) ask(profile string) {
-	cl.c.Write(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=%d,c=%s,d=2500,cluster=1 */ SELECT payload FROM entries "+
+	cl.c.Write(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=%d,c=%s,d=2500,cluster=1 */ SELECT payload FROM entries "+
 		"WHERE ref = 'k'", serial.Add(1), profile)))
 }
 
@@ -334,7 +334,7 @@
 				cl.t.Errorf("row %q", body)
 			}
 		case kind == 'E':
-			got = pgwire.Code(body)
+			got = pgwire.SQLState(body)
 		case kind == 'K':
 			cl.key = body
 		case kind == 'Z':
@@ -355,7 +355,7 @@
 	w := newWorld(t, "primary", "replica")
 	w.start()
 	cl := w.client()
-	cl.c.Write(pgwire.AppendSimple(nil, ""))
+	cl.c.Write(pgwire.AppendSimpleQuery(nil, ""))
 	if got := cl.answer(); got != "ready" {
 		t.Fatalf("empty query: %s", got)
 	}
--- a/cmd/micatrack/newcomers_test.go
+++ b/cmd/micatrack/newcomers_test.go
@@ -30,7 +30,7 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(outer))
 			text := pgwire.AppendStartup(nil, "web", "orders")
-			text = pgwire.AppendSimple(text, fmt.Sprintf("/* id=new%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
+			text = pgwire.AppendSimpleQuery(text, fmt.Sprintf("/* id=new%d,c=any,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'k'", k))
 			conn.Write(text)
 			reader := bufio.NewReader(conn)
 			for {
--- a/cmd/micatrack/rules_test.go
+++ b/cmd/micatrack/rules_test.go
@@ -77,7 +77,7 @@
 						t.Errorf("seed %d: %s has no answer in time: %v after %v", seed, a.Job, err, time.Since(began))
 						return
 					}
-					a.Delivered, a.Back = code == "", code == pgwire.TooMany
+					a.Delivered, a.Back = code == "", code == pgwire.TooManyConnections
 					mu.Lock()
 					told = append(told, a)
 					mu.Unlock()
--- a/cmd/micatrack/serve.go
+++ b/cmd/micatrack/serve.go
@@ -34,10 +34,10 @@
 	cores                   float64
 	memory                  int64 // bytes
 	sockets                 int
-	known                   front.List
+	known                   front.StoreList
 	version                 int64
 	settings                balance.Settings
-	host                    settings.Host
+	host                    settings.Process
 	operators               operators.Orders
 	stored                  configuration.Stored // the fleet's configuration, as this front had it last
 	trouble                 string               // why it was not taken, if it was not
@@ -102,7 +102,7 @@
 			return o, fmt.Errorf("known: %w", err)
 		}
 	}
-	o.known.News = balance.ListCached
+	o.known.Kind = balance.ListCached
 	return o, nil
 }
 
@@ -162,7 +162,7 @@
 	debug.SetMemoryLimit(o.memory * 3 / 4)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("front", o.name)
 
-	answer := max(pgwire.MostQuery, int(o.memory/64)) // the rings' share of memory holds sixteen
+	answer := max(pgwire.MaxQuerySize, int(o.memory/64)) // the rings' share of memory holds sixteen
 	net, err := sock.Open(o.listen, o.sockets, o.memory/4, answer)
 	if err != nil {
 		return exit{1, fmt.Errorf("listen: %w", err)}
@@ -170,16 +170,16 @@
 	now := clock()
 	watcher := discovery.Watch(o.discovery, o.version, net.Wake, log)
 	links := o.sockets - reserve
-	limits := front.Limits{Links: links, Clients: links / 2, Answer: answer, Kept: int(o.memory / 16), Rest: int64(rest / tick), Grace: int64(grace / tick), Force: int64(force / tick),
-		Longest: int64(longest / tick), Secret: make([]byte, 32)}
-	rand.Read(limits.Secret)
-	limits.Door = doorBounds(&o.operators.Door)
+	limits := front.Limits{MaxConnections: links, MaxClients: links / 2, MaxStoreMessage: answer, MaxBufferedReplies: int(o.memory / 16), ClientIdle: int64(rest / tick), ShutdownGrace: int64(grace / tick), ForceAfter: int64(force / tick),
+		MaxDeadline: int64(longest / tick), CancelSecret: make([]byte, 32)}
+	rand.Read(limits.CancelSecret)
+	limits.Admission = doorBounds(&o.operators.Door)
 	if b := o.operators.Bolt; b.On {
-		bound, err := net.Also(b.Listen, front.Bolt)
+		bound, err := net.AddListener(b.Listen, front.Bolt)
 		if err != nil {
 			return exit{1, fmt.Errorf("listen: %w", err)}
 		}
-		limits.Address, limits.Drain = cmp.Or(b.Advertise, bound), b.DrainMS*int64(time.Millisecond/tick)
+		limits.BoltAddress, limits.DrainGrace = cmp.Or(b.Advertise, bound), b.DrainMS*int64(time.Millisecond/tick)
 		log.Info("bolt", "listen", bound)
 	}
 	var others *together
@@ -188,26 +188,26 @@
 			return exit{1, fmt.Errorf("fleet: %w", err)}
 		}
 		if others.config != nil {
-			others.config.move = watcher.Move
+			others.config.move = watcher.SetAddr
 			read = others.config.reader(read)
 		}
-		limits.Saw = func(store string, how balance.Ending, expected, took front.Time) {
+		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took front.Time) {
 			others.bridge.Saw(now(), store, how, expected, took)
 		}
 	}
 	if others != nil && others.look != nil {
-		limits.Watch = others.look
+		limits.PositionWatch = others.look
 	}
-	core, err := front.New(now(), o.settings, o.host, limits, net, watcher.Ask, log)
+	core, err := front.New(now(), o.settings, o.host, limits, net, watcher.Connect, log)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	core.Tell(o.known)
+	core.UpdateStores(o.known)
 	if others != nil {
 		others.serves(core, o.known, time.Duration(o.operators.Fleet.JoinMS)*time.Millisecond)
 	}
 	if o.settings.ListPushed {
-		watcher.Ask()
+		watcher.Connect()
 	}
 	var halt, again atomic.Bool
 	go func() {
@@ -220,18 +220,18 @@
 			net.Wake()
 		}
 	}()
-	log.Info("serving", "listen", net.Addr(), "discovery", o.discovery, "stores", len(o.known.Lines), "ready_ms", time.Since(begun).Milliseconds())
-	var lists []front.List
+	log.Info("serving", "listen", net.Addr(), "discovery", o.discovery, "stores", len(o.known.Entries), "ready_ms", time.Since(begun).Milliseconds())
+	var lists []front.StoreList
 	// What was accepted in the last moment is served as well: the core has yet to hear of it.
 	for deaf := false; !core.Done() || net.Clients() > 0; {
-		next := core.Next()
+		next := core.NextStep()
 		if others != nil {
 			next = min(next, others.Next())
 		}
-		events := net.Gather(time.Duration(next-now()) * tick)
-		lists = watcher.Take(lists[:0])
+		events := net.Poll(time.Duration(next-now()) * tick)
+		lists = watcher.TakeUpdates(lists[:0])
 		for _, l := range lists {
-			core.Tell(l)
+			core.UpdateStores(l)
 		}
 		if halt.Load() {
 			core.Stop(now())
@@ -240,12 +240,12 @@
 			others.turn(lists, halt.Load())
 		}
 		if again.CompareAndSwap(true, false) {
-			reload(&o, read, watcher.Move, log)
+			reload(&o, read, watcher.SetAddr, log)
 		}
 		core.Step(now(), events)
 		if !deaf && core.Stopping() {
 			deaf = true
-			net.Deafen()
+			net.StopAccepting()
 		}
 	}
 	if others != nil {
--- a/cmd/micatrack/settings.go
+++ b/cmd/micatrack/settings.go
@@ -1,8 +1,8 @@
 package main
 
 import (
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/fleet/config"
 	"micatrack/internal/configuration"
 	"micatrack/internal/front"
@@ -14,14 +14,14 @@
 type parts struct {
 	discovery string
 	settings  balance.Settings
-	host      settings.Host
+	host      settings.Process
 	door      operators.Door
 }
 
 // settle works out what the settings leave to the program round the module.
 func (o *orders) settle() {
 	if o.settings.ListPushed {
-		o.settings.AgentGrace = o.host.Grace
+		o.settings.AgentGrace = o.host.DrainGrace
 	}
 }
 
@@ -59,12 +59,12 @@
 }
 
 // doorBounds returns the bounds of the door, nil if it is off.
-func doorBounds(d *operators.Door) *door.Bounds {
+func doorBounds(d *operators.Door) *admission.Bounds {
 	if !d.On {
 		return nil
 	}
-	return &door.Bounds{Jobs: d.Jobs, Bytes: d.Kilobytes << 10, Customers: d.Customers, Places: d.Places,
-		Strangers: d.Strangers, Further: d.Further}
+	return &admission.Bounds{MaxRequests: d.Jobs, MaxBytes: d.Kilobytes << 10, DedicatedTenants: d.Customers, SharedQueues: d.Places,
+		SharedWeight: d.Strangers, RetriesPerRequest: d.Further}
 }
 
 // reconfigure has the running front go by other settings and another door, as a whole or not at all. Before its core is
@@ -73,11 +73,11 @@
 	if t.core == nil {
 		return nil
 	}
-	next := front.Settings{Module: after.settings, Host: after.host, Door: doorBounds(&after.operators.Door)}
+	next := front.Settings{Balancer: after.settings, Host: after.host, Admission: doorBounds(&after.operators.Door)}
 	if err := t.core.Configure(t.now(), next); err != nil {
 		return err
 	}
-	t.Zones.Configure(after.settings.StartShare, after.settings.Cold, after.settings.FallSpan)
+	t.Zones.Configure(after.settings.StartCapacity, after.settings.WarmupTime, after.settings.ColdOverloadSpan)
 	if t.look != nil {
 		wait, storeWait := watchWaits(after)
 		t.look.w.Configure(wait, storeWait)
@@ -92,5 +92,5 @@
 	for _, class := range o.settings.Classes {
 		quickest = min(quickest, class.ExpectedTime)
 	}
-	return max(quickest/20, 1), o.host.Dial
+	return max(quickest/20, 1), o.host.DialTimeout
 }
--- a/cmd/micatrack/standing_test.go
+++ b/cmd/micatrack/standing_test.go
@@ -396,7 +396,7 @@
 	}
 }
 
-var killedAsk = string(pgwire.AppendSimple(nil,
+var killedAsk = string(pgwire.AppendSimpleQuery(nil,
 	"/* id=killed,c=save,d=2900,cluster=1 */ INSERT INTO entries (ref) VALUES ('k') RETURNING payload"))
 
 // served connects until a front answers an empty query, and gives the connection; nil: it does not by then.
@@ -407,7 +407,7 @@
 			continue
 		}
 		c.SetDeadline(end)
-		c.Write(append(pgwire.AppendStartup(nil, "web", "orders"), pgwire.AppendSimple(nil, "")...))
+		c.Write(append(pgwire.AppendStartup(nil, "web", "orders"), pgwire.AppendSimpleQuery(nil, "")...))
 		for {
 			kind, _, err := message(c)
 			if kind == 'I' && err == nil {
@@ -447,7 +447,7 @@
 		defer c.Close()
 		c.(*net.TCPConn).SetNoDelay(true)
 		c.SetDeadline(time.Now().Add(outer))
-		stream := "\x00\x00\x00\x08\x04\xd2\x16\x2f" + string(pgwire.AppendSimple(pgwire.AppendStartup(nil, "web",
+		stream := "\x00\x00\x00\x08\x04\xd2\x16\x2f" + string(pgwire.AppendSimpleQuery(pgwire.AppendStartup(nil, "web",
 			"orders"), text))
 		for k := range stream {
 			c.Write([]byte{stream[k]})
--- a/cmd/micatrack/watch.go
+++ b/cmd/micatrack/watch.go
@@ -31,9 +31,9 @@
 // Query to Holds are what the watch asks for.
 func (l *lookout) Query(addr string, q watch.Query)        { l.t.peers.Query(addr, q) }
 func (l *lookout) Answer(addr string, a watch.Answer)      { l.t.peers.Answer(addr, a) }
-func (l *lookout) Survey(store string)                     { l.t.core.Survey(store) }
-func (l *lookout) Vouch(store string, position front.Time) { l.t.core.Vouch(store, position) }
-func (l *lookout) Proxied(store string, answered bool)     { l.t.core.Proxied(store, answered) }
+func (l *lookout) Survey(store string)                     { l.t.core.QueryPosition(store) }
+func (l *lookout) Vouch(store string, position front.Time) { l.t.core.ReportPosition(store, position) }
+func (l *lookout) Proxied(store string, answered bool)     { l.t.core.PositionResolved(store, answered) }
 func (l *lookout) Drop(lease string)                       { l.t.deputy.Holder.Drop(l.t.now(), lease) }
 
 // Want asks for a lease, but not any more once the front is to end: what it gives back then is others'.
@@ -50,9 +50,11 @@
 	return ok
 }
 
-// Ask, Learned and Failed are what the core tells.
-func (l *lookout) Ask(store string, need front.Time, any bool) bool {
+// RequestPosition, Learned and Failed are what the core tells.
+func (l *lookout) RequestPosition(store string, need front.Time, any bool) bool {
 	return l.w.Ask(l.t.now(), store, need, any)
 }
-func (l *lookout) Learned(store string, position front.Time) { l.w.Learned(l.t.now(), store, position) }
-func (l *lookout) Failed(store string)                       { l.w.Failed(l.t.now(), store) }
+func (l *lookout) PositionObserved(store string, position front.Time) {
+	l.w.Learned(l.t.now(), store, position)
+}
+func (l *lookout) QueryFailed(store string) { l.w.Failed(l.t.now(), store) }
--- a/cmd/micatrack/zones_test.go
+++ b/cmd/micatrack/zones_test.go
@@ -598,8 +598,8 @@
 				Notes: []membership.Note{{Key: []byte("pa\x00c"), Version: 1 << 60, Body: []byte("noise")}, {Key: []byte("pa\x00b"), Version: 1 << 60, Age: 1 << 39}}}))
 			time.Sleep(5 * time.Millisecond)
 		}
-		whole := membership.Message{Kind: membership.Whole, Sender: membership.Fact{Name: []byte("ghost1"), Zone: []byte("a"), Addr: []byte("127.0.0.1:9"), Incarnation: 2}}
-		for n := range membership.MostFacts {
+		whole := membership.Message{Kind: membership.SyncRequest, Sender: membership.Fact{Name: []byte("ghost1"), Zone: []byte("a"), Addr: []byte("127.0.0.1:9"), Incarnation: 2}}
+		for n := range membership.MaxFacts {
 			whole.Facts = append(whole.Facts, membership.Fact{Name: fmt.Appendf(nil, "crowd%d", n), Zone: []byte("b"), Addr: []byte("127.0.0.1:9"), Incarnation: 1})
 		}
 		if k, err := net.Dial("tcp", f.Fleet()); err == nil {
@@ -674,7 +674,7 @@
 	play(t, bed(t, 3, true), 10, func(r *rig.Rig) {
 		f := r.Fronts[0]
 		r.Await(10*time.Second, "all know all", func() bool { return alive(t, f) == 3 })
-		var rows []zones.Row
+		var rows []zones.ZoneStatus
 		if _, err := ask(t, f, &rows, "plan"); err != nil || len(rows) < 3 {
 			t.Errorf("%v, %v", rows, err)
 		}
@@ -827,7 +827,7 @@
 				}
 				for _, f := range r.Fronts {
 					r.Await(60*time.Second, f.Name+" has every zone whole and every front alive", func() bool {
-						var rows []zones.Row
+						var rows []zones.ZoneStatus
 						if _, err := ask(t, f, &rows, "plan"); err != nil {
 							return false
 						}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -66,7 +66,7 @@
 	case text == "SHOW load":
 		return fmt.Sprintf("x0=%d.%03d,x1=%d", position/1000, position%1000, btoi(s.primary)), "SHOW", position, nil
 	case m != nil && !s.primary:
-		return "", "", position, errors.New(pgwire.ReadOnly)
+		return "", "", position, errors.New(pgwire.ReadOnlyTransaction)
 	case m != nil:
 		data.last = max(time.Now().UnixMilli()+1, data.last) // commits are told rounded up
 		data.entries[m[1]] = append(data.entries[m[1]], entry{data.last, m[2]})
@@ -74,7 +74,7 @@
 	}
 	m := reads.FindStringSubmatch(text)
 	if m == nil {
-		return "", "", position, errors.New(pgwire.Violation)
+		return "", "", position, errors.New(pgwire.ProtocolViolation)
 	}
 	for _, e := range data.entries[m[1]] {
 		if s.primary || e.commit <= position {
@@ -97,14 +97,14 @@
 	if _, err := message(r, make([]byte, 4)); err != nil {
 		return
 	}
-	c.Write(pgwire.AppendWelcome(nil, 0, make([]byte, 8)))
+	c.Write(pgwire.AppendStartupReply(nil, 0, make([]byte, 8)))
 	for {
 		head := make([]byte, 5)
 		body, err := message(r, head)
 		if err != nil || head[0] == 'X' {
 			return
 		}
-		text, _, _ := pgwire.Text(body)
+		text, _, _ := pgwire.ParseString(body)
 		value, tag, position, err := s.run(string(text))
 		var out []byte
 		if err != nil {
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[len(head)-4:])
-	if n < 4 || n > pgwire.MostQuery {
+	if n < 4 || n > pgwire.MaxQuerySize {
 		return nil, errors.New("length is out of bounds")
 	}
 	body := make([]byte, n-4)
--- a/fleet/config/node.go
+++ b/fleet/config/node.go
@@ -1,7 +1,7 @@
 package config
 
 import (
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // node is what fronts and control machines have in common: it serves children, asks upstreams and passes
@@ -9,7 +9,7 @@
 type node struct {
 	fleet, name string
 	now         Time
-	source      mwc.Source
+	source      random.Source
 	budget      budget
 	send        func(addr string, message []byte)
 	buffer      []byte // of the message that is sent
@@ -29,7 +29,7 @@
 }
 
 func newNode(now Time, fleet, name string, seed uint64, send func(addr string, message []byte)) node {
-	return node{fleet: fleet, name: name, now: now, source: mwc.New(seed), send: send}
+	return node{fleet: fleet, name: name, now: now, source: random.New(seed), send: send}
 }
 
 // proof is a moment at which no version newer than the one held existed, by this machine's clock.
--- a/fleet/config/peers.go
+++ b/fleet/config/peers.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // The tree that versions go down and reports go up. All fronts stand in the order of their names' hashes. The
@@ -74,7 +74,7 @@
 }
 
 // first gives the address of the upstream that reports go to, on an attempt from 0.
-func (t *topology) first(attempt int, source *mwc.Source) string {
+func (t *topology) first(attempt int, source *random.Source) string {
 	direct := len(t.controls) * controlFanOut
 	switch {
 	case len(t.controls) > 0 && (t.rank < direct || t.rank == 0):
@@ -93,7 +93,7 @@
 }
 
 // second gives the address of the upstream beside the first, on an attempt from 0.
-func (t *topology) second(attempt int, source *mwc.Source) string {
+func (t *topology) second(attempt int, source *random.Source) string {
 	toControl := attempt%controlEvery == controlEvery-1 || len(t.fronts) == 0
 	if toControl && len(t.controls) > 0 {
 		return t.controls[source.Below(int64(len(t.controls)))].Addr
--- a/fleet/config/world_test.go
+++ b/fleet/config/world_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // A world of fronts and control machines on one virtual clock, over links that delay, lose, double and spoil.
@@ -64,7 +64,7 @@
 	now         Time
 	queue       events
 	order       uint64
-	source      mwc.Source
+	source      random.Source
 	machines    map[string]*machine
 	controls    []*machine
 	fronts      []*machine
@@ -84,7 +84,7 @@
 }
 
 func newWorld(t testing.TB, seed uint64, controls, fronts, zones int) *world {
-	w := &world{t: t, now: 1000 * Second, source: mwc.New(seed), machines: map[string]*machine{},
+	w := &world{t: t, now: 1000 * Second, source: random.New(seed), machines: map[string]*machine{},
 		known: map[Version]*Document{}, committedAt: map[Version]Time{}, within: 30 * Millisecond, between: 80 * Millisecond}
 	for k := range controls {
 		w.controls = append(w.controls, w.add(fmt.Sprint("control", k), k%zones, zones))
@@ -152,7 +152,7 @@
 	m.down = false
 	m.life++
 	m.since = w.now
-	seed := uint64(w.source.Next()) + m.life
+	seed := uint64(w.source.Uint32()) + m.life
 	if m.log != nil {
 		m.control = NewDistributor(w.now, DistributorOptions{Fleet: "blue", Name: m.name, Seed: seed}, m.log, m)
 		m.control.SetPeers(w.now, w.peers())
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,9 +20,9 @@
 	// Send sends a datagram, which may be lost. The message is valid only during the call.
 	Send(addr string, message *membership.Message)
 	// Exchange starts a full exchange with an address; Members.Open gives the message to send.
-	Exchange(addr string)
+	StartSync(addr string)
 	// Part is told the share of ordinary traffic that may go to a zone, from 0 to 1.
-	Part(zone string, share float64)
+	SetShare(zone string, share float64)
 	// Log writes one line of the front's log.
 	Log(text string)
 }
@@ -32,7 +32,7 @@
 	Members *membership.Members
 	Zones   *zones.Zones
 	// Changed is set when a member has come, gone or moved. Whoever has taken that in sets it back.
-	Changed bool
+	MembersChanged bool
 
 	host   Host
 	now    Time // of the call in hand
@@ -41,14 +41,14 @@
 }
 
 // New returns a view. What zones needs of the front itself is taken from its configuration for membership.
-func New(now Time, self membership.Self, zonesSelf zones.Self, host Host) *Fleet {
+func New(now Time, self membership.Config, zonesSelf zones.Config, host Host) *Fleet {
 	f := &Fleet{host: host, now: now, dueAt: now, period: self.Period}
 	zonesSelf.Name = self.Name
 	zonesSelf.Zone = self.Zone
 	zonesSelf.Incarnation = self.Incarnation
 	zonesSelf.Period = self.Period
-	zonesSelf.Observers = self.Members
-	zonesSelf.NoteLife = self.NoteLife
+	zonesSelf.MaxObservers = self.MaxMembers
+	zonesSelf.NoteTTL = self.NoteTTL
 	f.Zones = zones.New(now, zonesSelf, adapter{f})
 	f.Members = membership.New(now, self, adapter{f})
 	return f
@@ -59,21 +59,21 @@
 
 func (a adapter) Send(addr string, message *membership.Message) { a.fleet.host.Send(addr, message) }
 
-func (a adapter) Exchange(addr string) { a.fleet.host.Exchange(addr) }
+func (a adapter) StartSync(addr string) { a.fleet.host.StartSync(addr) }
 
-func (a adapter) SetShare(zone string, share float64) { a.fleet.host.Part(zone, share) }
+func (a adapter) SetShare(zone string, share float64) { a.fleet.host.SetShare(zone, share) }
 
 func (a adapter) Log(text string) { a.fleet.host.Log(text) }
 
 func (a adapter) MemberChanged(name, zone string, state membership.State) {
-	a.fleet.Changed = true
-	a.fleet.Zones.Member(a.fleet.now, name, zone, state <= membership.Suspect)
+	a.fleet.MembersChanged = true
+	a.fleet.Zones.UpdateMember(a.fleet.now, name, zone, state <= membership.Suspect)
 }
 
 func (a adapter) StopSpreading(key string) { a.fleet.Members.StopSpreading(key) }
 
 func (a adapter) NoteReceived(key []byte, note membership.Note, age Time) membership.Spread {
-	return spreads[a.fleet.Zones.Heard(a.fleet.now, key, note.Version, age, note.Body)]
+	return spreads[a.fleet.Zones.ReceiveNote(a.fleet.now, key, note.Version, age, note.Body)]
 }
 
 // spreads gives membership's word for each of zones'.
@@ -88,11 +88,11 @@
 	a.fleet.Members.Publish(a.fleet.now, key, version, body, spreads[spread])
 }
 
-// Take takes in a received message. It returns whether the sender expects Members.Open(membership.Answer) in
+// Receive takes in a received message. It returns whether the sender expects Members.Open(membership.Answer) in
 // answer.
-func (f *Fleet) Take(now Time, message *membership.Message) (answer bool) {
+func (f *Fleet) Receive(now Time, message *membership.Message) (answer bool) {
 	f.now = now
-	return f.Members.Take(now, message)
+	return f.Members.Receive(now, message)
 }
 
 // Next returns when Tick must be called again.
@@ -104,13 +104,13 @@
 	f.now = now
 	switch {
 	case late > f.period:
-		f.Zones.Stalled(now)
+		f.Zones.HandleStall(now)
 	case late > f.period/overloadDivisor:
-		f.Zones.Overloaded(now)
+		f.Zones.HandleOverload(now)
 	}
 	f.Members.Tick(now)
 	for _, zone := range f.Members.Zones() {
-		f.Zones.ZoneHeard(zone, f.Members.ZoneHeard(zone))
+		f.Zones.SetZoneLastHeard(zone, f.Members.ZoneLastHeard(zone))
 	}
 	if !f.Members.Replaced() {
 		f.Zones.Tick(now)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 
 	"micatrack/fleet/membership"
 	"micatrack/fleet/zones"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // A fleet on a virtual clock: real Fleets, stores that are a few numbers each, and fronts that choose among them as the
@@ -37,7 +37,7 @@
 
 type world struct {
 	now     Time
-	chance  mwc.Source
+	chance  random.Source
 	names   []string // of zones
 	each    int      // stores of a zone
 	stores  []health // zone by zone
@@ -75,7 +75,7 @@
 }
 
 func build(seed uint64, fronts, zoneCount, each int, rate float64) *world {
-	w := &world{now: 1_000_000, chance: mwc.New(seed), each: each, byAddr: map[string]*one{}, on: true, rate: rate, delay: 10 * millisecond,
+	w := &world{now: 1_000_000, chance: random.New(seed), each: each, byAddr: map[string]*one{}, on: true, rate: rate, delay: 10 * millisecond,
 		left: map[*one]map[string]Time{}, changes: map[string]int{}}
 	for z := range zoneCount {
 		w.names = append(w.names, string(rune('a'+z)))
@@ -94,14 +94,14 @@
 func (w *world) begin(k int, life uint64) *one {
 	o := &one{w: w, name: fmt.Sprintf("f%d", k), zone: k % len(w.names), parts: slices.Repeat([]float64{1}, len(w.names)),
 		down: make([]int, len(w.stores)), probeAt: make([]Time, len(w.stores))}
-	o.f = New(w.now, membership.Self{Name: o.name, Zone: w.names[o.zone], Addr: o.name, Incarnation: life, Seed: uint64(k)<<8 + life, Period: period,
-		Seeds: []string{"f0", "f1", "f2"}, Members: 4096, NoteLife: 20 * period},
-		zones.Self{StartShare: start, Cold: cold, FallSpan: fallSpan}, o)
+	o.f = New(w.now, membership.Config{Name: o.name, Zone: w.names[o.zone], Addr: o.name, Incarnation: life, RandomSeed: uint64(k)<<8 + life, Period: period,
+		Seeds: []string{"f0", "f1", "f2"}, MaxMembers: 4096, NoteTTL: 20 * period},
+		zones.Config{ColdCapacity: start, WarmupTime: cold, OverloadTolerance: fallSpan}, o)
 	var list []zones.Store
 	for s := range w.stores {
 		list = append(list, zones.Store{ID: fmt.Sprint("s", s), Zone: w.names[s/w.each], Size: 1, Open: true})
 	}
-	o.f.Zones.Listed(w.now, true, list)
+	o.f.Zones.UpdateStores(w.now, true, list)
 	w.byAddr[o.name] = o
 	if k < len(w.fronts) {
 		w.fronts[k].dead = true
@@ -161,24 +161,24 @@
 	case o.dead:
 	case o.stopped:
 		o.w.after(tick, func() { o.hear(c, answer) })
-	case o.f.Take(o.w.now, c) && answer != nil:
-		answer(dup(o.f.Members.Open(membership.Answer)))
+	case o.f.Receive(o.w.now, c) && answer != nil:
+		answer(dup(o.f.Members.SyncMessage(membership.SyncResponse)))
 	}
 }
 
-func (o *one) Exchange(addr string) {
+func (o *one) StartSync(addr string) {
 	w := o.w
 	to := w.byAddr[addr]
 	if to == nil || w.between(o, to) || w.between(to, o) {
 		return
 	}
-	c := dup(o.f.Members.Open(membership.Whole))
+	c := dup(o.f.Members.SyncMessage(membership.SyncRequest))
 	w.after(2*w.delay, func() {
 		to.hear(c, func(back *membership.Message) { w.after(w.delay, func() { o.hear(back, nil) }) })
 	})
 }
 
-func (o *one) Part(zone string, part float64) {
+func (o *one) SetShare(zone string, part float64) {
 	w := o.w
 	for z, name := range w.names {
 		if name == zone {
@@ -205,7 +205,7 @@
 }
 
 // reaches tells how a store answers a front now.
-func (w *world) reaches(o *one, s int) (end zones.End, took Time) {
+func (w *world) reaches(o *one, s int) (end zones.Outcome, took Time) {
 	h, z := &w.stores[s], s/w.each
 	if h.silent || w.cut != nil && (w.cut(o.zone, z) || w.cut(z, o.zone)) {
 		return zones.TimedOut, timeout
@@ -254,7 +254,7 @@
 			o.probeAt[s] = w.now + min(period<<min(o.down[s], 5), cold)
 		}
 		if !o.off && w.on {
-			o.f.Zones.Ended(w.now, fmt.Sprint("s", s), end, took, 300*millisecond)
+			o.f.Zones.RecordOutcome(w.now, fmt.Sprint("s", s), end, took, 300*millisecond)
 		}
 	})
 }
@@ -663,10 +663,10 @@
 func TestByHand(t *testing.T) {
 	w := build(11, 30, 3, 10, 20)
 	w.run(15 * second)
-	if err := w.fronts[7].f.Zones.Order(w.now, "nowhere", true, false, second, 1); err == nil {
+	if err := w.fronts[7].f.Zones.IssueOrder(w.now, "nowhere", true, false, second, 1); err == nil {
 		t.Error("a zone that nobody knows is left")
 	}
-	if err := w.fronts[7].f.Zones.Order(w.now, "b", true, false, 20*second, uint64(w.now)); err != nil {
+	if err := w.fronts[7].f.Zones.IssueOrder(w.now, "b", true, false, 20*second, uint64(w.now)); err != nil {
 		t.Fatal(err)
 	}
 	w.run(second)
@@ -676,10 +676,10 @@
 	w.parts(t, 1, 0, func(o *one) bool { return o == late })
 	w.run(8*second + 2*cold)
 	w.parts(t, 1, 1, nil)
-	w.fronts[3].f.Zones.Order(w.now, "b", true, false, 600*second, uint64(w.now))
+	w.fronts[3].f.Zones.IssueOrder(w.now, "b", true, false, 600*second, uint64(w.now))
 	w.run(2 * second)
 	w.parts(t, 1, 0, nil)
-	w.fronts[8].f.Zones.Order(w.now, "b", false, false, 0, uint64(w.now))
+	w.fronts[8].f.Zones.IssueOrder(w.now, "b", false, false, 0, uint64(w.now))
 	w.run(2 * second)
 	for _, o := range w.fronts {
 		if o.parts[1] == 0 {
@@ -688,10 +688,10 @@
 	}
 	w.run(2 * cold)
 	w.parts(t, 1, 1, nil)
-	w.fronts[0].f.Zones.Order(w.now, "a", true, true, 60*second, uint64(w.now))
-	w.fronts[0].f.Zones.Order(w.now, "b", true, true, 60*second, uint64(w.now))
+	w.fronts[0].f.Zones.IssueOrder(w.now, "a", true, true, 60*second, uint64(w.now))
+	w.fronts[0].f.Zones.IssueOrder(w.now, "b", true, true, 60*second, uint64(w.now))
 	w.run(2 * second)
-	if err := w.fronts[1].f.Zones.Order(w.now, "c", true, false, 60*second, uint64(w.now)); err == nil {
+	if err := w.fronts[1].f.Zones.IssueOrder(w.now, "c", true, false, 60*second, uint64(w.now)); err == nil {
 		t.Error("the last zone is left without being told outright")
 	}
 }
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // choice is one thing that may happen next.
@@ -161,7 +161,7 @@
 // walk plays histories drawn from seeds, so many steps each, and gives the first in which two hold one lease.
 func walk(f flaw, walks, steps int, rates ...float64) (played int, found []string) {
 	for n := range walks {
-		chance := mwc.New(uint64(n)*2654435761 + 1)
+		chance := random.New(uint64(n)*2654435761 + 1)
 		w := ready(f, rates...)
 		var path []string
 		for k := range steps {
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // Terms are what holders and grantors agree on, from the operators' file.
@@ -80,7 +80,7 @@
 	addr     string
 	terms    Terms
 	voters   int
-	mwc      mwc.Source
+	mwc      random.Source
 	now      Time
 	slept    Time // boot time less monotonic, as last seen
 	seq      uint64
@@ -91,7 +91,7 @@
 // NewHolder starts with no leases.
 func NewHolder(now Time, self Party, addr string, voters int, t Terms, seed uint64, h Asker) *Holder {
 	mono, boot := h.Moment()
-	return &Holder{host: h, self: self, addr: addr, terms: t, voters: voters, mwc: mwc.New(seed), now: now, slept: boot - mono}
+	return &Holder{host: h, self: self, addr: addr, terms: t, voters: voters, mwc: random.New(seed), now: now, slept: boot - mono}
 }
 
 func (h *Holder) find(name string) *holding {
--- a/fleet/lease/voter.go
+++ b/fleet/lease/voter.go
@@ -26,7 +26,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 const (
@@ -55,7 +55,7 @@
 	tickAt        Time
 	silentTicks   int // ticks without a sign of a leader
 	electionTicks int // silent ticks after which this voter stands
-	mwc           mwc.Source
+	mwc           random.Source
 	leads         bool
 	readyAt       uint64 // term that this voter leads in and has applied an entry of; 0: none
 	timed         map[string]*timing
@@ -81,7 +81,7 @@
 	now Time, id uint64, voters []uint64, k Kept, t Terms, seed uint64, h VoterHost, m StateMachine,
 ) (*Voter, error) {
 	v := &Voter{
-		host: h, machine: m, id: id, terms: t, now: now, mwc: mwc.New(seed), disk: raft.NewMemoryStorage(),
+		host: h, machine: m, id: id, terms: t, now: now, mwc: random.New(seed), disk: raft.NewMemoryStorage(),
 		book: newBook(), timed: map[string]*timing{}, conf: &pb.ConfState{Voters: voters},
 	}
 	if raft.IsEmptySnap(k.Snapshot) {
--- a/fleet/lease/world_test.go
+++ b/fleet/lease/world_test.go
@@ -10,7 +10,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // A world of voters and askers on machines whose clocks run apart, links that lose, double and reorder, and disks. It
@@ -443,7 +443,7 @@
 
 // play is a history from a seed: faults overlap, two holders never do.
 func (w *world) play(seed uint64, span Time) {
-	chance := mwc.New(seed)
+	chance := random.New(seed)
 	for _, a := range w.askers {
 		a.h.Want(a.clock(), fmt.Sprint("l", a.n%2))
 	}
@@ -501,7 +501,7 @@
 		case 4:
 			a.down = false
 		case 5:
-			side := chance.Next()
+			side := chance.Uint32()
 			w.cut = func(from, to string) bool {
 				x, y := side>>(xxhash.Sum64String(from)%32)&1, side>>(xxhash.Sum64String(to)%32)&1
 				return x != y && (side>>31 == 0 || x == 0) // or one way alone
--- a/fleet/membership/budget_test.go
+++ b/fleet/membership/budget_test.go
@@ -64,10 +64,10 @@
 // view gives a view of so many members of one zone, which have all answered.
 func viewOf(members int) *Members {
 	d := &node{net: newNet(1), dead: map[string]int{}, heard: map[string]uint64{}}
-	d.m = New(1, Self{Name: "self", Zone: "a", Addr: "self", Period: period, Members: 1024, NoteLife: 1 << 40}, d)
+	d.m = New(1, Config{Name: "self", Zone: "a", Addr: "self", Period: period, MaxMembers: 1024, NoteTTL: 1 << 40}, d)
 	for k := range members {
 		name := fmt.Sprintf("m%d", k)
-		d.m.Take(1, &Message{Kind: Gossip, Sender: Fact{Name: []byte(name), Zone: []byte("a"), Addr: []byte(name), Incarnation: 1}})
+		d.m.Receive(1, &Message{Kind: Gossip, Sender: Fact{Name: []byte(name), Zone: []byte("a"), Addr: []byte(name), Incarnation: 1}})
 	}
 	return d.m
 }
@@ -77,10 +77,10 @@
 func TestExchangeCarriesWhatDiffers(t *testing.T) {
 	a, b := viewOf(300), viewOf(300)
 	ask := func(digest []byte) *Message {
-		b.rememberDigest(&Message{Kind: Whole, Digest: digest})
-		return b.Open(Answer)
+		b.rememberDigest(&Message{Kind: SyncRequest, Digest: digest})
+		return b.SyncMessage(SyncResponse)
 	}
-	digest := append([]byte(nil), a.Open(Whole).Digest...)
+	digest := append([]byte(nil), a.SyncMessage(SyncRequest).Digest...)
 	if got := ask(digest); len(got.Facts) != 0 || len(got.Notes) != 0 {
 		t.Errorf("%d facts and %d notes of what both hold", len(got.Facts), len(got.Notes))
 	}
@@ -97,7 +97,7 @@
 	if got := ask(nil); len(got.Facts) != 300 {
 		t.Errorf("without a digest %d facts", len(got.Facts))
 	}
-	starting := append([]byte(nil), viewOf(1).Open(Whole).Digest...)
+	starting := append([]byte(nil), viewOf(1).SyncMessage(SyncRequest).Digest...)
 	if got := ask(starting); len(got.Facts) != 300 {
 		t.Errorf("a front that starts is told %d facts", len(got.Facts))
 	}
@@ -121,12 +121,12 @@
 		name := fmt.Appendf(nil, "m%d", k)
 		b.applyFact(&Fact{Name: name, Zone: []byte("a"), Addr: name, Incarnation: 2})
 	}
-	digest := append([]byte(nil), a.Open(Whole).Digest...)
+	digest := append([]byte(nil), a.SyncMessage(SyncRequest).Digest...)
 	told, bytes := map[string]bool{}, 0
 	const asks = 60
 	for k := range asks {
-		b.rememberDigest(&Message{Kind: Whole, Digest: digest})
-		answer := b.Open(Answer)
+		b.rememberDigest(&Message{Kind: SyncRequest, Digest: digest})
+		answer := b.SyncMessage(SyncResponse)
 		for i := range answer.Facts {
 			told[string(answer.Facts[i].Name)] = true
 			bytes += answer.Facts[i].size()
@@ -152,15 +152,15 @@
 	alive := dead
 	alive.State = Alive
 	m.nextContestAt = 3 // so that it is not told in an exchange of its own, which begins at once otherwise
-	m.Take(2, &Message{Kind: Answer, Sender: Fact{Name: []byte("m1"), Zone: []byte("a"), Addr: []byte("m1"), Incarnation: 1}, Facts: []Fact{alive}})
-	if got := m.Open(Whole); len(got.Facts) != 1 || string(got.Facts[0].Name) != "m3" || got.Facts[0].State != Dead {
+	m.Receive(2, &Message{Kind: SyncResponse, Sender: Fact{Name: []byte("m1"), Zone: []byte("a"), Addr: []byte("m1"), Incarnation: 1}, Facts: []Fact{alive}})
+	if got := m.SyncMessage(SyncRequest); len(got.Facts) != 1 || string(got.Facts[0].Name) != "m3" || got.Facts[0].State != Dead {
 		t.Errorf("the next exchange tells %+v", got.Facts)
 	}
-	if got := m.Open(Whole); len(got.Facts) != 0 {
+	if got := m.SyncMessage(SyncRequest); len(got.Facts) != 0 {
 		t.Errorf("it is told again: %+v", got.Facts)
 	}
 	for k, now := range []Time{4, 5} { // the first begins an exchange, which takes the fact along; the second has to wait
-		m.Take(now, &Message{Kind: Answer, Sender: Fact{Name: []byte("m1"), Zone: []byte("a"), Addr: []byte("m1"), Incarnation: 1}, Facts: []Fact{alive}})
+		m.Receive(now, &Message{Kind: SyncResponse, Sender: Fact{Name: []byte("m1"), Zone: []byte("a"), Addr: []byte("m1"), Incarnation: 1}, Facts: []Fact{alive}})
 		if waiting := len(m.contested); waiting != k {
 			t.Errorf("%d facts wait for an exchange after answer %d", waiting, k+1)
 		}
--- a/fleet/membership/digest.go
+++ b/fleet/membership/digest.go
@@ -155,7 +155,7 @@
 		return
 	}
 	m.nextContestAt = m.now + m.jitter(rejoinPeriods)
-	m.host.Exchange(m.members[from].addr)
+	m.host.StartSync(m.members[from].addr)
 }
 
 // holdsNothing reports whether a digest is that of a front that has just started and knows itself and few others.
--- a/fleet/membership/digest_test.go
+++ b/fleet/membership/digest_test.go
@@ -60,11 +60,11 @@
 
 	n.start("a4", "a", "twin", 5)
 	n.run(20 * period)
-	n.nodes["a1"].m.self.Members = 60 // so that the dead make room
+	n.nodes["a1"].m.self.MaxMembers = 60 // so that the dead make room
 	for k := range 300 {
 		sender := Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"),
 			Incarnation: 1}
-		n.nodes["a1"].m.Take(n.now, &Message{Kind: Gossip, Sender: sender})
+		n.nodes["a1"].m.Receive(n.now, &Message{Kind: Gossip, Sender: sender})
 		n.run(100)
 	}
 	n.run(20 * period)
@@ -82,8 +82,8 @@
 
 	for _, node := range n.order {
 		view := node.m
-		fmt.Fprintln(hash, view.List(), view.Health(), view.Joined(), view.Replaced(), view.Alone(), view.Zones(),
-			view.ZoneHeard("b"), view.Next(), view.Dropped)
+		fmt.Fprintln(hash, view.List(), view.Health(), view.Joined(), view.Replaced(), view.Isolated(), view.Zones(),
+			view.ZoneLastHeard("b"), view.Next(), view.Dropped)
 	}
 	if got := fmt.Sprintf("%016x", hash.Sum64()); got != playDigest {
 		t.Errorf("the actions hash to %s, recorded is %s", got, playDigest)
--- a/fleet/membership/members.go
+++ b/fleet/membership/members.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // noMember is the index of no member. The front itself is selfIndex.
@@ -26,7 +26,7 @@
 	// Send sends a datagram, which may be lost. The message is valid only during the call.
 	Send(addr string, message *Message)
 	// Exchange starts a full exchange with an address; Members.Open gives the message to send.
-	Exchange(addr string)
+	StartSync(addr string)
 	// MemberChanged is told the new state of a member.
 	MemberChanged(name, zone string, state State)
 	// NoteReceived is told a note that is newer than what was known of its key, and its age. It returns
@@ -36,23 +36,23 @@
 	Log(text string)
 }
 
-// Self is the configuration of the front itself.
-type Self struct {
+// Config is the configuration of the front itself.
+type Config struct {
 	Name, Zone, Addr string
 	Incarnation      uint64 // at least 1; larger than in the previous life, where a clock can be read
-	Seed             uint64 // of the random numbers
+	RandomSeed       uint64 // of the random numbers
 	Period           Time   // of the protocol; rounds of gossip are a tenth of it apart
 	Seeds            []string
-	Members          int  // bound on the table, this front included; from 2 to MostFacts
-	NoteLife         Time // notes older than this are dropped
+	MaxMembers       int  // bound on the table, this front included; from 2 to MostFacts
+	NoteTTL          Time // notes older than this are dropped
 }
 
 // Members is the view of one front. It is not safe for concurrent use.
 type Members struct {
 	host   Host
-	self   Self
+	self   Config
 	now    Time // of the call in hand
-	random mwc.Source
+	random random.Source
 
 	// The table (table.go). The front itself is members[selfIndex].
 	members     []member
@@ -113,14 +113,14 @@
 
 // New returns a view that holds this front alone. Incarnation and Members are raised or lowered into their
 // bounds.
-func New(now Time, self Self, host Host) *Members {
+func New(now Time, self Config, host Host) *Members {
 	self.Incarnation = max(self.Incarnation, 1)
-	self.Members = min(max(self.Members, minMembers), MostFacts)
+	self.MaxMembers = min(max(self.MaxMembers, minMembers), MaxFacts)
 	m := &Members{
 		host:        host,
 		self:        self,
 		now:         now,
-		random:      mwc.New(self.Seed),
+		random:      random.New(self.RandomSeed),
 		byName:      map[string]int32{},
 		noteByKey:   map[string]int32{},
 		zoneByName:  map[string]int{},
@@ -178,11 +178,11 @@
 // Health returns Lifeguard's local health multiplier: 0 is well, 8 is the worst.
 func (m *Members) Health() int { return m.health }
 
-// Alone reports whether no other member has been heard for four periods.
-func (m *Members) Alone() bool { return m.now-m.lastHeardAt > isolatedPeriods*m.self.Period }
+// Isolated reports whether no other member has been heard for four periods.
+func (m *Members) Isolated() bool { return m.now-m.lastHeardAt > isolatedPeriods*m.self.Period }
 
-// ZoneHeard returns when a member of a zone was last heard; 0 means never.
-func (m *Members) ZoneHeard(name string) Time {
+// ZoneLastHeard returns when a member of a zone was last heard; 0 means never.
+func (m *Members) ZoneLastHeard(name string) Time {
 	index, known := m.zoneByName[name]
 	if !known {
 		return 0
--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/membership_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 const period = Time(5000)
@@ -17,7 +17,7 @@
 // net is a network of views on one virtual clock.
 type net struct {
 	now    Time
-	chance mwc.Source
+	chance random.Source
 	nodes  map[string]*node
 	order  []*node
 	post   letters
@@ -69,7 +69,7 @@
 }
 
 func newNet(seed uint64) *net {
-	return &net{now: 1_000_000, chance: mwc.New(seed), nodes: map[string]*node{}, delay: 50}
+	return &net{now: 1_000_000, chance: random.New(seed), nodes: map[string]*node{}, delay: 50}
 }
 
 // copied keeps a message beyond the call.
@@ -107,20 +107,20 @@
 		return
 	}
 	c := copied(m)
-	n.put(addr, n.delay/2+n.chance.Below(n.delay), func(to *node) { to.m.Take(n.now, c) })
+	n.put(addr, n.delay/2+n.chance.Below(n.delay), func(to *node) { to.m.Receive(n.now, c) })
 }
 
-func (d *node) Exchange(addr string) {
+func (d *node) StartSync(addr string) {
 	n := d.net
 	d.act("exchange %s", addr)
 	if n.cut != nil && (n.cut(d.addr, addr) || n.cut(addr, d.addr)) {
 		return
 	}
-	c := copied(d.m.Open(Whole))
+	c := copied(d.m.SyncMessage(SyncRequest))
 	n.put(addr, n.delay, func(to *node) {
-		if to.m.Take(n.now, c) {
-			back := copied(to.m.Open(Answer))
-			n.put(d.addr, n.delay, func(from *node) { from.m.Take(n.now, back) })
+		if to.m.Receive(n.now, c) {
+			back := copied(to.m.SyncMessage(SyncResponse))
+			n.put(d.addr, n.delay, func(from *node) { from.m.Receive(n.now, back) })
 		}
 	})
 }
@@ -147,8 +147,8 @@
 func (n *net) start(name, zone, addr string, incarnation uint64) *node {
 	d := &node{net: n, addr: addr, heard: map[string]uint64{}, dead: map[string]int{}}
 	n.nodes[addr], n.order = d, append(n.order, d)
-	d.m = New(n.now, Self{Name: name, Zone: zone, Addr: addr, Incarnation: incarnation, Seed: uint64(len(n.order)) * 977,
-		Period: period, Seeds: []string{"a0", "b0"}, Members: 4096, NoteLife: 20 * period}, d)
+	d.m = New(n.now, Config{Name: name, Zone: zone, Addr: addr, Incarnation: incarnation, RandomSeed: uint64(len(n.order)) * 977,
+		Period: period, Seeds: []string{"a0", "b0"}, MaxMembers: 4096, NoteTTL: 20 * period}, d)
 	return d
 }
 
@@ -354,12 +354,12 @@
 func TestUnknownMembers(t *testing.T) {
 	n := fleet(8, 4)
 	for _, d := range n.order {
-		d.m.self.Members = 100
+		d.m.self.MaxMembers = 100
 	}
 	n.run(20 * period)
 	d := n.nodes["a1"]
 	for k := range 2000 {
-		d.m.Take(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"), Incarnation: 1}})
+		d.m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"), Incarnation: 1}})
 		n.run(50)
 	}
 	if got := len(d.m.members); got > 100 {
@@ -399,7 +399,7 @@
 	if late > 1 {
 		t.Errorf("%d of %d have not heard it after a period", late, len(n.order))
 	}
-	n.nodes["b3"].m.Take(n.now, &Message{Kind: Gossip, Sender: Fact{Name: []byte("a1"), Addr: []byte("a1"), Zone: []byte("a"), Incarnation: 1},
+	n.nodes["b3"].m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: []byte("a1"), Addr: []byte("a1"), Zone: []byte("a"), Incarnation: 1},
 		Notes: []Note{{Key: []byte("pz"), Version: 2}, {Key: []byte("old"), Version: 1, Age: 21 * period}}})
 	if d := n.nodes["b3"]; d.heard["pz"] != 3 || d.heard["old"] != 0 {
 		t.Error("an older version, or an old note, was taken")
@@ -459,7 +459,7 @@
 				in.Facts = append(in.Facts, fact())
 				in.Notes = append(in.Notes, Note{Key: []byte(name.Draw(t, "key")), Version: rapid.Uint64().Draw(t, "version"), Age: rapid.Int64().Draw(t, "age")})
 			}
-			d.m.Take(n.now, in)
+			d.m.Receive(n.now, in)
 			n.run(period / 2)
 		}
 		if e := d.m.List()[0]; e.Name != "a1" || e.State != Alive {
@@ -476,7 +476,7 @@
 	n := newNet(13)
 	d := n.start("a1", "a", "a1", 1)
 	for k := range 1000 {
-		d.m.Take(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}})
+		d.m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}})
 	}
 	fact := func(k int) Fact {
 		return Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}
@@ -484,6 +484,6 @@
 	in := &Message{Kind: Gossip, Sender: fact(1), Facts: []Fact{fact(2), fact(3), fact(4)}}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.m.Take(n.now, in)
+		d.m.Receive(n.now, in)
 	}
 }
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -42,13 +42,13 @@
 
 // The kinds of messages. Ping, Ack, PingRequest and Nack are those of SWIM and Lifeguard.
 const (
-	Ping        Kind = iota + 1 // asks for an Ack with the same Seq
-	Ack                         // answers the Ping of that Seq
-	PingRequest                 // asks the receiver to ping Target on the sender's behalf
-	Nack                        // answers a PingRequest: the helper is well, no answer of the target yet
-	Gossip                      // carries facts and notes alone
-	Whole                       // a full exchange: all facts and notes; an Answer is expected
-	Answer                      // answers a Whole with all facts and notes
+	Ping         Kind = iota + 1 // asks for an Ack with the same Seq
+	Ack                          // answers the Ping of that Seq
+	PingRequest                  // asks the receiver to ping Target on the sender's behalf
+	Nack                         // answers a PingRequest: the helper is well, no answer of the target yet
+	Gossip                       // carries facts and notes alone
+	SyncRequest                  // a full exchange: all facts and notes; an Answer is expected
+	SyncResponse                 // answers a Whole with all facts and notes
 )
 
 // Message is what one front sends another. Its bytes belong to the caller and are not kept.
@@ -65,13 +65,13 @@
 
 // Bounds of what is accepted. Lengths are in bytes.
 const (
-	MostName  = 64
-	MostZone  = 32
-	MostAddr  = 64
-	MostKey   = 1 + MostName + MostZone
-	MostBody  = 320
-	MostFacts = 4096          // facts in one message
-	MostNotes = 2 * MostFacts // notes in one message
+	MaxNameBytes = 64
+	MaxZoneBytes = 32
+	MaxAddrBytes = 64
+	MaxKeyBytes  = 1 + MaxNameBytes + MaxZoneBytes
+	MaxBodyBytes = 320
+	MaxFacts     = 4096         // facts in one message
+	MaxNotes     = 2 * MaxFacts // notes in one message
 )
 
 // Sizes on the wire, in bytes.
@@ -91,11 +91,11 @@
 
 // valid reports whether a fact keeps to the bounds.
 func (f *Fact) valid() bool {
-	return len(f.Name) > 0 && len(f.Name) <= MostName && len(f.Zone) <= MostZone && len(f.Addr) <= MostAddr &&
-		len(f.By) <= MostName && f.State <= Left && f.Incarnation > 0
+	return len(f.Name) > 0 && len(f.Name) <= MaxNameBytes && len(f.Zone) <= MaxZoneBytes && len(f.Addr) <= MaxAddrBytes &&
+		len(f.By) <= MaxNameBytes && f.State <= Left && f.Incarnation > 0
 }
 
 // valid reports whether a note keeps to the bounds.
 func (n *Note) valid() bool {
-	return len(n.Key) > 0 && len(n.Key) <= MostKey && len(n.Body) <= MostBody && n.Age >= 0
+	return len(n.Key) > 0 && len(n.Key) <= MaxKeyBytes && len(n.Body) <= MaxBodyBytes && n.Age >= 0
 }
--- a/fleet/membership/probe.go
+++ b/fleet/membership/probe.go
@@ -93,7 +93,7 @@
 func (m *Members) failProbe() {
 	target := m.probe.target
 	e := &m.members[target]
-	if e.verified && (m.probe.missingNacks > 0 || m.Alone()) {
+	if e.verified && (m.probe.missingNacks > 0 || m.Isolated()) {
 		m.raiseHealth(1)
 	}
 	if e.state == Alive {
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -1,9 +1,9 @@
 package membership
 
-// Take takes in a received message. It returns whether the sender expects a full exchange in answer:
+// Receive takes in a received message. It returns whether the sender expects a full exchange in answer:
 // Open(Answer) gives that message. Messages that are malformed, out of bounds, meant for another member or of
 // an earlier life of their sender are counted in Dropped.
-func (m *Members) Take(now Time, in *Message) (answer bool) {
+func (m *Members) Receive(now Time, in *Message) (answer bool) {
 	m.now = now
 	if m.replaced || !m.acceptable(in) {
 		m.Dropped++
@@ -20,7 +20,7 @@
 	}
 	if in.Sender.Incarnation < m.members[from].incarnation {
 		m.correctStaleSender(from, in)
-		return in.Kind == Whole
+		return in.Kind == SyncRequest
 	}
 	m.noteDirectMessage(from, &in.Sender)
 	m.applyContents(in)
@@ -33,7 +33,7 @@
 // acceptable reports whether a message keeps to the bounds and is meant for this front; one that names
 // another member was meant for a front that had this address before.
 func (m *Members) acceptable(in *Message) bool {
-	if !in.Sender.valid() || len(in.Facts) > MostFacts || len(in.Notes) > MostNotes {
+	if !in.Sender.valid() || len(in.Facts) > MaxFacts || len(in.Notes) > MaxNotes {
 		return false
 	}
 	return len(in.To) == 0 || string(in.To) == m.self.Name
@@ -71,12 +71,12 @@
 	m.learned = 0
 	for k := range in.Facts {
 		fact := &in.Facts[k]
-		if fact.State == Dead && in.Kind >= Whole {
+		if fact.State == Dead && in.Kind >= SyncRequest {
 			fact.State = Suspect
 			fact.By = in.Sender.Name
 		}
 		m.applyFact(fact)
-		if in.Kind == Answer {
+		if in.Kind == SyncResponse {
 			m.compareAnswer(fact)
 		}
 	}
@@ -96,11 +96,11 @@
 		m.startRelay(from, in)
 	case Nack:
 		m.receiveNack(in.Seq)
-	case Whole:
+	case SyncRequest:
 		m.joined = true
 		m.rememberDigest(in)
 		return true
-	case Answer:
+	case SyncResponse:
 		m.joined = true
 		if m.replayDue {
 			m.replayDue = false
--- a/fleet/membership/relay.go
+++ b/fleet/membership/relay.go
@@ -22,7 +22,7 @@
 // it holds itself, at the address that it holds.
 func (m *Members) startRelay(from int32, request *Message) {
 	addrLength := len(request.TargetAddr)
-	if addrLength == 0 || addrLength > MostAddr || len(request.Target) > MostName {
+	if addrLength == 0 || addrLength > MaxAddrBytes || len(request.Target) > MaxNameBytes {
 		m.Dropped++
 		return
 	}
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -63,7 +63,7 @@
 // While no other member is heard the suspicion is extended.
 func (m *Members) expireSuspicion(index int32) {
 	e := &m.members[index]
-	if m.Alone() {
+	if m.Isolated() {
 		e.suspectUntil = m.now + m.self.Period
 		return
 	}
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -11,14 +11,14 @@
 // minLearned is of how many members an answer has to tell something new to count as much.
 const minLearned = 8
 
-// Open returns the message that begins a full exchange (Whole) or answers the one that was taken in last (Answer). It is
+// SyncMessage returns the message that begins a full exchange (Whole) or answers the one that was taken in last (Answer). It is
 // valid until the next call.
-func (m *Members) Open(kind Kind) *Message {
+func (m *Members) SyncMessage(kind Kind) *Message {
 	m.messageFacts = m.messageFacts[:0]
 	m.messageNotes = m.messageNotes[:0]
 	m.message = Message{Kind: kind, Sender: m.factOf(selfIndex)}
 	switch {
-	case kind == Whole:
+	case kind == SyncRequest:
 		m.openDigest()
 	case m.askerHasDigest && m.askerDigest.holdsNothing():
 		m.openDifference(&m.firstBudget, minFirstBytes)
@@ -57,7 +57,7 @@
 		m.nextSyncAt = m.now + m.jitter(syncPeriods)
 		partner := m.pickAnyZone()
 		if partner > selfIndex {
-			m.host.Exchange(m.members[partner].addr)
+			m.host.StartSync(m.members[partner].addr)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	if m.joined {
 		addr := m.unreachedAddr()
 		if addr != "" {
-			m.host.Exchange(addr)
+			m.host.StartSync(addr)
 		}
 		return
 	}
@@ -79,7 +79,7 @@
 		addr := m.self.Seeds[m.seedTurn]
 		m.seedTurn = (m.seedTurn + 1) % len(m.self.Seeds)
 		if addr != m.self.Addr {
-			m.host.Exchange(addr)
+			m.host.StartSync(addr)
 			return
 		}
 	}
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -85,7 +85,7 @@
 // allocateMember returns the index of a place for a new member: a free one, else that of the member that has
 // been dead longest, else noMember.
 func (m *Members) allocateMember() int32 {
-	if len(m.freeMembers) == 0 && len(m.members) < m.self.Members {
+	if len(m.freeMembers) == 0 && len(m.members) < m.self.MaxMembers {
 		m.members = append(m.members, member{})
 		return int32(len(m.members) - 1)
 	}
--- a/fleet/membership/tick.go
+++ b/fleet/membership/tick.go
@@ -26,7 +26,7 @@
 		m.gossip()
 		return
 	}
-	if m.Alone() && len(m.byName) > 1 {
+	if m.Isolated() && len(m.byName) > 1 {
 		m.health = maxHealth
 	}
 	m.dismissClaimant()
--- a/fleet/membership/verify.go
+++ b/fleet/membership/verify.go
@@ -51,7 +51,7 @@
 	e.firstPingAt = m.now
 	if e.firstPings >= firstPingTries {
 		e.firstPings = 0
-		if e.state == Alive && !m.Alone() {
+		if e.state == Alive && !m.Isolated() {
 			m.suspect(index)
 		}
 		return
--- a/fleet/summary/summary.go
+++ b/fleet/summary/summary.go
@@ -11,12 +11,12 @@
 type Time = int64
 
 // Name of the lease.
-const Name = "summary"
+const LeaseName = "summary"
 
 // Host is what a front does for this package.
 type Host interface {
-	May(name string, longest Time) (token uint64, ok bool) // whether an act of at most so long may begin now
-	Tell(token uint64, number uint64, within Time)         // the summary; Told follows
+	LeaseToken(name string, longest Time) (token uint64, ok bool) // whether an act of at most so long may begin now
+	SendSummary(token uint64, number uint64, within Time)         // the summary; Told follows
 	Log(text string)
 }
 
@@ -35,11 +35,11 @@
 	return &Summary{host: h, every: max(every, 1), longest: longest, next: now}
 }
 
-// Held is told when the lease is this front's: the one before may have told its last one long ago.
-func (s *Summary) Held(now Time) { s.next = now }
+// LeaseAcquired is told when the lease is this front's: the one before may have told its last one long ago.
+func (s *Summary) LeaseAcquired(now Time) { s.next = now }
 
-// Told takes in how it went.
-func (s *Summary) Told(now Time, refused bool, trouble string) {
+// SendFinished takes in how it went.
+func (s *Summary) SendFinished(now Time, refused bool, trouble string) {
 	s.out = false
 	switch {
 	case refused:
@@ -49,14 +49,14 @@
 	}
 }
 
-// Out tells whether one is being told.
-func (s *Summary) Out() bool { return s.out }
+// Sending tells whether one is being told.
+func (s *Summary) Sending() bool { return s.out }
 
 // Next is when Beat must be called again.
 func (s *Summary) Next() Time { return s.next }
 
-// Beat tells a summary if one is due and this front may.
-func (s *Summary) Beat(now Time) {
+// Tick tells a summary if one is due and this front may.
+func (s *Summary) Tick(now Time) {
 	if now < s.next {
 		return
 	}
@@ -64,9 +64,9 @@
 	if s.out { // Danger: of two that are under way the older may arrive last.
 		return
 	}
-	if token, ok := s.host.May(Name, s.longest); ok {
+	if token, ok := s.host.LeaseToken(LeaseName, s.longest); ok {
 		s.out = true
 		s.number++
-		s.host.Tell(token, s.number, s.longest)
+		s.host.SendSummary(token, s.number, s.longest)
 	}
 }
--- a/fleet/watch/watch.go
+++ b/fleet/watch/watch.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // Time is a moment or a span in whole tenths of a millisecond.
@@ -114,7 +114,7 @@
 	host    Host
 	self    Self
 	now     Time
-	mwc     mwc.Source
+	mwc     random.Source
 	members []Peer
 	indexOf map[string]int // in members, by name
 	came    []string       // members that no group has been weighed against yet
@@ -134,8 +134,8 @@
 
 // New starts without members and stores.
 func New(now Time, s Self, h Host) *Watch {
-	w := &Watch{host: h, self: s, now: now, mwc: mwc.New(s.Seed), byID: map[uint64]int{}, byStore: map[string][2]int{}, indexOf: map[string]int{}, beatAt: now}
-	w.seq = uint64(w.mwc.Next())<<32 | uint64(w.mwc.Next()) // an answer that nobody asked for has to guess it
+	w := &Watch{host: h, self: s, now: now, mwc: random.New(s.Seed), byID: map[uint64]int{}, byStore: map[string][2]int{}, indexOf: map[string]int{}, beatAt: now}
+	w.seq = uint64(w.mwc.Uint32())<<32 | uint64(w.mwc.Uint32()) // an answer that nobody asked for has to guess it
 	return w
 }
 
--- a/fleet/watch/watch_test.go
+++ b/fleet/watch/watch_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // bench is a front's host that notes what its watch asks for.
@@ -182,7 +182,7 @@
 // change of a few members weighs few pairs.
 func TestElectionKeepsUp(t *testing.T) {
 	const fronts, groups = 200, 60
-	random := mwc.New(9)
+	random := random.New(9)
 	there := make([]bool, fronts)
 	for k := range there {
 		there[k] = true
--- a/fleet/zones/capacity.go
+++ b/fleet/zones/capacity.go
@@ -20,7 +20,7 @@
 	sum, count := z.load(), 1.0
 	for k := range z.observers {
 		o := &z.observers[k]
-		if z.hasCurrentEvidence(o, z.self.NoteLife) {
+		if z.hasCurrentEvidence(o, z.self.NoteTTL) {
 			sum += float64(o.load) / wholeLoad
 			count++
 		}
--- a/fleet/zones/digest_test.go
+++ b/fleet/zones/digest_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"micatrack/fleet/zones"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // playDigest is the FNV-1a hash of every action of the play below: parts, notes with their bodies, log lines
@@ -43,7 +43,7 @@
 
 type play struct {
 	now     zones.Time
-	chance  mwc.Source
+	chance  random.Source
 	fronts  []*front
 	post    []letter
 	actions hash.Hash64
@@ -76,21 +76,21 @@
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
 func newPlay(actions hash.Hash64) *play {
-	p := &play{now: 1_000_000, chance: mwc.New(77), actions: actions, slow: 1}
+	p := &play{now: 1_000_000, chance: random.New(77), actions: actions, slow: 1}
 	p.cut = func(int, int) bool { return false }
 	for zone := range zoneCount {
 		for k := range frontCount {
 			f := &front{play: p, name: fmt.Sprint(zoneName(zone), k), zone: zone}
-			f.view = zones.New(p.now, zones.Self{Name: f.name, Zone: zoneName(zone), Incarnation: uint64(k + 1),
-				Period: digestPeriod, Observers: 64, StartShare: 0.15, Cold: 80_000, FallSpan: 15_000,
-				NoteLife: 20 * digestPeriod}, f)
+			f.view = zones.New(p.now, zones.Config{Name: f.name, Zone: zoneName(zone), Incarnation: uint64(k + 1),
+				Period: digestPeriod, MaxObservers: 64, ColdCapacity: 0.15, WarmupTime: 80_000, OverloadTolerance: 15_000,
+				NoteTTL: 20 * digestPeriod}, f)
 			p.fronts = append(p.fronts, f)
 		}
 	}
 	for _, f := range p.fronts {
-		f.view.Listed(p.now, true, list(storeCount))
+		f.view.UpdateStores(p.now, true, list(storeCount))
 		for _, other := range p.fronts {
-			f.view.Member(p.now, other.name, zoneName(other.zone), true)
+			f.view.UpdateMember(p.now, other.name, zoneName(other.zone), true)
 		}
 	}
 	return p
@@ -117,7 +117,7 @@
 		p.post = append(p.post[:0], p.post[due:]...)
 		for _, l := range arrived {
 			if !l.to.gone {
-				useful := l.to.view.Heard(p.now, []byte(l.key), l.version, p.now-l.made, l.body) != zones.DoNotSpread
+				useful := l.to.view.ReceiveNote(p.now, []byte(l.key), l.version, p.now-l.made, l.body) != zones.DoNotSpread
 				l.to.act("heard %q %d %v", l.key, l.version, useful)
 			}
 		}
@@ -127,7 +127,7 @@
 			}
 			for zone := range zoneCount {
 				if !p.cut(zone, f.zone) {
-					f.view.ZoneHeard(zoneName(zone), p.now)
+					f.view.SetZoneLastHeard(zoneName(zone), p.now)
 				}
 			}
 			p.requests(f)
@@ -145,11 +145,11 @@
 		took := zones.Time(float64(expected) * p.slow * (1 + float64(p.chance.Below(100))/200))
 		switch {
 		case p.cut(f.zone, zone):
-			f.view.Ended(p.now, id, zones.TimedOut, 2000, 0)
+			f.view.RecordOutcome(p.now, id, zones.TimedOut, 2000, 0)
 		case float64(k) < p.down[zone]*storeCount:
-			f.view.Ended(p.now, id, zones.End(1+p.chance.Below(3)), took, 0)
+			f.view.RecordOutcome(p.now, id, zones.Outcome(1+p.chance.Below(3)), took, 0)
 		default:
-			f.view.Ended(p.now, id, zones.Answered, took, expected)
+			f.view.RecordOutcome(p.now, id, zones.Answered, took, expected)
 		}
 	}
 }
@@ -160,12 +160,12 @@
 		if f.gone {
 			continue
 		}
-		for _, r := range f.view.Rows(p.now) {
+		for _, r := range f.view.Status(p.now) {
 			r.Part, r.Fleet = float64(int64(r.Part*1e6)), float64(int64(r.Fleet*1e6))
 			f.act("row %+v", r)
 		}
 		for zone := range zoneCount {
-			why, err := f.view.Why(p.now, zoneName(zone))
+			why, err := f.view.Explain(p.now, zoneName(zone))
 			f.act("why %q %v", why, err)
 		}
 		f.act("dropped %d next %d", f.view.Dropped, f.view.Next())
@@ -175,7 +175,7 @@
 // order gives an operator's order to one front.
 func (p *play) order(front int, zone string, leave, force bool, span zones.Time, version uint64) {
 	f := p.fronts[front]
-	f.act("order %v", f.view.Order(p.now, zone, leave, force, span, version))
+	f.act("order %v", f.view.IssueOrder(p.now, zone, leave, force, span, version))
 }
 
 // TestPlayDigest plays one seeded fleet through single bad stores, the loss of a zone and its way back, a
@@ -194,7 +194,7 @@
 	p.show()
 	p.down[1] = 1 // the whole zone
 	p.run(15 * digestPeriod)
-	p.fronts[2].view.Stalled(p.now)
+	p.fronts[2].view.HandleStall(p.now)
 	p.show()
 	p.run(45 * digestPeriod)
 	p.down[1] = 0
@@ -238,22 +238,22 @@
 	p.run(100 * digestPeriod)
 	p.show()
 
-	p.fronts[3].view.Stalled(p.now)
-	p.fronts[7].view.Overloaded(p.now)
+	p.fronts[3].view.HandleStall(p.now)
+	p.fronts[7].view.HandleOverload(p.now)
 	p.fronts[9].gone = true
 	for k := range 200 { // made-up members of made-up zones, which find no place
-		p.fronts[0].view.Member(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), true)
+		p.fronts[0].view.UpdateMember(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), true)
 		if k%3 == 0 {
-			p.fronts[0].view.Member(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), false)
+			p.fronts[0].view.UpdateMember(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), false)
 		}
 	}
-	p.fronts[0].view.Listed(p.now, false, []zones.Store{{ID: "far", Zone: "far", Size: 1, Open: true}})
+	p.fronts[0].view.UpdateStores(p.now, false, []zones.Store{{ID: "far", Zone: "far", Size: 1, Open: true}})
 	for _, f := range p.fronts {
-		f.view.Member(p.now, p.fronts[9].name, zoneName(p.fronts[9].zone), false)
-		f.view.Member(p.now, "late", "e", true)
-		f.view.Listed(p.now, true, list(storeCount-1))
+		f.view.UpdateMember(p.now, p.fronts[9].name, zoneName(p.fronts[9].zone), false)
+		f.view.UpdateMember(p.now, "late", "e", true)
+		f.view.UpdateStores(p.now, true, list(storeCount-1))
 		for _, key := range []string{"e" + p.fronts[1].name, "pa\x00b", "pb\x00a", "p", "ob", "x"} {
-			f.act("malformed %v", f.view.Heard(p.now, []byte(key), 1<<50, 0, []byte{1, 9, 200}) != zones.DoNotSpread)
+			f.act("malformed %v", f.view.ReceiveNote(p.now, []byte(key), 1<<50, 0, []byte{1, 9, 200}) != zones.DoNotSpread)
 		}
 	}
 	p.run(30 * digestPeriod)
--- a/fleet/zones/encoding.go
+++ b/fleet/zones/encoding.go
@@ -251,7 +251,7 @@
 	o := order{
 		leave: flags&orderFlagLeave != 0,
 		force: flags&orderFlagForce != 0,
-		span:  Time(r.varint(uint64(LongestOrder))),
+		span:  Time(r.varint(uint64(MaxOrderDuration))),
 	}
 	return o, r.finish()
 }
--- a/fleet/zones/observers.go
+++ b/fleet/zones/observers.go
@@ -10,8 +10,8 @@
 	evidence
 }
 
-// Member takes in whether another front is a member. Fronts past the bound of Observers are left out.
-func (z *Zones) Member(now Time, name, zone string, present bool) {
+// UpdateMember takes in whether another front is a member. Fronts past the bound of Observers are left out.
+func (z *Zones) UpdateMember(now Time, name, zone string, present bool) {
 	z.now = now
 	zoneIndex := z.zoneIndex(zone, false)
 	if zoneIndex == noZone || name == z.self.Name {
@@ -19,7 +19,7 @@
 	}
 	index, known := z.observerByName[name]
 	if !known {
-		if !present || len(z.observers)-len(z.freeObservers) >= z.self.Observers {
+		if !present || len(z.observers)-len(z.freeObservers) >= z.self.MaxObservers {
 			return
 		}
 		index = z.allocateObserver(name, zoneIndex)
--- a/fleet/zones/orders.go
+++ b/fleet/zones/orders.go
@@ -59,16 +59,16 @@
 	z.host.Publish(string(keyOrder)+zn.name, held.refreshVersion, z.body, SpreadQuietly)
 }
 
-// Order takes in an operator's order: to drain a zone for a span, or to return to it. The version must grow
+// IssueOrder takes in an operator's order: to drain a zone for a span, or to return to it. The version must grow
 // with each order. It returns an error if the zone has no stores, if the span is not within LongestOrder, or
 // if the other zones cannot take any of the zone's traffic and force is not given.
-func (z *Zones) Order(now Time, zone string, leave, force bool, span Time, version uint64) error {
+func (z *Zones) IssueOrder(now Time, zone string, leave, force bool, span Time, version uint64) error {
 	z.now = now
 	index, known := z.zoneByName[zone]
 	if !known || z.zones[index].size == 0 {
 		return fmt.Errorf("no zone %q has stores", zone)
 	}
-	if leave && (span <= 0 || span > LongestOrder) {
+	if leave && (span <= 0 || span > MaxOrderDuration) {
 		return errOrderSpan
 	}
 	zn := &z.zones[index]
@@ -78,7 +78,7 @@
 			"--force tells it outright", may, zone, zonePart)
 	}
 	if !leave { // it has to outlive the order that it ends
-		span = max(zn.order.until-now, z.self.NoteLife)
+		span = max(zn.order.until-now, z.self.NoteTTL)
 	}
 	given := order{leave: leave, force: force, span: span}
 	version = max(version<<orderRefreshBits, zn.order.refreshVersion+1<<orderRefreshBits)
--- a/fleet/zones/outcomes.go
+++ b/fleet/zones/outcomes.go
@@ -7,9 +7,9 @@
 	isolatedFailures = 3                  // failures in a row that may be this front's own network
 )
 
-// Ended takes in the outcome of a request, a probe or a connect to a store, and how long after its start it
+// RecordOutcome takes in the outcome of a request, a probe or a connect to a store, and how long after its start it
 // came. Expected is the answer time that its class has without load, or 0 if it has none.
-func (z *Zones) Ended(now Time, id string, outcome End, took, expected Time) {
+func (z *Zones) RecordOutcome(now Time, id string, outcome Outcome, took, expected Time) {
 	z.now = now
 	index, known := z.storeByID[id]
 	if !known || outcome != Answered && now < z.ignoreFailuresUntil {
@@ -52,7 +52,7 @@
 }
 
 // countOutcome keeps fading counts of a zone's outcomes, for people who ask why.
-func (z *Zones) countOutcome(zn *zone, outcome End) {
+func (z *Zones) countOutcome(zn *zone, outcome Outcome) {
 	if z.now-zn.outcomeCountedAt > z.window {
 		zn.outcomeCounts = [outcomes]float64{}
 		zn.outcomeCountedAt = z.now
--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -64,7 +64,7 @@
 func (z *Zones) adopt(zoneIndex int, p plan, version uint64, age Time) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
-	if age > z.self.NoteLife || version < r.version() {
+	if age > z.self.NoteTTL || version < r.version() {
 		return
 	}
 	if p.epoch > r.epoch && p.permille < r.permille && !p.byOperator {
@@ -151,7 +151,7 @@
 
 // refreshAfter is the age at which this front publishes a note of a zone again, fronts of a lower rank first.
 func (z *Zones) refreshAfter(zoneIndex int) Time {
-	return z.self.NoteLife/refreshDivisor + z.rankDelay(zoneIndex)*z.self.Period
+	return z.self.NoteTTL/refreshDivisor + z.rankDelay(zoneIndex)*z.self.Period
 }
 
 // rankDelay is this front's rank as a factor of delays, bounded.
@@ -162,7 +162,7 @@
 	zn := &z.zones[zoneIndex]
 	share := zn.row.share()
 	if zn.row.state.drains() && z.runsTrials(zoneIndex) {
-		share = max(share, z.self.StartShare)
+		share = max(share, z.self.ColdCapacity)
 	}
 	if share != zn.appliedShare {
 		zn.appliedShare = share
@@ -223,12 +223,12 @@
 func (z *Zones) lengthenDwell(r *row) {
 	recovered := r.state == InService && z.now-r.inServiceSince > dwellForgetFactor*r.dwell
 	if recovered || r.dwell == 0 {
-		r.dwell = max(z.self.FallSpan, minDwellPeriods*z.self.Period)
+		r.dwell = max(z.self.OverloadTolerance, minDwellPeriods*z.self.Period)
 		return
 	}
 	z.doubleDwell(r)
 }
 
 func (z *Zones) doubleDwell(r *row) {
-	r.dwell = min(2*r.dwell, max(maxDwellColds*z.self.Cold, z.self.FallSpan))
+	r.dwell = min(2*r.dwell, max(maxDwellColds*z.self.WarmupTime, z.self.OverloadTolerance))
 }
--- a/fleet/zones/publish.go
+++ b/fleet/zones/publish.go
@@ -83,7 +83,7 @@
 	case adds && sincePublished >= max(z.window, z.publishPause):
 		return true
 	default:
-		return loadChange > loadStep && sincePublished >= z.self.NoteLife/2 && z.rank(ownZone) < loadReporters
+		return loadChange > loadStep && sincePublished >= z.self.NoteTTL/2 && z.rank(ownZone) < loadReporters
 	}
 }
 
--- a/fleet/zones/receive.go
+++ b/fleet/zones/receive.go
@@ -13,9 +13,9 @@
 	SpreadUrgently
 )
 
-// Heard takes in a note of another front, by the first byte of its key, and returns whether it should be
+// ReceiveNote takes in a note of another front, by the first byte of its key, and returns whether it should be
 // spread further. Notes that cannot be read are counted in Dropped. Keys of other packages are not spread.
-func (z *Zones) Heard(now Time, key []byte, version uint64, age Time, body []byte) Spread {
+func (z *Zones) ReceiveNote(now Time, key []byte, version uint64, age Time, body []byte) Spread {
 	z.now = now
 	switch key[0] {
 	case keyEvidence:
--- a/fleet/zones/recovery.go
+++ b/fleet/zones/recovery.go
@@ -15,7 +15,7 @@
 // rampPermille is the share of a step of the ramp, in thousandths: the capacity that a store that was cold
 // when the ramp began has as that step begins.
 func (z *Zones) rampPermille(step int) int {
-	return int(wholePermille * (z.self.StartShare + (1-z.self.StartShare)*float64(step)/rampSteps))
+	return int(wholePermille * (z.self.ColdCapacity + (1-z.self.ColdCapacity)*float64(step)/rampSteps))
 }
 
 // runsTrials reports whether this front is one of those that send trials to a drained zone, once that is due.
@@ -60,7 +60,7 @@
 	r := &z.zones[zoneIndex].row
 	seen := z.reportOf(ownZone, zoneIndex)
 	elapsed := z.now - r.since
-	stepSpan := max(z.self.Cold/rampSteps, z.self.Period)
+	stepSpan := max(z.self.WarmupTime/rampSteps, z.self.Period)
 	rankWait := z.rankDelay(zoneIndex) * z.self.Period / rankDelayDivisor
 	tooManyFail := seen.failedPart() >= stepBackShare
 	switch {
--- a/fleet/zones/state.go
+++ b/fleet/zones/state.go
@@ -28,15 +28,15 @@
 	return [...]string{"steady", "doubted", "leaving", "away", "returning"}[s]
 }
 
-// End is the outcome of a request, a probe or a connect to a store, as far as it says anything of the way
+// Outcome is the outcome of a request, a probe or a connect to a store, as far as it says anything of the way
 // there.
-type End uint8
+type Outcome uint8
 
 // The outcomes.
 const (
-	Answered       End = iota // with any answer, an error included
-	Refused                   // the connection was refused
-	TimedOut                  // there was no answer in time
-	ConnectionLost            // the connection ended before the answer
+	Answered       Outcome = iota // with any answer, an error included
+	Refused                       // the connection was refused
+	TimedOut                      // there was no answer in time
+	ConnectionLost                // the connection ended before the answer
 	outcomes
 )
--- a/fleet/zones/status.go
+++ b/fleet/zones/status.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Row is what this front holds of a zone, as people are shown it.
-type Row struct {
+// ZoneStatus is what this front holds of a zone, as people are shown it.
+type ZoneStatus struct {
 	Zone   string  `json:"zone"`
 	State  string  `json:"state"`
 	Part   float64 `json:"part"`  // share that this front may send there, from 0 to 1
@@ -17,8 +17,8 @@
 	Reason string  `json:"reason,omitempty"`
 }
 
-// Rows returns what is held of each zone with stores or fronts.
-func (z *Zones) Rows(now Time) (rows []Row) {
+// Status returns what is held of each zone with stores or fronts.
+func (z *Zones) Status(now Time) (rows []ZoneStatus) {
 	for index := range z.zones {
 		zn := &z.zones[index]
 		r := &zn.row
@@ -26,7 +26,7 @@
 		if state == InService && r.suspected {
 			state = Suspected
 		}
-		rows = append(rows, Row{
+		rows = append(rows, ZoneStatus{
 			Zone:   zn.name,
 			State:  state.String(),
 			Part:   zn.appliedShare,
@@ -43,9 +43,9 @@
 	return rows
 }
 
-// Why returns what is seen of a zone, in lines for people: the report of each zone, the outcomes of this
+// Explain returns what is seen of a zone, in lines for people: the report of each zone, the outcomes of this
 // front's requests, the verdict, the capacity. It returns an error if the zone is not known.
-func (z *Zones) Why(now Time, name string) (lines []string, err error) {
+func (z *Zones) Explain(now Time, name string) (lines []string, err error) {
 	z.now = now
 	index, known := z.zoneByName[name]
 	if !known {
