--- a/fleet/zones/stores.go
+++ b/fleet/zones/stores.go
@@ -19,14 +19,14 @@
 	slot        uint8 // its bit in evidence
 	size        float64
 	open        bool
-	lastOutcome End
+	lastOutcome Outcome
 	outcomeAt   Time // noTime: there is none
 	listed      bool
 }
 
-// Listed takes in a list of stores: all of them if whole, else those that have changed. Stores of zones past
+// UpdateStores takes in a list of stores: all of them if whole, else those that have changed. Stores of zones past
 // the bound are left out.
-func (z *Zones) Listed(now Time, whole bool, list []Store) {
+func (z *Zones) UpdateStores(now Time, whole bool, list []Store) {
 	z.now = now
 	for index := range z.stores {
 		z.stores[index].listed = z.stores[index].listed && !whole
--- a/fleet/zones/table.go
+++ b/fleet/zones/table.go
@@ -75,8 +75,8 @@
 	return noZone
 }
 
-// ZoneHeard takes in when a front of a zone was last heard.
-func (z *Zones) ZoneHeard(zone string, at Time) {
+// SetZoneLastHeard takes in when a front of a zone was last heard.
+func (z *Zones) SetZoneLastHeard(zone string, at Time) {
 	index, known := z.zoneByName[zone]
 	if known {
 		z.zones[index].lastHeardAt = at
--- a/fleet/zones/tick.go
+++ b/fleet/zones/tick.go
@@ -57,11 +57,11 @@
 	zn.row.suspected = suspected
 }
 
-// Stalled takes in that this front's process stood still. What it saw before that counts for nothing, and it
+// HandleStall takes in that this front's process stood still. What it saw before that counts for nothing, and it
 // follows no plan of before; it adopts the next one that it receives.
-func (z *Zones) Stalled(now Time) {
+func (z *Zones) HandleStall(now Time) {
 	z.now = now
-	z.Overloaded(now)
+	z.HandleOverload(now)
 	for index := range z.stores {
 		z.stores[index].outcomeAt = noTime
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// Overloaded takes in that this front is short of processor time. For a period its failures count for
+// HandleOverload takes in that this front is short of processor time. For a period its failures count for
 // nothing, since a timeout may be its own.
-func (z *Zones) Overloaded(now Time) {
+func (z *Zones) HandleOverload(now Time) {
 	z.ignoreFailuresUntil = max(z.ignoreFailuresUntil, now+z.self.Period)
 }
--- a/fleet/zones/verdict.go
+++ b/fleet/zones/verdict.go
@@ -24,7 +24,7 @@
 		return false
 	}
 	other := &z.zones[of].otherRows[from]
-	return other.state.drains() && !other.byOperator && z.now-other.heardAt <= z.self.NoteLife
+	return other.state.drains() && !other.byOperator && z.now-other.heardAt <= z.self.NoteTTL
 }
 
 // gatherTestimony collects the reports of all zones that are heard, but for the zone itself.
--- a/fleet/zones/zones.go
+++ b/fleet/zones/zones.go
@@ -1,7 +1,7 @@
 package zones
 
 // LongestOrder is how long an operator's order may last: a day.
-const LongestOrder = Time(24*3600*1000) * timePerMillisecond
+const MaxOrderDuration = Time(24*3600*1000) * timePerMillisecond
 
 // incarnationShift leaves room for the versions of this life's evidence, below the incarnation.
 const incarnationShift = 20
@@ -31,22 +31,22 @@
 	Log(text string)
 }
 
-// Self is the configuration of the front itself, with the settings that all figures here are ratios of.
-type Self struct {
-	Name, Zone  string
-	Incarnation uint64
-	Period      Time    // of the membership protocol
-	Observers   int     // bound on the other fronts whose evidence is kept
-	StartShare  float64 // part of its capacity that a store has as it starts, from 0 to 1
-	Cold        Time    // after that time it has all of its capacity
-	FallSpan    Time    // how long a store must be overloaded before it fails
-	NoteLife    Time    // a note older than that counts for nothing
+// Config is the configuration of the front itself, with the settings that all figures here are ratios of.
+type Config struct {
+	Name, Zone        string
+	Incarnation       uint64
+	Period            Time    // of the membership protocol
+	MaxObservers      int     // bound on the other fronts whose evidence is kept
+	ColdCapacity      float64 // part of its capacity that a store has as it starts, from 0 to 1
+	WarmupTime        Time    // after that time it has all of its capacity
+	OverloadTolerance Time    // how long a store must be overloaded before it fails
+	NoteTTL           Time    // a note older than that counts for nothing
 }
 
 // Zones is the view of one front. It is not safe for concurrent use.
 type Zones struct {
 	host Host
-	self Self
+	self Config
 	now  Time // of the call in hand
 
 	// The tables (table.go).
@@ -86,7 +86,7 @@
 }
 
 // New returns a view without stores.
-func New(now Time, self Self, host Host) *Zones {
+func New(now Time, self Config, host Host) *Zones {
 	z := &Zones{
 		host:            host,
 		self:            self,
@@ -97,7 +97,7 @@
 		evidenceVersion: self.Incarnation << incarnationShift,
 		nextTickAt:      now,
 	}
-	z.Configure(self.StartShare, self.Cold, self.FallSpan)
+	z.Configure(self.ColdCapacity, self.WarmupTime, self.OverloadTolerance)
 	z.zoneIndex(self.Zone, true)
 	z.zones[ownZone].fronts = 1
 	return z
@@ -106,6 +106,6 @@
 // Configure takes over what the settings say of cold stores: the part of its capacity with which one starts, after which
 // time it has all of it, and how long it must be overloaded to fail. Orders and steps that have begun keep their times.
 func (z *Zones) Configure(startShare float64, cold, fallSpan Time) {
-	z.self.StartShare, z.self.Cold, z.self.FallSpan = startShare, cold, fallSpan
+	z.self.ColdCapacity, z.self.WarmupTime, z.self.OverloadTolerance = startShare, cold, fallSpan
 	z.window = max(windowFallSpans*fallSpan, windowPeriods*z.self.Period, cold/windowColdDivisor)
 }
--- a/fleet/zones/zones_test.go
+++ b/fleet/zones/zones_test.go
@@ -37,25 +37,25 @@
 // three gives a front of zone a, with two more of its zone and two of each other, and four stores in each zone.
 func three() (*Zones, *told) {
 	h := &told{parts: map[string]float64{}}
-	z := New(1000, Self{Name: "a0", Zone: "a", Incarnation: 1, Period: 5000, Observers: 64, StartShare: 0.15, Cold: 80_000, FallSpan: 15_000,
-		NoteLife: 100_000}, h)
+	z := New(1000, Config{Name: "a0", Zone: "a", Incarnation: 1, Period: 5000, MaxObservers: 64, ColdCapacity: 0.15, WarmupTime: 80_000, OverloadTolerance: 15_000,
+		NoteTTL: 100_000}, h)
 	var list []Store
 	for _, zone := range []string{"a", "b", "c"} {
 		for k := range 4 {
 			list = append(list, Store{ID: fmt.Sprint("s", zone, k), Zone: zone, Size: 1, Open: true})
 		}
 		for k := range 3 {
-			z.Member(1000, fmt.Sprint(zone, k), zone, true)
+			z.UpdateMember(1000, fmt.Sprint(zone, k), zone, true)
 		}
-		z.ZoneHeard(zone, 1000)
+		z.SetZoneLastHeard(zone, 1000)
 	}
-	z.Listed(1000, true, list)
+	z.UpdateStores(1000, true, list)
 	return z, h
 }
 
 func (z *Zones) hears(now Time, zone string, p plan, refresh uint16) {
 	r := row{plan: p, refreshes: refresh}
-	z.Heard(now, []byte("pa\x00"+zone), r.version(), 0, p.append(nil))
+	z.ReceiveNote(now, []byte("pa\x00"+zone), r.version(), 0, p.append(nil))
 }
 
 // TestTwoSetOneEpoch: two fronts of a zone set a row within one moment, one a step back and one away. The graver holds, the log
@@ -63,7 +63,7 @@
 func TestTwoSetOneEpoch(t *testing.T) {
 	z, h := three()
 	z.hears(2000, "c", plan{epoch: 3, baseEpoch: 2, state: Recovering, permille: 256, step: 1, setBy: "a1"}, 0)
-	z.Ended(2100, "sc0", TimedOut, 0, 0)
+	z.RecordOutcome(2100, "sc0", TimedOut, 0, 0)
 	z.hears(2200, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 0)
 	z.hears(2300, "c", plan{epoch: 4, baseEpoch: 4, state: Drained, dwell: 90_000, setBy: "a2"}, 0)
 	z.hears(2400, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 9)
@@ -79,13 +79,13 @@
 func TestReturnBeginsAnew(t *testing.T) {
 	z, h := three()
 	z.hears(2000, "c", plan{epoch: 1, baseEpoch: 1, state: Drained, dwell: 90_000, setBy: "a1"}, 0)
-	z.Ended(2050, "sa0", Answered, 0, 0)
+	z.RecordOutcome(2050, "sa0", Answered, 0, 0)
 	for k := range 4 {
-		z.Ended(2100, fmt.Sprint("sc", k), TimedOut, 0, 0)
+		z.RecordOutcome(2100, fmt.Sprint("sc", k), TimedOut, 0, 0)
 	}
 	rows := []zoneEvidence{{"c", 1, z.zones[z.zoneByName["c"]].stores, z.zones[z.zoneByName["c"]].stores}}
 	for _, o := range []string{"a1", "a2"} {
-		z.Heard(2200, []byte("e"+o), 1, 0, appendEvidence(nil, "a", 0, rows))
+		z.ReceiveNote(2200, []byte("e"+o), 1, 0, appendEvidence(nil, "a", 0, rows))
 	}
 	z.Tick(2300)
 	z.setRow(z.zoneByName["c"], Recovering, 150, 0, "trials came back")
@@ -101,24 +101,24 @@
 	z, h := three()
 	good := (&plan{epoch: 1, baseEpoch: 1, state: Drained, setBy: "a1"}).append(nil)
 	for n := range good {
-		z.Heard(2000, []byte("pa\x00c"), 1<<40, 0, good[:n])
+		z.ReceiveNote(2000, []byte("pa\x00c"), 1<<40, 0, good[:n])
 	}
 	for _, bad := range []plan{{epoch: 1, baseEpoch: 2, state: Drained}, {epoch: 1, state: Suspected}, {epoch: 1, state: Recovering, step: rampSteps + 1}, {epoch: 1, state: 9}} {
-		z.Heard(2000, []byte("pa\x00c"), 1<<40, 0, bad.append(nil))
+		z.ReceiveNote(2000, []byte("pa\x00c"), 1<<40, 0, bad.append(nil))
 	}
-	z.Heard(2000, []byte("p"), 1, 0, good)
-	z.Heard(2000, []byte("oc"), 1, 0, []byte{9})
-	z.Heard(2000, []byte("ea1"), 1, 0, []byte{noteFormat, 1, 'a', 0, 200})
+	z.ReceiveNote(2000, []byte("p"), 1, 0, good)
+	z.ReceiveNote(2000, []byte("oc"), 1, 0, []byte{9})
+	z.ReceiveNote(2000, []byte("ea1"), 1, 0, []byte{noteFormat, 1, 'a', 0, 200})
 	if z.Dropped == 0 || len(h.parts) > 0 || len(h.log) > 0 {
 		t.Errorf("%d dropped, %v, %q", z.Dropped, h.parts, h.log)
 	}
 	for n := range 1000 {
-		z.Member(2000, fmt.Sprint("x", n), fmt.Sprint("y", n), true)
+		z.UpdateMember(2000, fmt.Sprint("x", n), fmt.Sprint("y", n), true)
 	}
 	if len(z.zones) > maxZones/2 || len(z.observers) > 64 {
 		t.Errorf("%d zones, %d observers", len(z.zones), len(z.observers))
 	}
-	z.Listed(3000, true, []Store{{ID: "n", Zone: "new", Size: 1, Open: true}})
+	z.UpdateStores(3000, true, []Store{{ID: "n", Zone: "new", Size: 1, Open: true}})
 	if _, ok := z.zoneByName["new"]; !ok {
 		t.Error("a zone with stores finds no place")
 	}
--- a/internal/bolt/bolt_test.go
+++ b/internal/bolt/bolt_test.go
@@ -173,8 +173,8 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	got, err := r.Extra.Terms()
-	if err != nil || string(got.Profile) != "basket" || string(got.Customer) != "acme" || got.Group != 3 || got.Left != 2500 || got.After != 700 ||
-		!got.Repeated || !got.Carried {
+	if err != nil || string(got.Class) != "basket" || string(got.Tenant) != "acme" || got.Group != 3 || got.TimeLeft != 2500 || got.ReadAfter != 700 ||
+		!got.Retry || !got.HasReadAfter {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for name, extra := range map[string]func(dst []byte) []byte{
--- a/internal/bolt/terms.go
+++ b/internal/bolt/terms.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strconv"
 
-	"micatrack/internal/terms"
+	"micatrack/internal/metadata"
 )
 
 // Status codes that are given or understood. What drivers do on each is the specification's: a transient one is tried
@@ -67,8 +67,8 @@
 //	tx_timeout                   how long the client will wait
 //	mode                         "r": the job writes nothing
 //	bookmarks                    the newest of the group is what a read has to see
-func (e *Extra) Terms() (t terms.Terms, err error) {
-	t.Left = e.Timeout * 10
+func (e *Extra) Terms() (t metadata.Request, err error) {
+	t.TimeLeft = e.Timeout * 10
 	group := e.Database
 	if e.Metadata != nil {
 		v := Unpack(e.Metadata)
@@ -77,15 +77,15 @@
 			case "id":
 				t.ID = v.String()
 			case "c":
-				t.Profile = v.String()
+				t.Class = v.String()
 			case "t":
-				t.Customer = v.String()
+				t.Tenant = v.String()
 			case "k":
 				t.Key = v.String()
 			case "s":
 				t.Session = v.String()
 			case "r":
-				t.Repeated = v.Bool()
+				t.Retry = v.Bool()
 			case "cluster":
 				if v.Kind() != Int {
 					group = v.String()
@@ -103,17 +103,17 @@
 		}
 	}
 	switch {
-	case len(t.Profile) == 0:
+	case len(t.Class) == 0:
 		return t, errors.New("tx_metadata has no c")
-	case t.Left <= 0 || t.Left > 1<<40:
+	case t.TimeLeft <= 0 || t.TimeLeft > 1<<40:
 		return t, errors.New("tx_timeout is missing or out of range")
 	}
 	if t.Group, err = strconv.ParseUint(string(group), 10, 63); err != nil {
 		return t, fmt.Errorf("neither the database nor tx_metadata's cluster is a group's number: %.20q", group)
 	}
 	if e.Bookmarks != nil {
-		t.After, err = newest(e.Bookmarks, t.Group)
-		t.Carried = t.After > 0
+		t.ReadAfter, err = newest(e.Bookmarks, t.Group)
+		t.HasReadAfter = t.ReadAfter > 0
 	}
 	return t, err
 }
--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -23,26 +23,26 @@
 }
 
 // Listed hands a list of stores on.
-func (b *Bridge) Listed(now front.Time, l front.List) {
-	if l.News == balance.ListFailed {
+func (b *Bridge) Listed(now front.Time, l front.StoreList) {
+	if l.Kind == balance.ListFailed {
 		return
 	}
 	b.stores = b.stores[:0]
-	for i := range l.Lines {
-		e := &l.Lines[i]
+	for i := range l.Entries {
+		e := &l.Entries[i]
 		b.stores = append(b.stores, zones.Store{ID: e.ID, Zone: e.Zone, Size: cmp.Or(e.Size, 1), Open: e.Condition == balance.Ready})
 	}
-	b.Zones.Listed(now, l.News != balance.ListChanges, b.stores)
+	b.Zones.UpdateStores(now, l.Kind != balance.ListChanges, b.stores)
 	if b.Watch != nil {
 		b.watch(l)
 	}
 }
 
 // watch hands the stores on that speak PostgreSQL's protocol.
-func (b *Bridge) watch(l front.List) {
+func (b *Bridge) watch(l front.StoreList) {
 	named := map[string]bool{}
-	for i := range l.Lines {
-		if e := &l.Lines[i]; e.Condition != balance.Gone && !e.Bolt {
+	for i := range l.Entries {
+		if e := &l.Entries[i]; e.Condition != balance.Gone && !e.Bolt {
 			if named[e.ID] = true; !slices.Contains(b.watched, e.ID) {
 				b.watched = append(b.watched, e.ID)
 			}
@@ -51,7 +51,7 @@
 	}
 	keep := b.watched[:0]
 	for _, name := range b.watched {
-		if l.News == balance.ListChanges || named[name] {
+		if l.Kind == balance.ListChanges || named[name] {
 			keep = append(keep, name)
 		} else {
 			b.Watch.Listed(name, 0, false, false)
@@ -62,10 +62,10 @@
 
 // Peers tells the watch who is there, where that has changed.
 func (b *Bridge) Peers(f *fleet.Fleet) {
-	if b.Watch == nil || !f.Changed {
+	if b.Watch == nil || !f.MembersChanged {
 		return
 	}
-	f.Changed = false
+	f.MembersChanged = false
 	b.peers = b.peers[:0]
 	for _, e := range f.Members.List() {
 		if e.State <= membership.Suspect {
@@ -79,18 +79,18 @@
 func (b *Bridge) Saw(now front.Time, store string, how balance.Ending, expected, took front.Time) {
 	end := zones.Answered
 	switch how {
-	case balance.Served, balance.Behind, balance.Crowded, balance.Faulted:
+	case balance.Served, balance.NotEligible, balance.Overloaded, balance.Failed:
 		if how != balance.Served {
 			expected = 0
 		}
-	case balance.Unreached:
+	case balance.ConnectFailed:
 		end = zones.Refused
-	case balance.Expired:
+	case balance.TimedOut:
 		end = zones.TimedOut
-	case balance.Severed, balance.Undone:
+	case balance.ConnectionLost, balance.Aborted:
 		end = zones.ConnectionLost
 	default: // never sent, or called back: that says nothing of the way there
 		return
 	}
-	b.Zones.Ended(now, store, end, took, expected)
+	b.Zones.RecordOutcome(now, store, end, took, expected)
 }
--- a/internal/capacity/event.go
+++ b/internal/capacity/event.go
@@ -184,7 +184,7 @@
 
 // relist tells all fronts which stores are primaries from now on, and which are not.
 func relist(w *world.World, primary map[string]bool) {
-	w.Change(func(line *front.Line) {
+	w.Change(func(line *front.StoreEntry) {
 		if is, changed := primary[line.ID]; changed {
 			line.Primary = is
 		}
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -49,19 +49,19 @@
 }
 
 // ReadSettings reads the settings of a front's file, or of the fleet's configuration.
-func ReadSettings(text []byte) (balance.Settings, settings.Host, error) {
+func ReadSettings(text []byte) (balance.Settings, settings.Process, error) {
 	if len(text) == 0 {
-		return balance.Settings{}, settings.Host{}, fmt.Errorf("missing")
+		return balance.Settings{}, settings.Process{}, fmt.Errorf("missing")
 	}
 	c, host, err := settings.Read(text)
-	if err == nil && (host.Dial <= 0 || host.Idle <= 0) {
+	if err == nil && (host.DialTimeout <= 0 || host.IdleTimeout <= 0) {
 		err = fmt.Errorf("Ceilings.DialTimeout or Ceilings.ConnIdle is missing")
 	}
 	return c, host, err
 }
 
 // FleetSettings reads the settings of the fleet's configuration. The zone is each front's own.
-func FleetSettings(text []byte) (balance.Settings, settings.Host, error) {
+func FleetSettings(text []byte) (balance.Settings, settings.Process, error) {
 	c, host, err := ReadSettings(text)
 	if err == nil && c.Zone != "" {
 		err = fmt.Errorf("the zone, Az, is each front's own and stays in its file")
--- a/internal/discovery/call_test.go
+++ b/internal/discovery/call_test.go
@@ -25,7 +25,7 @@
 	w.silence, w.answers = time.Hour, time.Hour
 	go w.run()
 	for range unanswered + 1 {
-		w.Ask()
+		w.Connect()
 		select {
 		case <-calls:
 		case <-time.After(20 * time.Second):
@@ -37,7 +37,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing is told")
 	}
-	if got := w.Take(nil); len(got) != 1 || got[0].News != balance.ListWhole {
+	if got := w.TakeUpdates(nil); len(got) != 1 || got[0].Kind != balance.ListFull {
 		t.Errorf("told %+v", got)
 	}
 	for range unanswered {
@@ -47,7 +47,7 @@
 			t.Fatal("a call that is not needed any more stays open")
 		}
 	}
-	w.Ask() // a watch stands
+	w.Connect() // a watch stands
 	select {
 	case <-calls:
 		t.Error("one more call though a watch stands")
@@ -63,7 +63,7 @@
 	go w.run()
 	asked := time.Now()
 	for time.Since(asked) < 300*time.Millisecond {
-		w.Ask()
+		w.Connect()
 		time.Sleep(time.Millisecond)
 	}
 	if len(calls) < 2 || len(calls) > maxCalls {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -28,7 +28,7 @@
 )
 
 // Decode reads one object of the list. It gives all of it or an error.
-func Decode(text []byte) (version int64, l front.List, err error) {
+func Decode(text []byte) (version int64, l front.StoreList, err error) {
 	var w struct {
 		Version *int64
 		Full    bool
@@ -46,9 +46,9 @@
 	if w.Version == nil {
 		return 0, l, errors.New("the list has no version")
 	}
-	l.News = balance.ListChanges
+	l.Kind = balance.ListChanges
 	if w.Full {
-		l.News = balance.ListWhole
+		l.Kind = balance.ListFull
 	}
 	named := map[string]bool{}
 	for _, s := range w.Servers {
@@ -71,7 +71,7 @@
 		if _, _, err := net.SplitHostPort(s.Addr); err != nil && m.Condition != balance.Gone {
 			return 0, l, fmt.Errorf("store %q: address: %w", s.ID, err)
 		}
-		l.Lines = append(l.Lines, front.Line{ID: s.ID, Addr: s.Addr, Bolt: s.Protocol == "bolt", Member: m})
+		l.Entries = append(l.Entries, front.StoreEntry{ID: s.ID, Addr: s.Addr, Bolt: s.Protocol == "bolt", Member: m})
 	}
 	return *w.Version, l, nil
 }
@@ -90,7 +90,7 @@
 	url              string // and what follows is guarded by mu
 	moved            bool   // since the last watch was opened
 	end              func() // of the watch that stands
-	told             []front.List
+	told             []front.StoreList
 }
 
 // Watch starts a watcher that knows the list up to version; it opens nothing before Ask.
@@ -107,16 +107,16 @@
 		version: version, newest: version, answers: answers, silence: silence, end: func() {}}
 }
 
-// Ask opens the watch if none is open; where a call for it has no answer yet, one more.
-func (w *Watcher) Ask() {
+// Connect opens the watch if none is open; where a call for it has no answer yet, one more.
+func (w *Watcher) Connect() {
 	select {
 	case w.ask <- struct{}{}:
 	default:
 	}
 }
 
-// Take gives what was told since the last call.
-func (w *Watcher) Take(into []front.List) []front.List {
+// TakeUpdates gives what was told since the last call.
+func (w *Watcher) TakeUpdates(into []front.StoreList) []front.StoreList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	into = append(into, w.told...)
@@ -124,16 +124,16 @@
 	return into
 }
 
-// Move follows the list at another address from now on, whether or not the old one still speaks.
-func (w *Watcher) Move(addr string) {
+// SetAddr follows the list at another address from now on, whether or not the old one still speaks.
+func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	w.url, w.moved = "http://"+addr+"/api/targets", true
 	w.end()
-	w.Ask()
+	w.Connect()
 	w.mu.Unlock()
 }
 
-func (w *Watcher) tell(l front.List) {
+func (w *Watcher) tell(l front.StoreList) {
 	w.mu.Lock()
 	w.told = append(w.told, l)
 	w.mu.Unlock()
@@ -153,11 +153,11 @@
 		}
 		w.mu.Unlock()
 		if moved { // nothing has failed; what Move asked for may have been taken by the call that it ended
-			w.Ask()
+			w.Connect()
 			continue
 		}
 		w.log.Warn("watch of the list broke", "error", err.Error())
-		w.tell(front.List{News: balance.ListFailed})
+		w.tell(front.StoreList{Kind: balance.ListFailed})
 	}
 }
 
@@ -232,13 +232,13 @@
 	switch {
 	case err != nil:
 		return err
-	case *whole && l.News != balance.ListWhole:
+	case *whole && l.Kind != balance.ListFull:
 		return errors.New("changes where the whole list was asked for")
 	case !*whole && version < w.version:
 		return fmt.Errorf("version %d after %d", version, w.version)
-	case l.News == balance.ListWhole && version < w.newest:
+	case l.Kind == balance.ListFull && version < w.newest:
 		// Danger: a discovery that has gone back knows nothing of drains that it told before.
-		l.News = balance.ListOlder
+		l.Kind = balance.ListStale
 	}
 	// Danger: a discovery may count anew, and one that lags may tell more than one list from before.
 	if version >= w.newest || time.Since(w.newestAt) > knownBy {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -26,9 +26,9 @@
 
 func TestDecode(t *testing.T) {
 	version, l, err := Decode([]byte(list(41, true, line)))
-	want := front.Line{ID: "s-1", Addr: "10.1.0.18:5433", Member: balance.Member{Group: 3, Zone: "a",
+	want := front.StoreEntry{ID: "s-1", Addr: "10.1.0.18:5433", Member: balance.Member{Group: 3, Zone: "a",
 		Condition: balance.Draining, Primary: true, Size: 1.5, Started: 17672256001230}}
-	if err != nil || version != 41 || l.News != balance.ListWhole || len(l.Lines) != 1 || l.Lines[0] != want {
+	if err != nil || version != 41 || l.Kind != balance.ListFull || len(l.Entries) != 1 || l.Entries[0] != want {
 		t.Fatalf("%d %+v %v", version, l, err)
 	}
 	for name, text := range map[string]string{
@@ -71,7 +71,7 @@
 	told := make(chan struct{}, 99)
 	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { told <- struct{}{} },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	next := func() balance.ListNews {
+	next := func() balance.ListKind {
 		t.Helper()
 		select {
 		case <-told:
@@ -82,13 +82,13 @@
 		defer w.mu.Unlock()
 		l := w.told[0]
 		w.told = w.told[1:]
-		return l.News
+		return l.Kind
 	}
-	const whole, changes, broke, older = balance.ListWhole, balance.ListChanges, balance.ListFailed, balance.ListOlder
-	for k, want := range [][]balance.ListNews{{whole, changes, broke}, {broke}, {broke}, {older, broke}, {broke},
+	const whole, changes, broke, older = balance.ListFull, balance.ListChanges, balance.ListFailed, balance.ListStale
+	for k, want := range [][]balance.ListKind{{whole, changes, broke}, {broke}, {broke}, {older, broke}, {broke},
 		{broke}, {whole, broke}} {
 		since := answers[0].since
-		w.Ask()
+		w.Connect()
 		for _, n := range want {
 			if got := next(); got != n {
 				t.Fatalf("answer %d: told %d, want %d", k, got, n)
@@ -123,8 +123,8 @@
 	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { told <- struct{}{} },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.silence = 200 * time.Millisecond // nothing is open yet
-	for _, want := range [][]balance.ListNews{{balance.ListWhole, balance.ListFailed}, {balance.ListFailed}} {
-		w.Ask()
+	for _, want := range [][]balance.ListKind{{balance.ListFull, balance.ListFailed}, {balance.ListFailed}} {
+		w.Connect()
 		for _, n := range want {
 			select {
 			case <-told:
@@ -132,7 +132,7 @@
 				t.Fatal("nothing is told")
 			}
 			w.mu.Lock()
-			if got := w.told[0].News; got != n {
+			if got := w.told[0].Kind; got != n {
 				t.Errorf("told %d, want %d", got, n)
 			}
 			w.told = w.told[1:]
@@ -192,7 +192,7 @@
 // TestWatchAnswers: what a watch may answer, each over a connection of its own. All that came whole is told, nothing else
 // is, and each end is told as a failed list at once, without the patience for a silent watch.
 func TestWatchAnswers(t *testing.T) {
-	const whole, changes, broke, older = balance.ListWhole, balance.ListChanges, balance.ListFailed, balance.ListOlder
+	const whole, changes, broke, older = balance.ListFull, balance.ListChanges, balance.ListFailed, balance.ListStale
 	seven, eight := list(7, true, line), list(8, false, line)
 	bare := func(c *net.TCPConn) { c.Close() }
 	reset := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
@@ -200,23 +200,23 @@
 		name  string
 		says  string
 		end   func(c *net.TCPConn)
-		news  []balance.ListNews
+		news  []balance.ListKind
 		since string // that the next call asks for
 	}{
-		{"indented", indented(seven) + "\n\n" + indented(eight) + "\n", bare, []balance.ListNews{whole, changes, broke}, "8"},
+		{"indented", indented(seven) + "\n\n" + indented(eight) + "\n", bare, []balance.ListKind{whole, changes, broke}, "8"},
 		{"indented, with brackets in a text", indented(strings.Replace(seven, `"zone":"a"`, `"zone":"}\"{\\"`, 1)), bare,
-			[]balance.ListNews{whole, broke}, "7"},
-		{"two on one line", seven + eight, reset, []balance.ListNews{whole, changes, broke}, "8"},
-		{"lines that end in CR LF", "\r\n" + seven + "\r\n\r\n" + eight + "\r\n", bare, []balance.ListNews{whole, changes, broke}, "8"},
-		{"cut off", seven + "\n" + eight[:len(eight)-1], bare, []balance.ListNews{whole, broke}, ""},
-		{"reset in the middle", seven + "\n" + eight[:9], reset, []balance.ListNews{whole, broke}, ""},
-		{"nothing", "", bare, []balance.ListNews{broke}, ""},
-		{"out of order", seven + list(6, false, line), nil, []balance.ListNews{whole, broke}, ""},
-		{"an older list", list(3, true, line) + eight, bare, []balance.ListNews{older, changes, broke}, "8"},
-		{"no object", seven + "\n[]\n", nil, []balance.ListNews{whole, broke}, ""},
-		{"ends twice", seven + "}\n", nil, []balance.ListNews{whole, broke}, ""},
-		{"spoilt", seven + strings.Replace(eight, `"version"`, `"verzion"`, 1), nil, []balance.ListNews{whole, broke}, ""},
-		{"too much", seven + `{"version":8,"x":"` + strings.Repeat("x", most), nil, []balance.ListNews{whole, broke}, ""},
+			[]balance.ListKind{whole, broke}, "7"},
+		{"two on one line", seven + eight, reset, []balance.ListKind{whole, changes, broke}, "8"},
+		{"lines that end in CR LF", "\r\n" + seven + "\r\n\r\n" + eight + "\r\n", bare, []balance.ListKind{whole, changes, broke}, "8"},
+		{"cut off", seven + "\n" + eight[:len(eight)-1], bare, []balance.ListKind{whole, broke}, ""},
+		{"reset in the middle", seven + "\n" + eight[:9], reset, []balance.ListKind{whole, broke}, ""},
+		{"nothing", "", bare, []balance.ListKind{broke}, ""},
+		{"out of order", seven + list(6, false, line), nil, []balance.ListKind{whole, broke}, ""},
+		{"an older list", list(3, true, line) + eight, bare, []balance.ListKind{older, changes, broke}, "8"},
+		{"no object", seven + "\n[]\n", nil, []balance.ListKind{whole, broke}, ""},
+		{"ends twice", seven + "}\n", nil, []balance.ListKind{whole, broke}, ""},
+		{"spoilt", seven + strings.Replace(eight, `"version"`, `"verzion"`, 1), nil, []balance.ListKind{whole, broke}, ""},
+		{"too much", seven + `{"version":8,"x":"` + strings.Repeat("x", most), nil, []balance.ListKind{whole, broke}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			says := func(k *net.TCPConn) {
@@ -229,7 +229,7 @@
 			w := watcher(addr, 4, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			w.version, w.silence, w.answers = -1, time.Hour, time.Hour
 			go w.run()
-			w.Ask()
+			w.Connect()
 			for k, want := range c.news {
 				select {
 				case <-told:
@@ -237,14 +237,14 @@
 					t.Fatalf("only %d told", k)
 				}
 				w.mu.Lock()
-				got := w.told[k].News
+				got := w.told[k].Kind
 				w.mu.Unlock()
 				if got != want {
 					t.Errorf("told %d as %d, want %d", k, got, want)
 				}
 			}
 			<-calls
-			if w.Ask(); <-calls != c.since {
+			if w.Connect(); <-calls != c.since {
 				t.Errorf("the next call is not since %q", c.since)
 			}
 		})
@@ -289,7 +289,7 @@
 			w.silence, w.answers = c.silence, c.silence*2/3
 			go w.run()
 			began := time.Now()
-			w.Ask()
+			w.Connect()
 			for k := range c.listed + 1 {
 				select {
 				case <-told:
@@ -298,7 +298,7 @@
 				}
 			}
 			w.mu.Lock()
-			last := w.told[len(w.told)-1].News
+			last := w.told[len(w.told)-1].Kind
 			w.mu.Unlock()
 			if last != balance.ListFailed || time.Since(began) < c.least {
 				t.Errorf("told %d after %v", last, time.Since(began))
--- a/internal/discovery/standing_test.go
+++ b/internal/discovery/standing_test.go
@@ -54,24 +54,24 @@
 // with a length and in chunks. All are told in order, as whole ones, with all their stores, and the next call
 // is since the last of them.
 func TestWholeListsWhereChangesWereExpected(t *testing.T) {
-	const whole, changes, broke = balance.ListWhole, balance.ListChanges, balance.ListFailed
+	const whole, changes, broke = balance.ListFull, balance.ListChanges, balance.ListFailed
 	all := entry("s-1", "active") + "," + entry("s-2", "leaving") + "," + entry("s-3", "active")
 	for _, c := range []struct {
 		name    string
 		objects []string
-		news    []balance.ListNews
+		news    []balance.ListKind
 		stores  []int
 		since   string
 	}{
-		{"first", []string{list(41, true, all)}, []balance.ListNews{whole}, []int{3}, "41"},
-		{"at the same version", []string{list(40, true, all)}, []balance.ListNews{whole}, []int{3}, "40"},
+		{"first", []string{list(41, true, all)}, []balance.ListKind{whole}, []int{3}, "41"},
+		{"at the same version", []string{list(40, true, all)}, []balance.ListKind{whole}, []int{3}, "40"},
 		{"between changes", []string{list(41, false, entry("s-2", "leaving")), list(42, true, all),
-			list(43, false, entry("s-3", "left"))}, []balance.ListNews{changes, whole, changes}, []int{1, 3, 1}, "43"},
+			list(43, false, entry("s-3", "left"))}, []balance.ListKind{changes, whole, changes}, []int{1, 3, 1}, "43"},
 		{"twice", []string{list(41, true, all), list(42, true, entry("s-1", "active"))},
-			[]balance.ListNews{whole, whole}, []int{3, 1}, "42"},
-		{"empty", []string{list(41, true)}, []balance.ListNews{whole}, []int{0}, "41"},
+			[]balance.ListKind{whole, whole}, []int{3, 1}, "42"},
+		{"empty", []string{list(41, true)}, []balance.ListKind{whole}, []int{0}, "41"},
 		// One that goes back is not believed on this watch; the next is opened for the whole list.
-		{"going back", []string{list(41, true, all), list(39, true, all)}, []balance.ListNews{whole}, []int{3}, ""},
+		{"going back", []string{list(41, true, all), list(39, true, all)}, []balance.ListKind{whole}, []int{3}, ""},
 		{"first, and older", []string{list(39, true, all)}, nil, nil, ""},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
@@ -87,29 +87,29 @@
 					w := watcher(addr, 40, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 					w.answers, w.silence = time.Hour, time.Hour // how fast the machine is says nothing here
 					go w.run()
-					w.Ask()
+					w.Connect()
 					if got := <-calls; got != "40" {
 						t.Fatalf("opened since %q", got)
 					}
-					var lists []front.List
+					var lists []front.StoreList
 					for range append(c.news, broke) {
 						select {
 						case <-told:
-							lists = w.Take(lists)
+							lists = w.TakeUpdates(lists)
 						case <-time.After(20 * time.Second):
 							t.Fatalf("%s, in pieces of %d: only %v", c.name, size, lists)
 						}
 					}
 					for k, want := range c.news {
-						if lists[k].News != want || len(lists[k].Lines) != c.stores[k] {
+						if lists[k].Kind != want || len(lists[k].Entries) != c.stores[k] {
 							t.Errorf("%s, in pieces of %d: told %+v, want %d with %d stores", c.name, size, lists[k], want,
 								c.stores[k])
 						}
 					}
-					if last := lists[len(lists)-1]; last.News != broke || len(lists) != len(c.news)+1 {
+					if last := lists[len(lists)-1]; last.Kind != broke || len(lists) != len(c.news)+1 {
 						t.Errorf("%s, in pieces of %d: %d told, the last of them %+v", c.name, size, len(lists), last)
 					}
-					if w.Ask(); <-calls != c.since {
+					if w.Connect(); <-calls != c.since {
 						t.Errorf("%s, in pieces of %d: the next call is not since %q", c.name, size, c.since)
 					}
 				}
@@ -125,22 +125,22 @@
 
 // follower is a real core that a watcher's lists are told to, and that has it opened anew, on a virtual
 // clock.
-func follower(t *testing.T, w *Watcher, until time.Time, told func(l front.List)) {
+func follower(t *testing.T, w *Watcher, until time.Time, told func(l front.StoreList)) {
 	const tick = 100 * time.Microsecond
 	now := func() front.Time { return time.Now().UnixNano() / int64(tick) }
-	c := balance.Settings{Seed: 7, Fronts: 1, Round: 50, ListPushed: true, AskWithin: 100_000, AnswerSlack: 200,
-		Cold:         100_000,
-		MostAttempts: 4, Classes: []balance.Class{{Name: "any", ExpectedTime: 3000, Deadline: 12_000, Credit: 1}}}
-	core, err := front.New(now(), c, settings.Host{Dial: 2500, Idle: 300_000}, front.Limits{Links: 20,
-		Clients: 10, Answer: 1 << 16},
-		nowhere{}, w.Ask, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := balance.Settings{Seed: 7, Fronts: 1, EventInterval: 50, ListPushed: true, ListInterval: 100_000, AnswerSlack: 200,
+		WarmupTime:  100_000,
+		MaxAttempts: 4, Classes: []balance.Class{{Name: "any", ExpectedTime: 3000, Deadline: 12_000, Credit: 1}}}
+	core, err := front.New(now(), c, settings.Process{DialTimeout: 2500, IdleTimeout: 300_000}, front.Limits{MaxConnections: 20,
+		MaxClients: 10, MaxStoreMessage: 1 << 16},
+		nowhere{}, w.Connect, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lists []front.List
-	for w.Ask(); time.Now().Before(until); time.Sleep(max(time.Duration(core.Next()-now())*tick, tick)) {
-		for _, l := range w.Take(lists[:0]) {
-			core.Tell(l)
+	var lists []front.StoreList
+	for w.Connect(); time.Now().Before(until); time.Sleep(max(time.Duration(core.NextStep()-now())*tick, tick)) {
+		for _, l := range w.TakeUpdates(lists[:0]) {
+			core.UpdateStores(l)
 			told(l)
 		}
 		core.Step(now(), nil)
@@ -200,8 +200,8 @@
 				}
 				go w.run()
 				var drains time.Duration
-				follower(t, w, began.Add(life+10*time.Second), func(l front.List) {
-					if l.News != balance.ListFailed && l.Lines[0].Condition == balance.Draining && drains == 0 {
+				follower(t, w, began.Add(life+10*time.Second), func(l front.StoreList) {
+					if l.Kind != balance.ListFailed && l.Entries[0].Condition == balance.Draining && drains == 0 {
 						drains = time.Since(began)
 					}
 				})
@@ -228,7 +228,7 @@
 // TestMovedToAnOlderList forces a move to an agent that lags: its first whole lists are from before what the old
 // one has told, and close stores but open none; the first that is as new counts in full.
 func TestMovedToAnOlderList(t *testing.T) {
-	const whole, older = balance.ListWhole, balance.ListOlder
+	const whole, older = balance.ListFull, balance.ListStale
 	stays := func(text string) func(c *net.TCPConn) { return write(open, text) }
 	from, _ := script(t, stays(list(40, true, entry("s-1", "leaving"))))
 	to, calls := script(t, stays(list(7, true, entry("s-1", "active"))+list(8, true, entry("s-1", "active"))+
@@ -237,20 +237,20 @@
 	w := watcher(from, -1, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.answers, w.silence = time.Hour, time.Hour
 	go w.run()
-	w.Ask()
-	var lists []front.List
-	for k, want := range []balance.ListNews{whole, older, older, whole} {
+	w.Connect()
+	var lists []front.StoreList
+	for k, want := range []balance.ListKind{whole, older, older, whole} {
 		select {
 		case <-told:
-			lists = w.Take(lists)
+			lists = w.TakeUpdates(lists)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("only %d told", k)
 		}
-		if lists[k].News != want {
-			t.Errorf("told %d as %d, want %d", k, lists[k].News, want)
+		if lists[k].Kind != want {
+			t.Errorf("told %d as %d, want %d", k, lists[k].Kind, want)
 		}
 		if k == 0 {
-			w.Move(to)
+			w.SetAddr(to)
 		}
 	}
 	if since := <-calls; since != "" {
--- a/internal/front/bolt.go
+++ b/internal/front/bolt.go
@@ -7,13 +7,13 @@
 
 	"micatrack/balance"
 	"micatrack/internal/bolt"
-	"micatrack/internal/course"
+	"micatrack/internal/outcome"
 	"micatrack/internal/pgwire"
 )
 
 const (
-	mostBolt = pgwire.MostQuery // bytes of a client's message with its headers
-	mostTerm = 256              // bytes of each of a request's terms
+	mostBolt = pgwire.MaxQuerySize // bytes of a client's message with its headers
+	mostTerm = 256                 // bytes of each of a request's terms
 )
 
 // boltClient is one client that speaks Bolt.
@@ -169,7 +169,7 @@
 // table is the routing table: the front itself in all roles. Danger: a client that knew the stores would pass the rules
 // by.
 func (c *Core) table(dst []byte, r bolt.Request) []byte {
-	address := c.limits.Address
+	address := c.limits.BoltAddress
 	if a := r.Address(); len(a) > 0 {
 		address = string(a)
 	}
@@ -194,11 +194,11 @@
 		code, why = bolt.BadBookmark, err.Error()
 	case err != nil:
 		why = err.Error()
-	case t.After > c.now+c.classes.longest: // Danger: nothing would ever have come so far
+	case t.ReadAfter > c.now+c.classes.longest: // Danger: nothing would ever have come so far
 		code, why = bolt.BadBookmark, "a bookmark is from the future"
 	}
 	b.terms = b.terms[:0]
-	for _, v := range [...]*[]byte{&t.ID, &t.Profile, &t.Customer, &t.Key, &t.Session} {
+	for _, v := range [...]*[]byte{&t.ID, &t.Class, &t.Tenant, &t.Key, &t.Session} {
 		if len(*v) > mostTerm {
 			why = "a term is too long"
 			break
@@ -206,16 +206,16 @@
 		b.terms = append(b.terms, *v...)
 		*v = b.terms[len(b.terms)-len(*v) : len(b.terms) : len(b.terms)]
 	}
-	if t.Carried {
+	if t.HasReadAfter {
 		t.Session = nil // what the bookmark says goes before what this front remembers
 	}
-	if kind, ok := c.classes.byName[string(t.Profile)]; ok && r.Extra.Reads && c.classes.settings[kind].Need == balance.Write {
+	if kind, ok := c.classes.byName[string(t.Class)]; ok && r.Extra.Reads && c.classes.settings[kind].Need == balance.Write {
 		why = "a job that writes came in access mode r"
 	}
 	if why == "" {
 		var f fault
 		var index int32
-		switch index, f, why = cl.begin(c, t, pgwire.Cut{}); f {
+		switch index, f, why = cl.begin(c, t, pgwire.TimeoutSpan{}); f {
 		case sound:
 			cl.request = index
 		case noGroup:
@@ -304,7 +304,7 @@
 	v       bolt.Version
 	in      bolt.Reader
 	owed    []owed // answers that the store owes, the oldest first
-	course  course.Course
+	course  outcome.Tracker
 	shown   bool // the client has seen something of the request from here
 	ready   bool // records are among what is kept back, so all of it may be shown
 	stalled bool // the client has no room for what has come
@@ -328,7 +328,7 @@
 }
 
 func (boltStore) ask(k *conn, c *Core, e errand) {
-	k.bolt.course, k.bolt.shown, k.bolt.stalled, k.bolt.ready = course.Course{}, false, false, false
+	k.bolt.course, k.bolt.shown, k.bolt.stalled, k.bolt.ready = outcome.Tracker{}, false, false, false
 	if e.request < 0 {
 		dst, at := bolt.Begin(c.out[:0])
 		dst = bolt.AppendString(bolt.AppendStruct(dst, byte(bolt.Run), 3), "CALL micatrack.report()")
@@ -356,7 +356,7 @@
 func (k *conn) pass(c *Core, cl *client, b *boltClient) {
 	s := &c.stores[k.store]
 	for i, w, ok := b.talk.Next(); ok && k.at >= 0; i, w, ok = b.talk.Next() {
-		if s.cutAt > 0 && c.now >= s.cutAt && !course.May(w) {
+		if s.cutAt > 0 && c.now >= s.cutAt && !outcome.AllowedAfterDrain(w) {
 			return // the next beat ends it
 		}
 		from, to := b.talk.Span(i)
@@ -397,7 +397,7 @@
 				return
 			} else if in = k.link.Peek(); k.spent && len(b.owed) == 0 && len(in) == 0 {
 				k.settle(c)
-			} else if k.link.Full() {
+			} else if k.link.ReadBufferFull() {
 				k.lost(c)
 			}
 			return
@@ -418,7 +418,7 @@
 			k.lost(c)
 			return
 		}
-		if b.ready && (a.What != bolt.Record || k.read >= c.limits.Answer/pieces) {
+		if b.ready && (a.What != bolt.Record || k.read >= c.limits.MaxStoreMessage/pieces) {
 			if !d.flush(k, c) {
 				return
 			}
@@ -442,7 +442,7 @@
 		return false
 	}
 	k.link.Discard(4)
-	k.bolt.v, k.bolt.in = v, bolt.Reader{Most: c.limits.Answer}
+	k.bolt.v, k.bolt.in = v, bolt.Reader{Most: c.limits.MaxStoreMessage}
 	for i, w := range []bolt.What{bolt.Hello, bolt.Logon} {
 		if i > 0 && bolt.Start(v) != bolt.Negotiation {
 			break
@@ -502,8 +502,8 @@
 		k.read, b.ready = k.read+n, true
 		return true
 	}
-	b.course.Wrote(w, true)
-	b.course.Answered(w, a.What == bolt.Success, a.More, a.Code)
+	b.course.MessageWritten(w, true)
+	b.course.MessageAnswered(w, a.What == bolt.Success, a.More, a.Code)
 	if a.What == bolt.Success && (w == bolt.Pull || w == bolt.Discard || w == bolt.Commit || w == bolt.Rollback) {
 		r := bolt.ReadReport(a.Fields)
 		k.note = balance.Report{Position: r.Position}
@@ -537,7 +537,7 @@
 	if over {
 		e := k.errand
 		k.spent = true
-		c.end(k, e, balance.Return{Ending: balance.Served, Note: k.note, Load: k.load, Since: k.up})
+		c.end(k, e, balance.Result{Ending: balance.Served, Note: k.note, Load: k.load, Since: k.up})
 		c.answer(e.request, c.out, endServed)
 		return true
 	}
@@ -576,13 +576,13 @@
 // show notes that the client has seen a part of an answer. A result that is being read is bounded by how long nothing
 // of it moves, a transaction by its client's time as before.
 func (k *conn) show(c *Core, j *request) {
-	k.bolt.course.Showed()
+	k.bolt.course.ResultForwarded()
 	b := j.client.speech.(*boltClient)
 	n := b.talk.Shown()
 	b.read -= n
 	j.client.link.Discard(n)
 	if !k.bolt.shown { // Danger: the module would call it back when it is out for long, and send it elsewhere
-		c.module.Streams(c.now, j.id)
+		c.module.ResponseStarted(c.now, j.id)
 	}
 	if k.bolt.shown = true; !k.bolt.course.Transaction {
 		k.errand.until = c.now + c.classes.longest
@@ -591,7 +591,7 @@
 
 // probed takes the answer to a probe.
 func (boltStore) probed(k *conn, c *Core, a bolt.Answer, drop func()) bool {
-	r := balance.Return{Ending: balance.Served, Since: k.up}
+	r := balance.Result{Ending: balance.Served, Since: k.up}
 	switch {
 	case a.What == bolt.Record:
 		v := bolt.Unpack(a.Fields)
@@ -620,30 +620,30 @@
 func proven(code []byte) balance.Ending {
 	switch bolt.Refused(code) {
 	case bolt.WasBehind:
-		return balance.Behind
+		return balance.NotEligible
 	case bolt.WasFull:
-		return balance.Crowded
+		return balance.Overloaded
 	}
-	return balance.Faulted
+	return balance.Failed
 }
 
 // failed takes a store's failure: the client is told it, or the module hears that another store may have the request.
 func (boltStore) failed(k *conn, c *Core, t *boltClient, a bolt.Answer, raw []byte) {
 	e, j := k.errand, &c.requests[k.errand.request]
-	r := balance.Return{Ending: proven(a.Code), Note: k.note, Load: k.load, Since: k.up}
+	r := balance.Result{Ending: proven(a.Code), Note: k.note, Load: k.load, Since: k.up}
 	var answer []byte
 	end := endFailed
-	switch k.bolt.course.End(j.class().Repeat == balance.Idempotent) {
-	case course.Failed:
-		if r.Ending = balance.Faulted; bolt.Clients(a.Code) {
+	switch k.bolt.course.Verdict(j.class().Repeat == balance.Idempotent) {
+	case outcome.Failed:
+		if r.Ending = balance.Failed; bolt.Clients(a.Code) {
 			r.Ending = balance.Served // the store is well; the statement is not
 		}
 		answer, end = append(append(answer, k.link.Peek()[:k.read]...), raw...), endServed
 		t.talk.Answered(false, false)
-	case course.TurnedBack:
+	case outcome.Refused:
 		answer, end = t.refusal(nil, 0), endRefused
-	case course.WrittenOff:
-		r.Ending = balance.Faulted
+	case outcome.Unknown:
+		r.Ending = balance.Failed
 		if k.bolt.shown {
 			answer = t.failure(nil, "the store failed")
 		}
@@ -662,17 +662,17 @@
 // broken: the connection is closed now, so what was written whole is known.
 func (boltStore) broken(k *conn, c *Core) balance.Ending {
 	b := k.bolt
-	none := !b.course.Begun()
+	none := !b.course.AnyWritten()
 	for _, o := range b.owed {
-		if o.end <= k.link.Sent() {
-			b.course.Wrote(o.what, true)
+		if o.end <= k.link.SentBytes() {
+			b.course.MessageWritten(o.what, true)
 		}
 	}
 	if k.errand.request >= 0 && b.shown {
 		// Danger: another store's answer behind this one's beginning would be taken for one.
 		if j := &c.requests[k.errand.request]; j.client != nil {
 			s := j.client.speech
-			if b.course.End(j.class().Repeat == balance.Idempotent) == course.TurnedBack {
+			if b.course.Verdict(j.class().Repeat == balance.Idempotent) == outcome.Refused {
 				c.answer(k.errand.request, s.refusal(c.out[:0], 0), endRefused)
 			} else {
 				c.answer(k.errand.request, s.failure(c.out[:0], "the store is lost"), endFailed)
@@ -680,12 +680,12 @@
 		}
 	}
 	switch {
-	case none && !b.course.Begun():
-		return balance.Unreached
-	case b.course.Proof() == course.NeverRan:
-		return balance.Undone
+	case none && !b.course.AnyWritten():
+		return balance.ConnectFailed
+	case b.course.Proof() == outcome.NeverRan:
+		return balance.Aborted
 	}
-	return balance.Severed
+	return balance.ConnectionLost
 }
 
 func (boltStore) undone(k *conn) bool {
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -8,10 +8,10 @@
 	"math"
 	"strconv"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
+	"micatrack/internal/metadata"
 	"micatrack/internal/pgwire"
-	"micatrack/internal/terms"
 )
 
 // speech is how one protocol puts to its clients what the core has to say.
@@ -43,8 +43,8 @@
 type request struct {
 	id      string // its place in the slab, as the module knows it
 	client  *client
-	terms   terms.Terms
-	cut     pgwire.Cut
+	terms   metadata.Request
+	cut     pgwire.TimeoutSpan
 	bolt    bool        // it came in Bolt
 	offset  int         // of its command in its client's ring
 	classes *classTable // under which it came
@@ -83,8 +83,8 @@
 	unreadNoted  bool // that is logged
 }
 
-func (c *Core) accept(l Link, what What, s speech) {
-	if len(c.clients) >= c.limits.Links { // those that are being declined fill all that there is
+func (c *Core) accept(l Link, what EventFlags, s speech) {
+	if len(c.clients) >= c.limits.MaxConnections { // those that are being declined fill all that there is
 		c.counts.closed[closedOverLimit]++
 		c.note("client connection closed", "cause", closedOverLimit.String(), "clients", len(c.clients))
 		l.Close()
@@ -93,9 +93,9 @@
 	c.serial++
 	cl := &client{link: l, at: len(c.clients), serial: c.serial, speech: s, request: -1, since: c.now, heard: c.now}
 	cl.next = cl.speech.greet
-	l.Own(cl)
+	l.SetOwner(cl)
 	c.clients = append(c.clients, cl)
-	if len(c.clients) > c.limits.Clients && !c.evict(0) || len(c.clients)+len(c.conns) > c.limits.Links && !c.spare() {
+	if len(c.clients) > c.limits.MaxClients && !c.evict(0) || len(c.clients)+len(c.conns) > c.limits.MaxConnections && !c.spare() {
 		cl.next = cl.speech.decline
 	}
 	cl.notice(c, what)
@@ -114,7 +114,7 @@
 		case cl.ending:
 			cl.hangUp(c, closedStayed)
 			return true
-		case !cl.link.CloseAtRest(cl.farewell(c)): // it has just sent something, or gone
+		case !cl.link.CloseIfIdle(cl.farewell(c)): // it has just sent something, or gone
 			cl.since, cl.heard = c.now, c.now
 		case cl.greeted:
 			cl.gone(c, closedAtRest)
@@ -142,7 +142,7 @@
 		idle := c.now - cl.since
 		switch {
 		case cl.ending:
-			if cl.link.Empty() && idle >= rest {
+			if cl.link.Flushed() && idle >= rest {
 				return cl
 			}
 		case !cl.idle():
@@ -159,10 +159,10 @@
 
 // idle: nothing of a command has come, and the last answer is out.
 func (cl *client) idle() bool {
-	return cl.request < 0 && !cl.ending && len(cl.link.Peek()) == 0 && cl.link.Empty()
+	return cl.request < 0 && !cl.ending && len(cl.link.Peek()) == 0 && cl.link.Flushed()
 }
 
-func (cl *client) notice(c *Core, what What) {
+func (cl *client) notice(c *Core, what EventFlags) {
 	if cl.request >= 0 && !cl.ending {
 		cl.speech.more(cl, c)
 	}
@@ -197,7 +197,7 @@
 		}
 		n := cl.next(cl, c, cl.link.Peek())
 		if n == 0 {
-			if cl.link.Full() && !cl.ending && cl.request < 0 { // a long message, and all rings together may not grow any more
+			if cl.link.ReadBufferFull() && !cl.ending && cl.request < 0 { // a long message, and all rings together may not grow any more
 				cl.speech.overflow(cl, c)
 			}
 			return
@@ -224,7 +224,7 @@
 	c.clients[cl.at], last.at = last, cl.at
 	c.clients = c.clients[:len(c.clients)-1]
 	cl.at, cl.ending = -1, true
-	cl.link.Own(nil)
+	cl.link.SetOwner(nil)
 	cl.leave(c)
 }
 
@@ -253,7 +253,7 @@
 		}
 		if _, ok := cl.speech.(postgres); ok && cl.request >= 0 && hmac.Equal(c.key(cl), key) {
 			c.giveUp(cl.request, endCancelled)
-			c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.Cancelled, "canceled at the client's request", "")
+			c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.QueryCanceled, "canceled at the client's request", "")
 			cl.conclude(c, pgwire.AppendReady(c.out), true)
 		}
 		return
@@ -263,7 +263,7 @@
 // key is what a client is told to cancel by: its number, and what others cannot guess.
 func (c *Core) key(cl *client) []byte {
 	key := binary.BigEndian.AppendUint32(nil, uint32(cl.serial&math.MaxInt32))
-	h := hmac.New(sha256.New, c.limits.Secret)
+	h := hmac.New(sha256.New, c.limits.CancelSecret)
 	h.Write(key)
 	return h.Sum(key)[:8]
 }
@@ -283,14 +283,14 @@
 	if cl.at >= 0 && !cl.ending {
 		c.countClose(cl, cause)
 		cl.ending, cl.since = true, c.now
-		cl.link.Finish()
+		cl.link.CloseWrite()
 	}
 }
 
 // finishAtRest is finish for a client that rests. Danger: what was read and is not answered is lost, so one that has sent
 // something by that moment, or has not had all of its answer, is looked at again at the next beat.
 func (cl *client) finishAtRest(c *Core, cause closeCause) {
-	if cl.at >= 0 && !cl.ending && cl.link.FinishAtRest() {
+	if cl.at >= 0 && !cl.ending && cl.link.CloseWriteIfIdle() {
 		c.countClose(cl, cause)
 		cl.ending, cl.since = true, c.now
 	}
@@ -311,8 +311,8 @@
 }
 
 // begin takes a request in hand, or tells what is wrong with it.
-func (cl *client) begin(c *Core, t terms.Terms, cut pgwire.Cut) (index int32, f fault, why string) {
-	kind, ok := c.classes.byName[string(t.Profile)]
+func (cl *client) begin(c *Core, t metadata.Request, cut pgwire.TimeoutSpan) (index int32, f fault, why string) {
+	kind, ok := c.classes.byName[string(t.Class)]
 	if !ok {
 		return -1, noClass, "unknown class"
 	}
@@ -337,7 +337,7 @@
 	c.freeRequests = c.freeRequests[:len(c.freeRequests)-1]
 	c.inHand++
 	j := &c.requests[i]
-	*j = request{id: j.id, client: cl, terms: t, cut: cut, classes: c.classes, kind: kind, bolt: speaks, came: c.now, left: t.Left, busy: true}
+	*j = request{id: j.id, client: cl, terms: t, cut: cut, classes: c.classes, kind: kind, bolt: speaks, came: c.now, left: t.TimeLeft, busy: true}
 	c.arrivals = append(c.arrivals, i)
 	return i, sound, ""
 }
@@ -356,8 +356,8 @@
 		if len(mark) == 0 {
 			mark = j.terms.Session
 		}
-		c.door.Arrive(c.now, door.Arrival{Job: i, Profile: j.kind, Customer: j.terms.Customer, Client: j.client.serial,
-			Mark: mark, Group: j.terms.Group, Left: j.left - (c.now - j.came), Repeated: j.terms.Repeated, Bytes: len(j.client.link.Peek())})
+		c.door.Arrive(c.now, admission.Arrival{Request: i, Class: j.kind, Tenant: j.terms.Tenant, Client: j.client.serial,
+			RetryKey: mark, Group: j.terms.Group, TimeLeft: j.left - (c.now - j.came), MarkedRetry: j.terms.Retry, Bytes: len(j.client.link.Peek())})
 	}
 }
 
@@ -366,16 +366,16 @@
 	j := &c.requests[i]
 	s := &j.terms
 	waited := c.now - j.came
-	in := balance.Request{ID: j.id, Class: string(s.Profile), Tenant: string(s.Customer), Group: s.Group,
-		Left: j.left - waited, Waited: waited, Repeated: s.Repeated, WriteAge: -1}
+	in := balance.Request{ID: j.id, Class: string(s.Class), Tenant: string(s.Tenant), Group: s.Group,
+		Left: j.left - waited, Waited: waited, Repeated: s.Retry, WriteAge: -1}
 	if need := j.class().Need; need == balance.Write || need == balance.Session {
 		in.Session = string(s.Session)
 	}
-	if s.Carried {
+	if s.HasReadAfter {
 		// Positions are whole milliseconds and rounded up for commits, so one may lie ahead by less than that.
-		in.WriteAge = max(c.now-s.After, 0)
+		in.WriteAge = max(c.now-s.ReadAfter, 0)
 	}
-	if err := c.module.Take(c.now, in); err != nil {
+	if err := c.module.Submit(c.now, in); err != nil {
 		c.answer(i, j.client.speech.faulty(c.out[:0], noClass, err.Error()), endFaulty)
 	}
 }
@@ -406,7 +406,7 @@
 	}
 	c.countRequest(i, end)
 	if c.door != nil {
-		c.door.Ended(c.now, i)
+		c.door.RequestEnded(c.now, i)
 	}
 	cl := j.client
 	j.final, j.client = true, nil
--- a/internal/front/door_test.go
+++ b/internal/front/door_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/internal/pgwire"
 )
 
@@ -30,7 +30,7 @@
 func doorStage(t *testing.T) *stage {
 	s := newStage(t, 400)
 	s.configure(func(settings *Settings) {
-		settings.Door = &door.Bounds{Jobs: 100, Bytes: 1 << 20, Customers: 16, Places: 16, Strangers: 0.25, Further: 0.5}
+		settings.Admission = &admission.Bounds{MaxRequests: 100, MaxBytes: 1 << 20, DedicatedTenants: 16, SharedQueues: 16, SharedWeight: 0.25, RetriesPerRequest: 0.5}
 	})
 	return s
 }
@@ -49,7 +49,7 @@
 	for name, happens := range map[string]func(s *stage){
 		"SIGTERM": func(s *stage) { s.core.Stop(s.now) },
 		"drain": func(s *stage) {
-			s.core.Tell(List{News: balance.ListChanges, Lines: []Line{{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{
+			s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{
 				Group: 3, Condition: balance.Draining, Primary: true, Size: 1}}}})
 			s.step()
 		},
@@ -74,7 +74,7 @@
 			for _, cl := range clients {
 				answers[code(t, cl.take())]++
 			}
-			if s.core.door.Waiting() != 0 || s.core.inHand != 0 || answers[pgwire.TooMany] < held {
+			if s.core.door.Waiting() != 0 || s.core.inHand != 0 || answers[pgwire.TooManyConnections] < held {
 				t.Errorf("%s, %s: %d waited, answers %v, %v, %d still wait", name, class, held, answers, s.core, s.core.door.Waiting())
 			}
 			if name == "drain" && s.queries() > sent {
@@ -101,7 +101,7 @@
 	held := s.core.door.Waiting()
 	again := s.client()
 	s.say(again, ask("any", 1059))
-	if got := code(t, again.take()); got != pgwire.Duplicate {
+	if got := code(t, again.take()); got != pgwire.DuplicateObject {
 		t.Errorf("an id that waits at the door, asked again: %s", got)
 	}
 	sent := s.queries()
@@ -119,7 +119,7 @@
 	for len(again.out) == 0 && s.now < came+2*second {
 		s.pass(5 * perMilli)
 	}
-	if got, waited := code(t, again.take()), s.now-came; got != pgwire.TooMany || waited > second/2 {
+	if got, waited := code(t, again.take()), s.now-came; got != pgwire.TooManyConnections || waited > second/2 {
 		t.Errorf("a job whose time ends at the door: %s after %d", got, waited)
 	}
 	s.pass(2 * second)
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -77,7 +77,7 @@
 		request = string(c.requests[cl.request].terms.ID)
 	}
 	c.note("client connection closed", "cause", cause.String(), "client", cl.serial, "request", request, "behind", len(cl.pipeline.behind),
-		"unread", len(cl.link.Peek()), "answer_out", cl.link.Empty(), "silent_ms", (c.now-cl.since)/perMilli)
+		"unread", len(cl.link.Peek()), "answer_out", cl.link.Flushed(), "silent_ms", (c.now-cl.since)/perMilli)
 }
 
 // countRequest counts the end of a request. One that was answered after its time, or given up behind an attempt that may
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -11,8 +11,8 @@
 	"log/slog"
 	"strconv"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/internal/settings"
 )
 
@@ -24,26 +24,26 @@
 // Link is one socket. The core owns it from Dial or its Accepted event until it calls Close or Finish, or
 // hears that it is closed.
 type Link interface {
-	Peek() []byte        // all that came in and was not discarded
-	Discard(n int)       // drops its first bytes
-	Full() bool          // there is no room for more to come in
-	Write(p []byte) bool // queues p whole; false: there is no room for it
-	Flush()              // hands what is queued to the system
-	Sent() int64         // bytes that the system has taken so far
-	Empty() bool         // the system has taken all that was queued
-	Close()              // at once; what is still queued is dropped
-	Abort()              // the same, and what the system holds of it is dropped too
-	Finish()             // ends the sending once all that is queued is out, and closes when the peer does; what comes is dropped
-	PeerOpen() bool      // the peer is there, as the system knows this moment
-	FinishAtRest() bool  // is Finish if nothing has come up to that moment that was not discarded, and nothing is queued
+	Peek() []byte           // all that came in and was not discarded
+	Discard(n int)          // drops its first bytes
+	ReadBufferFull() bool   // there is no room for more to come in
+	Write(p []byte) bool    // queues p whole; false: there is no room for it
+	Flush()                 // hands what is queued to the system
+	SentBytes() int64       // bytes that the system has taken so far
+	Flushed() bool          // the system has taken all that was queued
+	Close()                 // at once; what is still queued is dropped
+	Abort()                 // the same, and what the system holds of it is dropped too
+	CloseWrite()            // ends the sending once all that is queued is out, and closes when the peer does; what comes is dropped
+	PeerOpen() bool         // the peer is there, as the system knows this moment
+	CloseWriteIfIdle() bool // is Finish if nothing has come up to that moment that was not discarded, and nothing is queued
 	// CloseAtRest is Close if nothing has come up to that moment that was not discarded. last is sent before if it can be.
-	CloseAtRest(last []byte) bool
+	CloseIfIdle(last []byte) bool
 	Owner() any // what Own was told last
-	Own(owner any)
+	SetOwner(owner any)
 }
 
 // NoRoom: no descriptor, port or memory is left for a connection, which is no fault of the store's.
-var NoRoom = errors.New("no room for a connection")
+var ErrNoResources = errors.New("no room for a connection")
 
 // Sockets opens connections. What is written on a link that is not up yet waits; Closed follows if it never
 // will be.
@@ -51,11 +51,11 @@
 	Dial(addr string) (Link, error)
 }
 
-// What tells what happened to a link; several may have at once.
-type What uint8
+// EventFlags tells what happened to a link; several may have at once.
+type EventFlags uint8
 
 const (
-	Accepted What = 1 << iota
+	Accepted EventFlags = 1 << iota
 	Readable
 	Closed
 	Bolt // with Accepted: on the listener for Bolt
@@ -63,48 +63,48 @@
 
 // Event is one link with news.
 type Event struct {
-	Link Link
-	What What
+	Link  Link
+	Flags EventFlags
 }
 
-// Line is one store of the list, with where this front reaches it. The core numbers the stores.
-type Line struct {
+// StoreEntry is one store of the list, with where this front reaches it. The core numbers the stores.
+type StoreEntry struct {
 	ID, Addr string
 	Bolt     bool // it speaks Bolt, else PostgreSQL's protocol
 	balance.Member
 }
 
-// List is what discovery told.
-type List struct {
-	News  balance.ListNews
-	Lines []Line
+// StoreList is what discovery told.
+type StoreList struct {
+	Kind    balance.ListKind
+	Entries []StoreEntry
 }
 
 // Limits bounds what the core holds open.
 type Limits struct {
-	Links   int          // sockets of clients and stores together
-	Clients int          // of them at most
-	Kept    int          // bytes of answers that wait for those before them on their connections; 0: defaultKept
-	Answer  int          // bytes of one message of a store
-	Rest    Time         // a client that asked nothing for that long may be hung up on to make room
-	Grace   Time         // from Stop on, for that long at least, clients are served on
-	Force   Time         // from Stop to the end by force, beside the longest deadline; 0: Grace
-	Longest Time         // that deadline counts as no more than this there; 0: it counts in full
-	Door    *door.Bounds // nil: requests go straight to the module
-	Address string       // where Bolt clients reach this front, for ROUTE, if they do not say
-	Drain   Time         // how long an open transaction may go on at a store that drains
-	Secret  []byte       // from which the keys are made by which clients cancel
+	MaxConnections     int               // sockets of clients and stores together
+	MaxClients         int               // of them at most
+	MaxBufferedReplies int               // bytes of answers that wait for those before them on their connections; 0: defaultKept
+	MaxStoreMessage    int               // bytes of one message of a store
+	ClientIdle         Time              // a client that asked nothing for that long may be hung up on to make room
+	ShutdownGrace      Time              // from Stop on, for that long at least, clients are served on
+	ForceAfter         Time              // from Stop to the end by force, beside the longest deadline; 0: Grace
+	MaxDeadline        Time              // that deadline counts as no more than this there; 0: it counts in full
+	Admission          *admission.Bounds // nil: requests go straight to the module
+	BoltAddress        string            // where Bolt clients reach this front, for ROUTE, if they do not say
+	DrainGrace         Time              // how long an open transaction may go on at a store that drains
+	CancelSecret       []byte            // from which the keys are made by which clients cancel
 	// Saw, if it is set, is told how each attempt and each probe came back, and how long after it set out. Expected is
 	// the expected time of the attempt's class, 0 for a probe.
-	Saw   func(store string, how balance.Ending, expected, took Time)
-	Watch Watch // nil: every question goes to the store itself
+	OnAttemptEnd  func(store string, how balance.Ending, expected, took Time)
+	PositionWatch PositionWatch // nil: every question goes to the store itself
 }
 
-// Watch may take over the questions of reads that wait for a position. Its methods are called during Step.
-type Watch interface {
-	Ask(store string, need Time, any bool) bool // true: Proxied follows
-	Learned(store string, position Time)        // it has shown that much to this front
-	Failed(store string)                        // a Survey came to nothing
+// PositionWatch may take over the questions of reads that wait for a position. Its methods are called during Step.
+type PositionWatch interface {
+	RequestPosition(store string, need Time, any bool) bool // true: Proxied follows
+	PositionObserved(store string, position Time)           // it has shown that much to this front
+	QueryFailed(store string)                               // a Survey came to nothing
 }
 
 // word is what others have to say of a store, and what the watch asks for.
@@ -137,16 +137,16 @@
 	request int32 // -1: of a probe
 	attempt int
 	store   uint32
-	r       balance.Return
+	r       balance.Result
 }
 
 // Core is one front.
 type Core struct {
 	module       *balance.Balancer
-	door         *door.Door // nil: there is none
+	door         *admission.Controller // nil: there is none
 	sockets      Sockets
 	log          *slog.Logger
-	host         settings.Host
+	host         settings.Process
 	limits       Limits
 	classes      *classTable
 	settings     Settings // in force
@@ -165,7 +165,7 @@
 	behind       int    // commands in all pipelines
 	kept         int    // bytes of their replies
 	conns        []*conn
-	lists        []List
+	lists        []StoreList
 	plans        []plan
 	words        []word
 	arrivals     []int32
@@ -183,48 +183,48 @@
 }
 
 // New starts a front. watch is called when the module asks discovery for changes.
-func New(now Time, c balance.Settings, h settings.Host, l Limits, s Sockets, watch func(),
+func New(now Time, c balance.Settings, h settings.Process, l Limits, s Sockets, watch func(),
 	log *slog.Logger) (*Core, error) {
 	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watch: watch,
-		classes: newClassTable(c.Classes), settings: Settings{Module: c, Host: h, Door: l.Door},
+		classes: newClassTable(c.Classes), settings: Settings{Balancer: c, Host: h, Admission: l.Admission},
 		storeOf: map[string]uint32{}, groups: map[uint64]bool{}}
 	var err error
-	if f.module, err = balance.New(now, c, f); err == nil && l.Door != nil {
-		f.door, err = door.New(now, c, *l.Door, gate{f})
+	if f.module, err = balance.New(now, c, f); err == nil && l.Admission != nil {
+		f.door, err = admission.New(now, c, *l.Admission, gate{f})
 	}
 	return f, err
 }
 
-// Tell queues what discovery told for the next Step.
-func (c *Core) Tell(l List) { c.lists = append(c.lists, l) }
+// UpdateStores queues what discovery told for the next Step.
+func (c *Core) UpdateStores(l StoreList) { c.lists = append(c.lists, l) }
 
-// Zone queues the fleet's plan for a zone for the next Step.
-func (c *Core) Zone(name string, part float64) { c.plans = append(c.plans, plan{name, part}) }
+// SetZoneShare queues the fleet's plan for a zone for the next Step.
+func (c *Core) SetZoneShare(name string, part float64) { c.plans = append(c.plans, plan{name, part}) }
 
-// Vouch queues a peer's word for what a store has shown. Survey has a store asked for its position. Proxied ends a question
+// ReportPosition queues a peer's word for what a store has shown. Survey has a store asked for its position. Proxied ends a question
 // that the watch has taken over: it is settled, or the store itself is to be asked.
-func (c *Core) Vouch(store string, position Time) {
+func (c *Core) ReportPosition(store string, position Time) {
 	c.words = append(c.words, word{store: store, position: position, do: func(c *Core, i uint32, w word) {
-		c.module.Heard(c.now, i, w.position)
+		c.module.PeerPosition(c.now, i, w.position)
 	}})
 }
-func (c *Core) Survey(store string) {
+func (c *Core) QueryPosition(store string) {
 	c.words = append(c.words, word{store: store, do: func(c *Core, i uint32, _ word) {
-		c.start(i, errand{request: -1, survey: true, since: c.now, until: c.now + c.host.Dial})
+		c.start(i, errand{request: -1, survey: true, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
-func (c *Core) Proxied(store string, answered bool) {
+func (c *Core) PositionResolved(store string, answered bool) {
 	c.words = append(c.words, word{store: store, answered: answered, do: func(c *Core, i uint32, w word) {
 		if w.answered { // it says nothing of the store, but that the question is settled
-			c.owe(back{-1, 0, i, balance.Return{Ending: balance.Served}})
+			c.owe(back{-1, 0, i, balance.Result{Ending: balance.Served}})
 			return
 		}
-		c.start(i, errand{request: -1, since: c.now, until: c.now + c.host.Dial})
+		c.start(i, errand{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
 
-// Next is when Step must be called again even if nothing happens.
-func (c *Core) Next() Time {
+// NextStep is when Step must be called again even if nothing happens.
+func (c *Core) NextStep() Time {
 	if len(c.stalled) > 0 { // their clients may have read meanwhile, which nothing tells where the system took it all
 		return min(c.wakeAt, c.now+perMilli)
 	}
@@ -236,18 +236,18 @@
 // answered before the front is ended by force.
 func (c *Core) Stop(now Time) {
 	if c.stopAt == 0 {
-		span := min(c.classes.longest, cmp.Or(c.limits.Longest, c.classes.longest))
+		span := min(c.classes.longest, cmp.Or(c.limits.MaxDeadline, c.classes.longest))
 		// Danger: where limits are short, new connections still come when most of that time is over.
-		c.stopAt, c.endAt = now+max(span*3/4, c.limits.Grace), now+span+cmp.Or(c.limits.Force, c.limits.Grace)
-		c.module.Closing(now, c.endAt) // Danger: what the end by force finds unanswered is lost.
+		c.stopAt, c.endAt = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
+		c.module.SetShutdownDeadline(now, c.endAt) // Danger: what the end by force finds unanswered is lost.
 	}
 }
 
 // Done tells that Stop is complete: no client is left and no request in hand.
 func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.inHand == 0 }
 
-// InHand gives the requests that have not had their final answer, or whose attempts are still out.
-func (c *Core) InHand() int { return c.inHand }
+// PendingRequests gives the requests that have not had their final answer, or whose attempts are still out.
+func (c *Core) PendingRequests() int { return c.inHand }
 
 // Stopping tells that new connections are no longer expected.
 func (c *Core) Stopping() bool { return c.stopAt > 0 && c.now >= c.stopAt }
@@ -258,14 +258,14 @@
 	for _, e := range events {
 		switch o := e.Link.Owner().(type) {
 		case *client:
-			o.notice(c, e.What)
+			o.notice(c, e.Flags)
 		case *conn:
-			o.notice(c, e.What)
+			o.notice(c, e.Flags)
 		default:
-			if e.What&Bolt != 0 {
-				c.accept(e.Link, e.What, newBoltClient())
-			} else if e.What&Accepted != 0 {
-				c.accept(e.Link, e.What, postgres{})
+			if e.Flags&Bolt != 0 {
+				c.accept(e.Link, e.Flags, newBoltClient())
+			} else if e.Flags&Accepted != 0 {
+				c.accept(e.Link, e.Flags, postgres{})
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 		k.resume(c)
 	}
 	for _, p := range c.plans {
-		c.module.Zone(now, p.zone, p.part)
+		c.module.SetZoneShare(now, p.zone, p.part)
 	}
 	c.plans = c.plans[:0]
 	for _, l := range c.lists {
@@ -300,9 +300,9 @@
 		c.backs = c.backs[:0]
 		for _, i := range c.leavers {
 			if c.door != nil {
-				c.door.Ended(now, i)
+				c.door.RequestEnded(now, i)
 			}
-			c.module.Left(now, c.requests[i].id)
+			c.module.ClientGone(now, c.requests[i].id)
 			c.free(i)
 		}
 		c.leavers = c.leavers[:0]
@@ -311,9 +311,9 @@
 		}
 		c.arrivals = c.arrivals[:0]
 		if beat {
-			c.module.Beat(now)
+			c.module.Tick(now)
 			if c.door != nil {
-				c.door.Beat(now)
+				c.door.Tick(now)
 			}
 			beat = false
 		}
@@ -330,16 +330,16 @@
 // open has the door let in what there is room for.
 func (c *Core) open() {
 	if c.door != nil {
-		c.door.Turn(c.now)
+		c.door.AdmitWaiting(c.now)
 	}
 }
 
 // gate is what the core does for the door.
 type gate struct{ c *Core }
 
-func (g gate) LetIn(request int32) { g.c.take(request) }
+func (g gate) Admit(request int32) { g.c.take(request) }
 func (g gate) Log(text string)     { g.c.note(text) }
-func (g gate) TurnBack(request int32, pause Time) {
+func (g gate) Reject(request int32, pause Time) {
 	g.c.tasks = append(g.c.tasks, task{do: (*Core).refuse, request: request, at: pause})
 }
 
@@ -352,22 +352,22 @@
 
 func (c *Core) handBack(b back) {
 	if b.request < 0 {
-		c.module.Probed(c.now, b.store, b.r)
+		c.module.ProbeDone(c.now, b.store, b.r)
 		return
 	}
 	j := &c.requests[b.request]
 	j.owed--
 	b.r.Done = j.final
-	c.module.Returned(c.now, j.id, b.attempt, b.store, b.r)
+	c.module.AttemptDone(c.now, j.id, b.attempt, b.store, b.r)
 	c.free(b.request)
 }
 
 // list hands a list on, with the stores numbered.
-func (c *Core) list(l List) {
-	members := make([]balance.Member, len(l.Lines))
-	named := make(map[uint32]bool, len(l.Lines))
-	for k := range l.Lines {
-		e := &l.Lines[k]
+func (c *Core) list(l StoreList) {
+	members := make([]balance.Member, len(l.Entries))
+	named := make(map[uint32]bool, len(l.Entries))
+	for k := range l.Entries {
+		e := &l.Entries[k]
 		i, ok := c.storeOf[e.ID]
 		if !ok {
 			if len(c.freeStores) == 0 {
@@ -392,7 +392,7 @@
 			c.hangUp(i)
 		case balance.Draining:
 			if s.cutAt == 0 {
-				s.cutAt = c.now + c.limits.Drain
+				s.cutAt = c.now + c.limits.DrainGrace
 			}
 		case balance.Ready:
 			s.cutAt = 0
@@ -401,14 +401,14 @@
 		members[k] = e.Member
 		members[k].Store = i
 	}
-	if l.News == balance.ListWhole || l.News == balance.ListOlder {
+	if l.Kind == balance.ListFull || l.Kind == balance.ListStale {
 		for i := range c.stores {
 			if !named[uint32(i)] {
 				c.hangUp(uint32(i))
 			}
 		}
 	}
-	c.module.List(c.now, l.News, members)
+	c.module.UpdateMembers(c.now, l.Kind, members)
 	for i := range named { // in any order: what was forgotten and named again in one go has been taken up anew
 		c.stores[i].forgotten = false
 	}
@@ -428,7 +428,7 @@
 
 func (c *Core) Send(id string, store uint32, until, least Time) {
 	if c.door != nil {
-		c.door.Sent(c.now, place(id))
+		c.door.AttemptStarted(c.now, place(id))
 	}
 	c.tasks = append(c.tasks, task{do: (*Core).depart, request: place(id), store: store, at: until, least: least})
 }
@@ -439,7 +439,7 @@
 
 func (c *Core) Refuse(id string, pause Time) {
 	if c.door != nil {
-		pause = c.door.Promise(c.now, place(id), pause)
+		pause = c.door.RetryAfter(c.now, place(id), pause)
 	}
 	c.tasks = append(c.tasks, task{do: (*Core).refuse, request: place(id), at: pause})
 }
@@ -452,7 +452,7 @@
 	c.tasks = append(c.tasks, task{do: (*Core).probe, store: store, least: need, any: any})
 }
 
-func (c *Core) HangUp(store uint32) {
+func (c *Core) CloseIdle(store uint32) {
 	c.tasks = append(c.tasks, task{do: func(c *Core, t task) { c.hangUp(t.store) }, store: store})
 }
 
@@ -461,9 +461,9 @@
 	c.tasks = append(c.tasks, task{do: (*Core).forget, store: store})
 }
 
-func (c *Core) Wake(after Time) { c.wakeAt = c.now + after }
+func (c *Core) WakeAfter(after Time) { c.wakeAt = c.now + after }
 
-func (c *Core) Watch() { c.watch() }
+func (c *Core) WatchMembers() { c.watch() }
 
 func (c *Core) Log(text string) { c.note(text) }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -26,9 +26,9 @@
 	most             int  // bytes that Write has room for; 0: any
 }
 
-func (w *wire) Peek() []byte  { return w.in }
-func (w *wire) Discard(n int) { w.in = w.in[n:] }
-func (w *wire) Full() bool    { return false }
+func (w *wire) Peek() []byte         { return w.in }
+func (w *wire) Discard(n int)        { w.in = w.in[n:] }
+func (w *wire) ReadBufferFull() bool { return false }
 func (w *wire) Write(p []byte) bool {
 	if w.most > 0 && len(w.out)+len(p) > w.most {
 		return false
@@ -36,23 +36,23 @@
 	w.out = append(w.out, p...)
 	return true
 }
-func (w *wire) Flush()      {}
-func (w *wire) Sent() int64 { return int64(w.taken + len(w.out) - w.stuck) }
-func (w *wire) Empty() bool { return w.stuck == 0 }
-func (w *wire) Abort()      { w.Close() }
-func (w *wire) Close()      { w.closed, w.stuck = true, w.stuck-w.slips }
-func (w *wire) Finish()     { w.finished = true }
+func (w *wire) Flush()           {}
+func (w *wire) SentBytes() int64 { return int64(w.taken + len(w.out) - w.stuck) }
+func (w *wire) Flushed() bool    { return w.stuck == 0 }
+func (w *wire) Abort()           { w.Close() }
+func (w *wire) Close()           { w.closed, w.stuck = true, w.stuck-w.slips }
+func (w *wire) CloseWrite()      { w.finished = true }
 func (w *wire) PeerOpen() bool {
 	return !w.ended
 }
-func (w *wire) FinishAtRest() bool {
+func (w *wire) CloseWriteIfIdle() bool {
 	if len(w.in) > 0 || w.stuck > 0 {
 		return false
 	}
-	w.Finish()
+	w.CloseWrite()
 	return true
 }
-func (w *wire) CloseAtRest(last []byte) bool {
+func (w *wire) CloseIfIdle(last []byte) bool {
 	if len(w.in) > 0 {
 		return false
 	}
@@ -60,8 +60,8 @@
 	w.Close()
 	return true
 }
-func (w *wire) Owner() any { return w.owner }
-func (w *wire) Own(o any)  { w.owner = o }
+func (w *wire) Owner() any     { return w.owner }
+func (w *wire) SetOwner(o any) { w.owner = o }
 
 func (w *wire) take() string {
 	s := string(w.out)
@@ -97,22 +97,22 @@
 
 func newStage(t testing.TB, links int, silent ...bool) *stage {
 	s := &stage{t: t, now: 17672256000000}
-	c := balance.Settings{Seed: 7, Fronts: 1, Round: 50, FencesCarried: true, ListPushed: true, AskWithin: 100000,
-		AnswerSlack: 200, StartShare: 0.2, Cold: 100000, FallMultiple: 3, FallSpan: 15000, MostAttempts: 4,
-		MayProbe: len(silent) == 0, MayCancel: true, ProbePrice: 0.01, MostPause: 10000, Classes: []balance.Class{
+	c := balance.Settings{Seed: 7, Fronts: 1, EventInterval: 50, FencesCarried: true, ListPushed: true, ListInterval: 100000,
+		AnswerSlack: 200, StartCapacity: 0.2, WarmupTime: 100000, ColdOverloadFactor: 3, ColdOverloadSpan: 15000, MaxAttempts: 4,
+		MayProbe: len(silent) == 0, MayCancel: true, ProbePrice: 0.01, MaxRetryAfter: 10000, Classes: []balance.Class{
 			{Name: "any", ExpectedTime: 3000, Deadline: 12000, Credit: 1},
 			{Name: "session", Need: balance.Session, ExpectedTime: 3000, Deadline: 12000, Credit: 1},
 			{Name: "once", Need: balance.Write, Repeat: balance.AtMostOnce, ExpectedTime: 6000, Deadline: 30000,
 				Credit: 4, LateCredit: 0.5}}}
 	s.settings = c
-	h := settings.Host{Dial: 2500, Idle: 300000, Reports: "on_probe"}
+	h := settings.Process{DialTimeout: 2500, IdleTimeout: 300000, LoadReports: "on_probe"}
 	var err error
-	s.core, err = New(s.now, c, h, Limits{Links: links, Clients: links - 2, Answer: 1 << 20, Rest: 2 * second, Grace: second / 2}, s, func() {},
+	s.core, err = New(s.now, c, h, Limits{MaxConnections: links, MaxClients: links - 2, MaxStoreMessage: 1 << 20, ClientIdle: 2 * second, ShutdownGrace: second / 2}, s, func() {},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.core.Tell(List{News: balance.ListWhole, Lines: []Line{{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{
+	s.core.UpdateStores(StoreList{Kind: balance.ListFull, Entries: []StoreEntry{{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{
 		Group: 3, Condition: balance.Ready, Primary: true, Size: 1}}}})
 	s.core.Step(s.now, nil)
 	return s
@@ -126,7 +126,7 @@
 // pass lets time go by in the steps that the core asks for.
 func (s *stage) pass(span Time) {
 	for end := s.now + span; s.now < end; {
-		s.now = min(max(s.core.Next(), s.now+1), end)
+		s.now = min(max(s.core.NextStep(), s.now+1), end)
 		s.core.Step(s.now, nil)
 	}
 }
@@ -179,7 +179,7 @@
 const ready = "Z\x00\x00\x00\x05I"
 
 func ask(class string, n int) string {
-	return string(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=%d,c=%s,d=1000,cluster=3 */ SELECT 'k'", n, class)))
+	return string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=%d,c=%s,d=1000,cluster=3 */ SELECT 'k'", n, class)))
 }
 
 func failed(code string) string { return string(pgwire.AppendError(nil, "ERROR", code, "m", "")) }
@@ -195,19 +195,19 @@
 	if answer == value+ready {
 		return "value"
 	}
-	kind, body, n, err := pgwire.Message([]byte(answer), pgwire.MostQuery)
+	kind, body, n, err := pgwire.ParseMessage([]byte(answer), pgwire.MaxQuerySize)
 	if kind != 'E' || err != nil || answer[n:] != ready && answer[n:] != "" {
 		t.Errorf("answer %q", answer)
 		return ""
 	}
-	return pgwire.Code(body)
+	return pgwire.SQLState(body)
 }
 
 // TestOutcomes: what each answer of a store is to a request that may run again and to one that may not.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		what         What
+		what         EventFlags
 		stuck        bool
 		read, write  string // the client's answer; "attempt": the request goes on instead
 	}{
@@ -252,7 +252,7 @@
 				}
 				s.pass(2 * second) // it goes again, which then is not answered, or ends as what never ran
 				again := s.dials[len(s.dials)-1] != st || strings.Count(string(st.out), "id=1,") > 1
-				if got := code(t, cl.take()); got != pgwire.TooMany && !(again && got == pgwire.Unresolved) {
+				if got := code(t, cl.take()); got != pgwire.TooManyConnections && !(again && got == pgwire.OutcomeUnknown) {
 					t.Errorf("%s, %s: ended with %s", c.name, class, got)
 				}
 			} else if got := code(t, cl.take()); got != want {
@@ -283,13 +283,13 @@
 		t.Fatalf("%d bytes are passed on", len(got))
 	}
 	s.say(cl, ask("once", 2))
-	if s.say(st, value[:11], "D\x7f\xff\xff\xff\x00\x01"); !st.closed || code(t, cl.take()) != pgwire.Unresolved {
+	if s.say(st, value[:11], "D\x7f\xff\xff\xff\x00\x01"); !st.closed || code(t, cl.take()) != pgwire.OutcomeUnknown {
 		t.Error("the end of a value without end is waited for")
 	}
 	s.say(cl, ask("any", 3))
 	cl.most = 1000
 	s.pass(500)
-	if s.say(s.store(), long(2000), ready); cl.closed || code(t, cl.take()) != pgwire.Unresolved {
+	if s.say(s.store(), long(2000), ready); cl.closed || code(t, cl.take()) != pgwire.OutcomeUnknown {
 		t.Errorf("a client without room for its answer: %q, %d dials", cl.out, len(s.dials))
 	}
 	s.step(Event{cl, Closed})
@@ -297,10 +297,10 @@
 }
 
 func TestClientsInput(t *testing.T) {
-	empty := string(pgwire.AppendSimple(nil, " ; "))
+	empty := string(pgwire.AppendSimpleQuery(nil, " ; "))
 	for _, c := range []struct{ name, in, want string }{
 		{"empty query", empty, "I\x00\x00\x00\x04" + ready},
-		{"no comment", string(pgwire.AppendSimple(nil, "SELECT 1")), "42601"},
+		{"no comment", string(pgwire.AppendSimpleQuery(nil, "SELECT 1")), "42601"},
 		{"unknown class", ask("none", 1), "22023"},
 		{"unknown cluster", strings.Replace(ask("any", 1), "cluster=3", "cluster=4", 1), "3D000"},
 		{"prepared", "P\x00\x00\x00\x08\x00\x00\x00\x00B\x00\x00\x00\x04S\x00\x00\x00\x04", "0A000"},
@@ -393,7 +393,7 @@
 	s.say(a, ask("any", 1))
 	st := s.store()
 	s.say(b, ask("any", 1))
-	if got := code(t, b.take()); got != pgwire.Duplicate {
+	if got := code(t, b.take()); got != pgwire.DuplicateObject {
 		t.Errorf("a second one is answered %q", got)
 	}
 	s.say(st, value, ready)
@@ -495,7 +495,7 @@
 		fail(s)
 		s.deny = errors.New("no route")
 		s.pass(2 * second)
-		if got := code(t, cl.take()); got != pgwire.TooMany { // it never ran, so trying again is harmless
+		if got := code(t, cl.take()); got != pgwire.TooManyConnections { // it never ran, so trying again is harmless
 			t.Errorf("%s: answered %s", name, got)
 		}
 		s.step(Event{cl, Closed})
@@ -517,7 +517,7 @@
 	if len(s.dials) != 2 {
 		t.Fatalf("%d connections where 2 have room", len(s.dials))
 	}
-	if got := code(t, c.take()); got != pgwire.TooMany {
+	if got := code(t, c.take()); got != pgwire.TooManyConnections {
 		t.Fatalf("the third job: %s", got)
 	}
 	for _, st := range s.dials {
@@ -526,7 +526,7 @@
 	}
 	d := &wire{in: append(pgwire.AppendStartup(nil, "web", "orders"), ask("any", 1)...)}
 	s.step(Event{d, Accepted | Readable})
-	if got := code(t, d.take()); got != pgwire.TooMany || !d.finished {
+	if got := code(t, d.take()); got != pgwire.TooManyConnections || !d.finished {
 		t.Fatalf("a client past the bound: %s", got)
 	}
 	if len(s.core.conns) > 2 {
@@ -544,14 +544,14 @@
 func TestClientsThatKeepTheirConnections(t *testing.T) {
 	s := newStage(t, 40, true)
 	busy, half, old, young := s.client(), s.client(), s.client(), s.client()
-	s.say(busy, string(pgwire.AppendSimple(nil, "/* id=1,c=once,d=30000,cluster=3 */ SELECT 'k'")))
+	s.say(busy, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=once,d=30000,cluster=3 */ SELECT 'k'")))
 	s.store() // it has the query, and hangs
 	rest := ask("any", 2)
 	goOn := func() { s.say(half, rest[:1]); rest = rest[1:] }
 	goOn()
 	s.pass(2 * second)
 	goOn()
-	empty := string(pgwire.AppendSimple(nil, ""))
+	empty := string(pgwire.AppendSimpleQuery(nil, ""))
 	s.say(young, empty)
 	closed := func(old1, young1 bool) {
 		t.Helper()
@@ -561,12 +561,12 @@
 	}
 	s.pass(second)
 	closed(false, false)
-	s.core.limits.Clients = 7
+	s.core.limits.MaxClients = 7
 	goOn()
 	s.pass(second / 2)
 	closed(true, false)
 	silent := &wire{}
-	s.core.limits.Clients = 6
+	s.core.limits.MaxClients = 6
 	s.say(young, empty)
 	s.step(Event{silent, Accepted})
 	s.pass(second / 3)
@@ -577,13 +577,13 @@
 	if closed(true, false); !silent.closed {
 		t.Error("one that never greeted does not yield first")
 	}
-	s.core.limits.Clients = 3
+	s.core.limits.MaxClients = 3
 	goOn()
 	s.pass(second / 10)
 	closed(true, true)
-	s.core.limits.Clients = 2
+	s.core.limits.MaxClients = 2
 	late := &wire{in: pgwire.AppendStartup(nil, "web", "orders")}
-	if s.step(Event{late, Accepted | Readable}); code(t, late.take()) != pgwire.TooMany {
+	if s.step(Event{late, Accepted | Readable}); code(t, late.take()) != pgwire.TooManyConnections {
 		t.Error("none can yield, yet one more is taken in")
 	}
 }
@@ -638,12 +638,12 @@
 // are hung up on and all that was taken is answered before it, a request that was in hand at the signal too.
 func TestEndByForceBeforeTheLongestLimit(t *testing.T) {
 	s := newStage(t, 20)
-	s.core.classes.longest, s.core.limits.Longest = 13*second, 3*second
+	s.core.classes.longest, s.core.limits.MaxDeadline = 13*second, 3*second
 	before, idle, after := s.client(), s.client(), s.client()
 	s.say(before, strings.Replace(ask("once", 1), "d=1000", "d=9000", 1))
 	s.store()
 	s.core.Stop(s.now)
-	end := s.now + 3*second + s.core.limits.Grace
+	end := s.now + 3*second + s.core.limits.ShutdownGrace
 	s.say(after, strings.Replace(ask("any", 2), "d=1000", "d=9000", 1))
 	s.store()
 	s.pass(end - s.now)
@@ -683,8 +683,8 @@
 	s.say(cl, ask("any", 1))
 	st := s.store()
 	s.say(st, value, ready)
-	line := Line{ID: "s", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true}}
-	s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line}})
+	line := StoreEntry{ID: "s", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true}}
+	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	if s.step(); !st.closed {
 		t.Error("an idle connection to the old address is kept")
 	}
@@ -692,14 +692,14 @@
 	s.say(s.store(), value, ready)
 	line.Addr = "127.0.0.1:3"
 	s.say(cl, ask("any", 3))
-	s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line}})
+	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	s.step()
 	if s.say(s.dials[1], value, ready); !s.dials[1].closed {
 		t.Error("a connection that was in use while its store moved is kept")
 	}
 	s.say(cl, ask("any", 4))
 	s.say(s.store(), value, ready)
-	s.core.Tell(List{News: balance.ListWhole})
+	s.core.UpdateStores(StoreList{Kind: balance.ListFull})
 	if s.step(); !s.dials[2].closed {
 		t.Error("an idle connection to a store that is gone is kept")
 	}
@@ -715,11 +715,11 @@
 func TestStoresReplacedForGood(t *testing.T) {
 	s := newStage(t, 20)
 	cl := s.client()
-	line := Line{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}}
+	line := StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}}
 	for n := range 40 {
 		old := line
 		line.ID, old.Condition = fmt.Sprint("s", n), balance.Gone
-		s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line, old}})
+		s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line, old}})
 		s.step()
 		s.core.Probe(s.core.storeOf[old.ID], 0, false) // is under way to the old store, and not answered
 		s.pass(6 * second)
@@ -740,7 +740,7 @@
 	// Forgotten and named again in one go: the number stays, and so does what hangs on it.
 	i := s.core.storeOf[line.ID]
 	s.core.Forget(i)
-	s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line}})
+	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	if s.step(); s.core.storeOf[line.ID] != i || s.core.stores[i].id != line.ID {
 		t.Error("a store that is named again has lost its number")
 	}
@@ -857,14 +857,14 @@
 	a, b := s.client(), s.client()
 	s.say(a, ask("once", 1))
 	st := s.store()
-	s.deny = NoRoom
-	s.core.limits.Clients = 20
+	s.deny = ErrNoResources
+	s.core.limits.MaxClients = 20
 	s.core.Probe(0, 0, false)
 	if s.pass(3000); len(s.dials) != 1 || len(s.core.stores[0].waits) != 0 {
 		t.Fatalf("%d connections, %d errands wait", len(s.dials), len(s.core.stores[0].waits))
 	}
 	s.say(b, ask("any", 2)) // it is tried, and refused for want of a descriptor
-	if got := code(t, b.take()); got != pgwire.TooMany {
+	if got := code(t, b.take()); got != pgwire.TooManyConnections {
 		t.Errorf("the store is taken for silent: %q", got)
 	}
 	s.core.Probe(0, 0, false)
@@ -921,12 +921,12 @@
 func BenchmarkStores(b *testing.B) {
 	for _, n := range []int{10, 120, 1000} {
 		s := newStage(b, 2*n+100, true)
-		var lines []Line
+		var lines []StoreEntry
 		for k := range n {
-			lines = append(lines, Line{ID: fmt.Sprint("s", k), Addr: "127.0.0.1:1", Member: balance.Member{Group: uint64(3 + k/3), Condition: balance.Ready,
+			lines = append(lines, StoreEntry{ID: fmt.Sprint("s", k), Addr: "127.0.0.1:1", Member: balance.Member{Group: uint64(3 + k/3), Condition: balance.Ready,
 				Primary: k%3 == 0, Size: 1}})
 		}
-		s.core.Tell(List{News: balance.ListWhole, Lines: lines})
+		s.core.UpdateStores(StoreList{Kind: balance.ListFull, Entries: lines})
 		s.step()
 		cl := s.client()
 		query, answer := []byte(ask("any", 1)), []byte(value+ready)
@@ -957,7 +957,7 @@
 		b.Run(fmt.Sprint("beat/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				s.now = max(s.core.Next(), s.now+1)
+				s.now = max(s.core.NextStep(), s.now+1)
 				s.core.Step(s.now, nil)
 			}
 		})
@@ -965,13 +965,13 @@
 }
 
 // with starts the core anew with one more class, and these stores.
-func (s *stage) with(p balance.Class, lines ...Line) {
+func (s *stage) with(p balance.Class, lines ...StoreEntry) {
 	s.settings.Classes = append(s.settings.Classes, p)
 	var err error
 	if s.core, err = New(s.now, s.settings, s.core.host, s.core.limits, s, func() {}, s.core.log); err != nil {
 		s.t.Fatal(err)
 	}
-	s.core.Tell(List{News: balance.ListWhole, Lines: lines})
+	s.core.UpdateStores(StoreList{Kind: balance.ListFull, Entries: lines})
 	s.step()
 }
 
@@ -982,10 +982,10 @@
 		s := newStage(t, 20, true)
 		s.with(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
 			ExpectedTime: 6000, Deadline: 9 * second, Credit: 1, LateCredit: 0.5},
-			Line{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}})
+			StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}})
 		cl := s.client()
-		s.core.host.Dial = 3 * second
-		s.say(cl, string(pgwire.AppendSimple(nil, "/* id=1,c=keyed,d=9000,cluster=3 */ SELECT 'k'")))
+		s.core.host.DialTimeout = 3 * second
+		s.say(cl, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=keyed,d=9000,cluster=3 */ SELECT 'k'")))
 		s.step(Event{s.store(), Closed}) // the first attempt may have run
 		for end := s.now + second; len(s.dials) < 2 && s.now < end; {
 			s.pass(100)
@@ -1054,7 +1054,7 @@
 		if cancel(key); sent && !first.closed {
 			t.Error("its attempt goes on")
 		}
-		if got := code(t, w.take()); got != pgwire.Cancelled {
+		if got := code(t, w.take()); got != pgwire.QueryCanceled {
 			t.Fatalf("cancelled: %s", got)
 		}
 		st := s.store()
@@ -1081,7 +1081,7 @@
 	s.say(slow, ask("any", 1))
 	s.say(s.store(), value, ready)
 	slow.stuck = 10
-	s.core.limits.Clients = 1
+	s.core.limits.MaxClients = 1
 	s.pass(5 * second)
 	if slow.closed || !other.closed {
 		t.Errorf("closed: %v, the other %v", slow.closed, other.closed)
@@ -1092,7 +1092,7 @@
 func TestShortLimitsAndNewConnections(t *testing.T) {
 	s := newStage(t, 20)
 	s.core.classes.longest = 2 * second / 10
-	s.core.limits.Grace = 6 * second / 10
+	s.core.limits.ShutdownGrace = 6 * second / 10
 	s.core.Stop(s.now)
 	if s.pass(4*second/10 + 1); s.core.Stopping() {
 		t.Error("no more are taken in while they still come")
@@ -1117,7 +1117,7 @@
 	c := s.client()
 	s.say(c, "X\x00\x00\x00\x04")
 	s.pass(breath)
-	s.core.limits.Clients = 2
+	s.core.limits.MaxClients = 2
 	if d := s.client(); !c.closed || b.closed || d.closed {
 		t.Error("it is not the first to yield")
 	}
@@ -1133,10 +1133,10 @@
 	for _, late := range []bool{false, true} {
 		s := newStage(t, 20, true)
 		s.with(balance.Class{Name: "bounded", Need: balance.Bounded, Bound: 3000, ExpectedTime: 3000, Deadline: 12000, Credit: 1},
-			Line{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
-			Line{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
+			StoreEntry{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
+			StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
 		cl := s.client()
-		s.core.module.Probed(s.now, s.core.storeOf["r"], balance.Return{Load: balance.Report{Position: s.now - 2000, Role: balance.Replica}})
+		s.core.module.ProbeDone(s.now, s.core.storeOf["r"], balance.Result{Load: balance.Report{Position: s.now - 2000, Role: balance.Replica}})
 		s.say(cl, ask("bounded", 1))
 		if len(s.dials) != 1 {
 			t.Fatalf("%d dials", len(s.dials))
@@ -1159,8 +1159,8 @@
 // once the connection is up, but to another.
 func TestStoreThatDrainsMeanwhile(t *testing.T) {
 	s := newStage(t, 20, true)
-	line := Line{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}}
-	s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line}})
+	line := StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}}
+	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	s.step()
 	cl := s.client()
 	s.say(cl, ask("any", 1))
@@ -1170,7 +1170,7 @@
 	for _, id := range []string{"r", "s"} { // wherever it went
 		if c := s.core.conns[0]; s.core.stores[c.store].id == id {
 			line.ID, line.Addr, line.Condition = id, "", balance.Draining
-			s.core.Tell(List{News: balance.ListChanges, Lines: []Line{line}})
+			s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 		}
 	}
 	s.step()
@@ -1194,9 +1194,9 @@
 		s := newStage(t, 20)
 		s.settings.FencesCarried = false
 		s.with(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1},
-			Line{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
-			Line{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
-		s.core.module.Probed(s.now, s.core.storeOf["r"], balance.Return{Load: balance.Report{Position: s.now - 1, Role: balance.Replica}})
+			StoreEntry{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
+			StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
+		s.core.module.ProbeDone(s.now, s.core.storeOf["r"], balance.Result{Load: balance.Report{Position: s.now - 1, Role: balance.Replica}})
 		writer, reader := s.client(), s.client()
 		s.say(writer, ask("once", 1))
 		st := s.store()
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -5,8 +5,8 @@
 	"cmp"
 
 	"micatrack/balance"
+	"micatrack/internal/metadata"
 	"micatrack/internal/pgwire"
-	"micatrack/internal/terms"
 )
 
 const (
@@ -51,7 +51,7 @@
 // scan looks for the ends of messages in what the ring holds now.
 func (a *arrivals) scan(ring []byte, now Time) {
 	for a.scanned <= len(ring) {
-		_, _, size, err := pgwire.Message(ring[a.scanned:], pgwire.MostQuery)
+		_, _, size, err := pgwire.ParseMessage(ring[a.scanned:], pgwire.MaxQuerySize)
 		if err != nil || size == 0 {
 			return
 		}
@@ -115,23 +115,23 @@
 		return false
 	}
 	offset := cl.pipeline.parsed
-	kind, body, size, err := pgwire.Message(cl.link.Peek()[offset:], pgwire.MostQuery)
+	kind, body, size, err := pgwire.ParseMessage(cl.link.Peek()[offset:], pgwire.MaxQuerySize)
 	if err != nil || size == 0 || kind != 'Q' {
 		return false
 	}
-	text, rest, whole := pgwire.Text(body)
+	text, rest, whole := pgwire.ParseString(body)
 	if !whole || len(rest) > 0 || blank(text) {
 		return false
 	}
-	query, err := pgwire.Query(text)
+	query, err := pgwire.ParseQuery(text)
 	if err != nil {
 		return false
 	}
-	class, known := c.classes.byName[string(query.Terms.Profile)]
-	if !known || !cl.independent(c, class, &query.Terms) {
+	class, known := c.classes.byName[string(query.Request.Class)]
+	if !known || !cl.independent(c, class, &query.Request) {
 		return false
 	}
-	index, fault, _ := cl.begin(c, query.Terms, query.Cut)
+	index, fault, _ := cl.begin(c, query.Request, query.TimeoutSpan)
 	if fault != sound {
 		return false
 	}
@@ -145,7 +145,7 @@
 }
 
 // independent tells whether a request may run beside all that its client has in hand.
-func (cl *client) independent(c *Core, class int, query *terms.Terms) bool {
+func (cl *client) independent(c *Core, class int, query *metadata.Request) bool {
 	if !c.beside(cl.request, class, query) {
 		return false
 	}
@@ -161,7 +161,7 @@
 // beside writes, and both beside each other where their sessions differ, since no fence holds from one to another.
 //
 // Danger: within its session a command has to see the effect of those before it, and none of those behind it.
-func (c *Core) beside(earlier int32, class int, query *terms.Terms) bool {
+func (c *Core) beside(earlier int32, class int, query *metadata.Request) bool {
 	before := &c.requests[earlier]
 	writes, wrote := c.classes.settings[class].Need == balance.Write, before.class().Need == balance.Write
 	if !writes && !wrote {
@@ -176,7 +176,7 @@
 
 // keep stores the final answer of a request behind others until its turn comes.
 func (cl *client) keep(c *Core, index int32, text []byte) {
-	if c.kept+len(text) > cmp.Or(c.limits.Kept, defaultKept) {
+	if c.kept+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultKept) {
 		text = cl.speech.failure(nil, "no memory for the answer")
 	}
 	for i := range cl.pipeline.behind {
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -10,7 +10,7 @@
 
 // keyed is a query of that class and time on the entry of that key.
 func keyed(class string, id int, milliseconds int, key string) string {
-	return string(pgwire.AppendSimple(nil,
+	return string(pgwire.AppendSimpleQuery(nil,
 		fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=3 */ SELECT '%s'", id, class, milliseconds, key)))
 }
 
@@ -96,7 +96,7 @@
 	s.pass(second * 11 / 10)
 	s.say(s.asked(3), value, ready)
 	got := cl.take()
-	if !strings.HasPrefix(got, value+ready) || code(t, strings.TrimPrefix(got, value+ready)) != pgwire.TooMany {
+	if !strings.HasPrefix(got, value+ready) || code(t, strings.TrimPrefix(got, value+ready)) != pgwire.TooManyConnections {
 		t.Errorf("answers %q", got)
 	}
 	if s.asked(4) != nil {
@@ -148,7 +148,7 @@
 // answers past the bound of memory are failures; all are answered once, in order.
 func TestPipelineBounds(t *testing.T) {
 	s := newStage(t, 200)
-	s.core.limits.Kept = 2 * len(value+ready)
+	s.core.limits.MaxBufferedReplies = 2 * len(value+ready)
 	cl := s.client()
 	text, asked := "", 3*mostBehind
 	for id := 1; id <= asked; id++ {
@@ -164,7 +164,7 @@
 			s.say(carrier, value, ready)
 			carrier.take()
 		}
-		if s.core.kept > s.core.limits.Kept+mostBehind*80 {
+		if s.core.kept > s.core.limits.MaxBufferedReplies+mostBehind*80 {
 			t.Errorf("%d bytes kept", s.core.kept)
 		}
 	}
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -18,15 +18,15 @@
 func (postgres) done(cl *client, c *Core, _ bool) { cl.discard(c, cl.held) }
 
 func (postgres) overflow(cl *client, c *Core) {
-	cl.fatal(c, closedDeclined, pgwire.TooMany, "out of memory")
+	cl.fatal(c, closedDeclined, pgwire.TooManyConnections, "out of memory")
 }
 
 func (postgres) noRoom(dst []byte) []byte {
-	return pgwire.AppendError(dst, "FATAL", pgwire.TooMany, "too many connections", "")
+	return pgwire.AppendError(dst, "FATAL", pgwire.TooManyConnections, "too many connections", "")
 }
 
 func (postgres) stalled(cl *client, c *Core) {
-	cl.fatal(c, closedStalled, pgwire.Violation, "the message was not completed in time")
+	cl.fatal(c, closedStalled, pgwire.ProtocolViolation, "the message was not completed in time")
 }
 
 func (postgres) refusal(dst []byte, pause Time) []byte {
@@ -34,15 +34,15 @@
 	if pause >= perMilli {
 		detail = strconv.FormatInt(pause/perMilli, 10)
 	}
-	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.TooMany, "turned back, try again", detail))
+	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.TooManyConnections, "turned back, try again", detail))
 }
 
 func (postgres) failure(dst []byte, why string) []byte {
-	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.Unresolved, "written off: "+why, ""))
+	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.OutcomeUnknown, "written off: "+why, ""))
 }
 
 func (postgres) faulty(dst []byte, f fault, why string) []byte {
-	code := [...]string{unreadable: pgwire.Syntax, noClass: pgwire.BadValue, noGroup: pgwire.NoDatabase, inHand: pgwire.Duplicate}[f]
+	code := [...]string{unreadable: pgwire.SyntaxError, noClass: pgwire.InvalidParameterValue, noGroup: pgwire.UnknownDatabase, inHand: pgwire.DuplicateObject}[f]
 	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", code, why, ""))
 }
 
@@ -55,12 +55,12 @@
 	switch {
 	case e.request >= 0:
 		j := &c.requests[e.request]
-		text, _, _ := pgwire.Text(j.client.link.Peek()[j.offset+messageHead:])
+		text, _, _ := pgwire.ParseString(j.client.link.Peek()[j.offset+messageHead:])
 		c.out = j.cut.AppendQuery(c.out[:0], text, max((e.until-c.now)/perMilli, 1))
-	case c.host.Reports == "inline" || c.host.Reports == "on_probe":
-		c.out = pgwire.AppendSimple(c.out[:0], "SHOW load")
+	case c.host.LoadReports == "inline" || c.host.LoadReports == "on_probe":
+		c.out = pgwire.AppendSimpleQuery(c.out[:0], "SHOW load")
 	default:
-		c.out = pgwire.AppendSimple(c.out[:0], "SELECT 1")
+		c.out = pgwire.AppendSimpleQuery(c.out[:0], "SELECT 1")
 	}
 	k.next = answered
 	k.write(c, c.out)
@@ -71,10 +71,10 @@
 	switch {
 	case k.code != "" && k.parts == 0:
 		return ending(k.code)
-	case k.link.Sent() < k.wrote:
-		return balance.Unreached
+	case k.link.SentBytes() < k.wrote:
+		return balance.ConnectFailed
 	}
-	return balance.Severed
+	return balance.ConnectionLost
 }
 
 func (postgres) undone(*conn) bool { return false }
@@ -88,34 +88,34 @@
 
 // decline reads as far as it must to tell a client that there is no room.
 func (postgres) decline(cl *client, c *Core, in []byte) int {
-	code, n, err := pgwire.Startup(in)
-	if err == nil && n > 0 && (code == pgwire.SSLReq || code == pgwire.GSSReq) {
+	code, n, err := pgwire.ParseStartup(in)
+	if err == nil && n > 0 && (code == pgwire.SSLRequest || code == pgwire.GSSENCRequest) {
 		cl.write(c, []byte{'N'})
-	} else if err == nil && n > 0 && code == pgwire.CancelReq {
+	} else if err == nil && n > 0 && code == pgwire.CancelRequest {
 		c.cancelled(in[8:n])
 		cl.finish(c, closedByCancel)
 	} else if err != nil || n > 0 {
-		cl.fatal(c, closedDeclined, pgwire.TooMany, "too many connections")
+		cl.fatal(c, closedDeclined, pgwire.TooManyConnections, "too many connections")
 	}
 	return n
 }
 
 // greet reads the startup message.
 func (postgres) greet(cl *client, c *Core, in []byte) int {
-	code, n, err := pgwire.Startup(in)
+	code, n, err := pgwire.ParseStartup(in)
 	switch {
 	case err != nil:
-		cl.fatal(c, closedByViolation, pgwire.Violation, err.Error())
+		cl.fatal(c, closedByViolation, pgwire.ProtocolViolation, err.Error())
 	case n == 0:
-	case code == pgwire.SSLReq || code == pgwire.GSSReq:
+	case code == pgwire.SSLRequest || code == pgwire.GSSENCRequest:
 		cl.write(c, []byte{'N'})
-	case code == pgwire.CancelReq:
+	case code == pgwire.CancelRequest:
 		c.cancelled(in[8:n])
 		cl.finish(c, closedByCancel)
 	case code>>16 != pgwire.Version>>16:
-		cl.fatal(c, closedByViolation, pgwire.Unsupported, "only version 3 of the protocol is spoken here")
+		cl.fatal(c, closedByViolation, pgwire.FeatureNotSupported, "only version 3 of the protocol is spoken here")
 	default:
-		c.out = pgwire.AppendWelcome(c.out[:0], code&0xffff, c.key(cl))
+		c.out = pgwire.AppendStartupReply(c.out[:0], code&0xffff, c.key(cl))
 		cl.write(c, c.out)
 		cl.next, cl.greeted = postgres{}.command, true
 	}
@@ -124,10 +124,10 @@
 
 // command reads one message between requests.
 func (postgres) command(cl *client, c *Core, in []byte) int {
-	kind, body, n, err := pgwire.Message(in, pgwire.MostQuery)
+	kind, body, n, err := pgwire.ParseMessage(in, pgwire.MaxQuerySize)
 	switch {
 	case err != nil:
-		cl.fatal(c, closedByViolation, pgwire.Violation, err.Error())
+		cl.fatal(c, closedByViolation, pgwire.ProtocolViolation, err.Error())
 	case n == 0:
 	case kind == 'X':
 		cl.finish(c, closedAtGoodbye)
@@ -140,11 +140,11 @@
 	case kind == 'd' || kind == 'c' || kind == 'f': // copy data that nothing waits for
 	case kind == 'P' || kind == 'B' || kind == 'D' || kind == 'E' || kind == 'C' || kind == 'H':
 		cl.skip = true
-		cl.write(c, pgwire.AppendError(c.out[:0], "ERROR", pgwire.Unsupported, "only simple queries are served", ""))
+		cl.write(c, pgwire.AppendError(c.out[:0], "ERROR", pgwire.FeatureNotSupported, "only simple queries are served", ""))
 	case kind == 'F':
-		cl.reject(c, pgwire.Unsupported, "function calls are not served")
+		cl.reject(c, pgwire.FeatureNotSupported, "function calls are not served")
 	default:
-		cl.fatal(c, closedByViolation, pgwire.Violation, "unexpected message")
+		cl.fatal(c, closedByViolation, pgwire.ProtocolViolation, "unexpected message")
 	}
 	return n
 }
@@ -156,21 +156,21 @@
 }
 
 func (cl *client) query(c *Core, body []byte) {
-	text, rest, ok := pgwire.Text(body)
+	text, rest, ok := pgwire.ParseString(body)
 	if !ok || len(rest) > 0 {
-		cl.fatal(c, closedByViolation, pgwire.Violation, "malformed query message")
+		cl.fatal(c, closedByViolation, pgwire.ProtocolViolation, "malformed query message")
 		return
 	}
 	if blank(text) {
-		cl.write(c, pgwire.AppendReady(pgwire.AppendEmpty(c.out[:0])))
+		cl.write(c, pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(c.out[:0])))
 		return
 	}
-	s, err := pgwire.Query(text)
+	s, err := pgwire.ParseQuery(text)
 	if err != nil {
 		cl.write(c, cl.speech.faulty(c.out[:0], unreadable, err.Error()))
 		return
 	}
-	index, f, why := cl.begin(c, s.Terms, s.Cut)
+	index, f, why := cl.begin(c, s.Request, s.TimeoutSpan)
 	if f != sound {
 		cl.write(c, cl.speech.faulty(c.out[:0], f, why))
 		return
@@ -191,7 +191,7 @@
 func (postgres) gather(k *conn, c *Core) {
 	in := k.link.Peek()
 	for k.at >= 0 {
-		kind, body, n, err := pgwire.Message(in[k.read:], c.limits.Answer)
+		kind, body, n, err := pgwire.ParseMessage(in[k.read:], c.limits.MaxStoreMessage)
 		if err != nil || n > 0 && !k.next(k, c, kind, body) {
 			if k.ready {
 				k.code = "" // Danger: what came before something senseless proves nothing.
@@ -203,11 +203,11 @@
 		if n == 0 {
 			if e := k.errand; k.parts > 0 && !k.shown && !k.idle && !k.spent && e.request >= 0 {
 				k.shown = true
-				c.module.Written(c.now, c.requests[e.request].id, k.note.Position)
+				c.module.RecordWrite(c.now, c.requests[e.request].id, k.note.Position)
 			}
 			if k.spent && len(in) == 0 {
 				k.settle(c)
-			} else if k.link.Full() { // more than a value may be, or all rings together may not grow any more
+			} else if k.link.ReadBufferFull() { // more than a value may be, or all rings together may not grow any more
 				k.lost(c)
 			}
 			return
@@ -231,7 +231,7 @@
 		return len(body) == 4 && body[0]|body[1]|body[2]|body[3] == 0
 	case 'S', 'K', 'N', 'v':
 	case 'E':
-		k.code = pgwire.Code(body)
+		k.code = pgwire.SQLState(body)
 		return false
 	case 'Z':
 		k.ready, k.up = true, c.now
@@ -254,7 +254,7 @@
 			return false
 		}
 		if kind == 'D' {
-			v, ok := pgwire.Value(body)
+			v, ok := pgwire.ColumnValue(body)
 			if !ok {
 				return false
 			}
@@ -265,7 +265,7 @@
 		k.from[k.parts], k.to[k.parts] = k.read, k.read+5+len(body)
 		k.parts++
 	case 'E':
-		k.code = pgwire.Code(body)
+		k.code = pgwire.SQLState(body)
 		return k.code != ""
 	case 'S':
 		return k.learn(body)
@@ -281,8 +281,8 @@
 // learn takes what a store says of itself beside its answer.
 // Danger: a value that cannot be read says nothing, and must not spoil an answer that has run.
 func (k *conn) learn(body []byte) bool {
-	name, rest, ok := pgwire.Text(body)
-	value, _, ok2 := pgwire.Text(rest)
+	name, rest, ok := pgwire.ParseString(body)
+	value, _, ok2 := pgwire.ParseString(rest)
 	if !ok || !ok2 {
 		return false
 	}
@@ -338,14 +338,14 @@
 // complete is the end of an answer: what it was to the module, and the value to the client.
 func (k *conn) complete(c *Core) bool {
 	e := k.errand
-	r := balance.Return{Note: k.note, Load: k.load, Since: k.up}
+	r := balance.Result{Note: k.note, Load: k.load, Since: k.up}
 	switch {
 	case k.code == "" && k.parts == 3:
 		r.Ending = balance.Served
 	case k.code == "":
 		return false
 	case k.parts > 0: // a refusal after part of an answer is none
-		r.Ending = balance.Faulted
+		r.Ending = balance.Failed
 	default:
 		r.Ending = ending(k.code)
 	}
@@ -358,7 +358,7 @@
 	}
 	if r.Ending == balance.Served && k.note.Position < c.requests[e.request].least {
 		// Danger: another front's word that this store has the log so far may be wrong, and the read stale.
-		r.Ending = balance.Behind
+		r.Ending = balance.NotEligible
 	}
 	if r.Ending == balance.Served && !c.requests[e.request].final {
 		in := k.link.Peek()
@@ -377,10 +377,10 @@
 // ending tells what a store's error is to the module. What is not known never to have run may have.
 func ending(code string) balance.Ending {
 	switch code {
-	case pgwire.ReadOnly, pgwire.SnapTooOld:
-		return balance.Behind
-	case pgwire.TooMany, pgwire.CannotNow:
-		return balance.Crowded
+	case pgwire.ReadOnlyTransaction, pgwire.SnapshotTooOld:
+		return balance.NotEligible
+	case pgwire.TooManyConnections, pgwire.CannotConnectNow:
+		return balance.Overloaded
 	}
-	return balance.Faulted
+	return balance.Failed
 }
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -1,8 +1,8 @@
 package front
 
 import (
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/internal/settings"
 )
 
@@ -28,9 +28,9 @@
 
 // Settings is what a front goes by that may change while it runs.
 type Settings struct {
-	Module balance.Settings
-	Host   settings.Host
-	Door   *door.Bounds // nil: there is no door
+	Balancer  balance.Settings
+	Host      settings.Process
+	Admission *admission.Bounds // nil: there is no door
 }
 
 // Configure puts other settings in force, as a whole or, if it returns an error, not at all. Requests that the module
@@ -40,12 +40,12 @@
 	if err != nil {
 		return err
 	}
-	if err := c.module.Configure(now, s.Module); err != nil {
+	if err := c.module.Configure(now, s.Balancer); err != nil {
 		return err
 	}
 	c.door = successor
 	c.arrivals = append(c.arrivals, waiting...)
-	c.classes = newClassTable(s.Module.Classes)
+	c.classes = newClassTable(s.Balancer.Classes)
 	c.host, c.settings = s.Host, s
 	c.wakeAt = min(c.wakeAt, now) // what waits here is looked at in the next step
 	return nil
@@ -53,20 +53,20 @@
 
 // nextDoor returns the door for other settings, and the requests that wait at the present one, the oldest first, if
 // another takes its place.
-func (c *Core) nextDoor(now Time, s *Settings) (next *door.Door, waiting []int32, err error) {
+func (c *Core) nextDoor(now Time, s *Settings) (next *admission.Controller, waiting []int32, err error) {
 	switch {
-	case s.Door == nil && c.door == nil:
+	case s.Admission == nil && c.door == nil:
 		return nil, nil, nil
-	case s.Door == nil:
-		return nil, c.door.Requests(), nil
+	case s.Admission == nil:
+		return nil, c.door.WaitingRequests(), nil
 	case c.door == nil:
-		next, err = door.New(now, s.Module, *s.Door, gate{c})
+		next, err = admission.New(now, s.Balancer, *s.Admission, gate{c})
 		return next, nil, err
-	case door.Alike(&s.Module, &c.settings.Module) && *s.Door == *c.settings.Door:
+	case admission.SameSettings(&s.Balancer, &c.settings.Balancer) && *s.Admission == *c.settings.Admission:
 		return c.door, nil, nil
 	}
-	next, err = c.door.Successor(now, s.Module, *s.Door)
-	return next, c.door.Requests(), err
+	next, err = c.door.Successor(now, s.Balancer, *s.Admission)
+	return next, c.door.WaitingRequests(), err
 }
 
 // renumber gives a request that the module has not been handed its class by the settings in force; false: they do not
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -20,10 +20,10 @@
 // changed gives the settings in force with a change.
 func (s *stage) changed(change func(settings *Settings)) Settings {
 	settings := s.core.settings
-	settings.Module.Classes = slices.Clone(settings.Module.Classes)
-	if settings.Door != nil {
-		bounds := *settings.Door
-		settings.Door = &bounds
+	settings.Balancer.Classes = slices.Clone(settings.Balancer.Classes)
+	if settings.Admission != nil {
+		bounds := *settings.Admission
+		settings.Admission = &bounds
 	}
 	change(&settings)
 	return settings
@@ -36,23 +36,23 @@
 	before := s.client()
 	s.say(before, ask("once", 1001))
 	s.store()
-	s.configure(func(settings *Settings) { settings.Module.Classes[2].Repeat = balance.Idempotent })
+	s.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
 	s.step(Event{s.dials[0], Closed})
 	s.pass(second / 10)
-	if got := code(t, before.take()); got != pgwire.Unresolved {
+	if got := code(t, before.take()); got != pgwire.OutcomeUnknown {
 		t.Errorf("the write that was out: %s", got)
 	}
 	if n := s.queries(); n != 1 {
 		t.Errorf("%d queries for one attempt", n)
 	}
 	later := newStage(t, 100)
-	later.configure(func(settings *Settings) { settings.Module.Classes[2].Repeat = balance.Idempotent })
+	later.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
 	cl := later.client()
 	later.say(cl, ask("once", 1002))
 	later.store()
 	later.step(Event{later.dials[0], Closed})
 	later.pass(2 * second) // its store says nothing more
-	if got := code(t, cl.take()); got != pgwire.TooMany {
+	if got := code(t, cl.take()); got != pgwire.TooManyConnections {
 		t.Errorf("a write that comes later: %s", got)
 	}
 }
@@ -63,7 +63,7 @@
 	cl := s.client()
 	s.say(cl, ask("any", 1001))
 	store := s.store()
-	s.configure(func(settings *Settings) { settings.Module.Classes = settings.Module.Classes[1:] })
+	s.configure(func(settings *Settings) { settings.Balancer.Classes = settings.Balancer.Classes[1:] })
 	s.say(store, value, ready)
 	if got := code(t, cl.take()); got != "value" {
 		t.Errorf("the request that was out: %s", got)
@@ -79,11 +79,11 @@
 func TestSettingsWhileRequestsWaitAtTheDoor(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings){
 		"tenants": func(settings *Settings) {
-			settings.Module.Tenants = []balance.Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 9}}
+			settings.Balancer.Tenants = []balance.Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 9}}
 		},
-		"fewer places": func(settings *Settings) { settings.Door.Jobs = 5 },
-		"times":        func(settings *Settings) { settings.Module.Classes[0].ExpectedTime = 1000 },
-		"no door":      func(settings *Settings) { settings.Door = nil },
+		"fewer places": func(settings *Settings) { settings.Admission.MaxRequests = 5 },
+		"times":        func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
+		"no door":      func(settings *Settings) { settings.Admission = nil },
 	} {
 		s := doorStage(t)
 		clients := crowd(s, 60, "any")
@@ -128,12 +128,12 @@
 	held := s.core.door.Waiting()
 	sent := s.queries()
 	s.configure(func(settings *Settings) {
-		settings.Module.Classes[0].Need, settings.Module.Classes[0].Repeat = balance.Write, balance.AtMostOnce
+		settings.Balancer.Classes[0].Need, settings.Balancer.Classes[0].Repeat = balance.Write, balance.AtMostOnce
 	})
 	s.step()
 	refused := 0
 	for _, cl := range clients {
-		if got := cl.take(); len(got) > 0 && code(t, got) == pgwire.TooMany {
+		if got := cl.take(); len(got) > 0 && code(t, got) == pgwire.TooManyConnections {
 			refused++
 		}
 	}
@@ -148,9 +148,9 @@
 	clients := crowd(s, 60, "any")
 	held, classes, entrance := s.core.door.Waiting(), s.core.classes, s.core.door
 	for name, change := range map[string]func(settings *Settings){
-		"door":    func(settings *Settings) { settings.Door.Jobs = 0 },
-		"classes": func(settings *Settings) { settings.Module.Classes[1].Deadline = 0 },
-		"module":  func(settings *Settings) { settings.Module.Classes[0].Window = -1 },
+		"door":    func(settings *Settings) { settings.Admission.MaxRequests = 0 },
+		"classes": func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
+		"module":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
 	} {
 		if err := s.core.Configure(s.now, s.changed(change)); err == nil {
 			t.Errorf("%s: taken", name)
--- a/internal/front/standing_test.go
+++ b/internal/front/standing_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
 	"micatrack/internal/pgwire"
 )
 
@@ -57,18 +57,18 @@
 		"inflight=7,util=0.61")
 	notice := "N" + string(pgwire.AppendError(nil, "NOTICE", "00000", "m", ""))[1:]
 	hello := "\x00\x00\x00\x08\x04\xd2\x16\x2f" + string(pgwire.AppendStartup(nil, "web", "orders"))
-	empty := string(pgwire.AppendSimple(nil, ""))
+	empty := string(pgwire.AppendSimpleQuery(nil, ""))
 	for _, form := range forms {
 		for _, size := range []int{1, 2, 7, 1 << 20} {
 			s := newStage(t, 20, true)
 			s.with(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
 				ExpectedTime: 6000,
-				Deadline:     12000, Credit: 1}, Line{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3,
+				Deadline:     12000, Credit: 1}, StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3,
 				Condition: balance.Ready,
 				Primary:   true, Size: 1}})
 			cl := &wire{}
 			s.step(Event{cl, Accepted})
-			s.pieces(cl, hello+string(pgwire.AppendSimple(nil, form.text)), size)
+			s.pieces(cl, hello+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
 			if got := cl.take(); !strings.HasPrefix(got, "NR") || !strings.HasSuffix(got, ready) || len(s.dials) != 1 {
 				t.Fatalf("%s in pieces of %d: %q and %d dials", form.name, size, got, len(s.dials))
 			}
@@ -78,10 +78,10 @@
 					st.take()
 					s.pieces(st, welcome+status("server_version", "15.0")+ready, size)
 				} else {
-					s.pieces(cl, empty+string(pgwire.AppendSimple(nil, form.text)), size)
+					s.pieces(cl, empty+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
 				}
 				sent, left := untold(t, st.take())
-				if want, _ := untold(t, string(pgwire.AppendSimple(nil, form.text))); sent != want {
+				if want, _ := untold(t, string(pgwire.AppendSimpleQuery(nil, form.text))); sent != want {
 					t.Fatalf("%s in pieces of %d: the store is sent %.200q, want %.200q", form.name, size, sent, want)
 				}
 				if left > form.left || left < form.left-10 {
@@ -113,7 +113,7 @@
 // untold gives the statement of one query message without the time that it tells, and that time.
 func untold(t *testing.T, message string) (text string, left int) {
 	t.Helper()
-	kind, body, n, err := pgwire.Message([]byte(message), pgwire.MostQuery)
+	kind, body, n, err := pgwire.ParseMessage([]byte(message), pgwire.MaxQuerySize)
 	if kind != 'Q' || n != len(message) || err != nil || body[len(body)-1] != 0 {
 		t.Fatalf("%.200q is no query", message)
 	}
@@ -146,15 +146,15 @@
 			for _, span := range []Time{1, 150 * perMilli, 400 * perMilli} {
 				s := newStage(t, 20, true)
 				if with {
-					s.core.limits.Door = &door.Bounds{Jobs: 100, Bytes: 1 << 20, Customers: 10, Places: 10, Strangers: 10,
-						Further: 10}
+					s.core.limits.Admission = &admission.Bounds{MaxRequests: 100, MaxBytes: 1 << 20, DedicatedTenants: 10, SharedQueues: 10, SharedWeight: 10,
+						RetriesPerRequest: 10}
 				}
 				s.with(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1, LateCredit: 0.5},
-					Line{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready,
+					StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready,
 						Primary: true, Size: 1}},
-					Line{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
+					StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
 				cl := s.client()
-				s.say(cl, string(pgwire.AppendSimple(nil, fmt.Sprintf("/* id=1,c=x,d=%d,cluster=3 */ SELECT 'k'",
+				s.say(cl, string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=1,c=x,d=%d,cluster=3 */ SELECT 'k'",
 					patience))))
 				until, attempts, looked := s.now+patience*perMilli, 0, 0
 				for s.now < until+second && len(cl.out) == 0 {
@@ -207,7 +207,7 @@
 	const links, clients, hangs = 12, 8, 10 * second
 	for _, welcomes := range []bool{true, false} {
 		s := newStage(t, links)
-		s.core.limits.Clients = clients
+		s.core.limits.MaxClients = clients
 		var open []*wire
 		for range clients {
 			open = append(open, s.client())
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -47,7 +47,7 @@
 		return c.now < e.until
 	}
 	j := &c.requests[e.request]
-	return !j.final && (c.now == e.since || c.module.Due(c.now, j.id))
+	return !j.final && (c.now == e.since || c.module.MaySend(c.now, j.id))
 }
 
 // conn is one connection to a store.
@@ -83,7 +83,7 @@
 	j.sent++
 	if !j.busy || j.final || j.attempt != nil || j.waits || int(t.store) >= len(c.stores) ||
 		c.stores[t.store].bolt != j.bolt {
-		c.owe(back{t.request, attempt, t.store, balance.Return{Ending: balance.Unsent}})
+		c.owe(back{t.request, attempt, t.store, balance.Result{Ending: balance.NotSent}})
 		return
 	}
 	j.store, j.least = t.store, t.least
@@ -92,17 +92,17 @@
 
 func (c *Core) probe(t task) {
 	s := &c.stores[t.store]
-	if w := c.limits.Watch; w != nil && t.least > 0 && !s.bolt && w.Ask(s.id, t.least, t.any) {
+	if w := c.limits.PositionWatch; w != nil && t.least > 0 && !s.bolt && w.RequestPosition(s.id, t.least, t.any) {
 		return
 	}
-	c.start(t.store, errand{request: -1, since: c.now, until: c.now + c.host.Dial})
+	c.start(t.store, errand{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
 }
 
 // start sends an errand off on the idle connection used last, or lets it wait for a new one.
 func (c *Core) start(i uint32, e errand) {
 	s := &c.stores[i]
 	if !c.due(e) || !c.stays(e) {
-		c.fail(i, e, balance.Unsent)
+		c.fail(i, e, balance.NotSent)
 		return
 	}
 	for len(s.idle) > 0 {
@@ -124,26 +124,26 @@
 		return
 	}
 	var link Link
-	err := NoRoom
-	if len(c.clients)+len(c.conns) < c.limits.Links || c.spare() {
+	err := ErrNoResources
+	if len(c.clients)+len(c.conns) < c.limits.MaxConnections || c.spare() {
 		link, err = c.sockets.Dial(s.addr)
 	}
-	if err == NoRoom {
+	if err == ErrNoResources {
 		if e.request < 0 { // it can wait for a connection to fall free
 			s.waits = append(s.waits, e)
 			return
 		}
-		c.fail(i, e, balance.Unsent)
+		c.fail(i, e, balance.NotSent)
 		return
 	} else if err != nil {
 		c.note("no connection", "store", i, "addr", s.addr, "error", err.Error())
-		c.fail(i, e, balance.Unreached)
+		c.fail(i, e, balance.ConnectFailed)
 		return
 	}
 	e.dialled = true
 	k := &conn{link: link, at: len(c.conns), store: i, addr: s.addr, since: c.now, dialect: c.stores[i].dialect}
 	k.dialect.rises(k)
-	link.Own(k)
+	link.SetOwner(k)
 	c.conns = append(c.conns, k)
 	if e.request >= 0 {
 		c.requests[e.request].waits = true
@@ -173,22 +173,22 @@
 	}
 	c.saw(i, e, how)
 	if e.survey {
-		c.limits.Watch.Failed(c.stores[i].id)
+		c.limits.PositionWatch.QueryFailed(c.stores[i].id)
 		return
 	}
-	c.owe(back{e.request, e.attempt, i, balance.Return{Ending: how}})
+	c.owe(back{e.request, e.attempt, i, balance.Result{Ending: how}})
 }
 
 // saw tells who asked for it how an attempt or a probe came back.
 func (c *Core) saw(i uint32, e errand, how balance.Ending) {
-	if c.limits.Saw == nil {
+	if c.limits.OnAttemptEnd == nil {
 		return
 	}
 	expected := Time(0)
 	if e.request >= 0 {
 		expected = c.requests[e.request].class().ExpectedTime
 	}
-	c.limits.Saw(c.stores[i].id, how, expected, c.now-e.since)
+	c.limits.OnAttemptEnd(c.stores[i].id, how, expected, c.now-e.since)
 }
 
 // ride writes the errand's query on a ready connection.
@@ -215,7 +215,7 @@
 	c.dirty = append(c.dirty, k.link)
 }
 
-func (k *conn) notice(c *Core, what What) {
+func (k *conn) notice(c *Core, what EventFlags) {
 	if k.at < 0 {
 		return
 	}
@@ -242,7 +242,7 @@
 			k.ride(c, e)
 			return
 		}
-		c.fail(k.store, e, balance.Unsent)
+		c.fail(k.store, e, balance.NotSent)
 	}
 	k.dialect.idles(k)
 	k.code = ""
@@ -253,7 +253,7 @@
 // cut tells that the store drains, that its grace is over, and that the request needs more of it than it was asked.
 func (k *conn) cut(c *Core) bool {
 	s := &c.stores[k.store]
-	return k.bolt != nil && k.errand.request >= 0 && s.cutAt > 0 && c.now >= s.cutAt && !k.bolt.course.Drained()
+	return k.bolt != nil && k.errand.request >= 0 && s.cutAt > 0 && c.now >= s.cutAt && !k.bolt.course.StaysDuringDrain()
 }
 
 // resume starts the oldest errand that waits anew: the connection that would have carried it is no more.
@@ -268,14 +268,14 @@
 // lost ends what a connection carried when it broke, or when what came on it made no sense.
 func (k *conn) lost(c *Core) {
 	e, busy := k.errand, k.ready && !k.idle && !k.spent
-	r := balance.Return{Ending: balance.Severed, Note: k.note, Load: k.load, Since: k.up}
+	r := balance.Result{Ending: balance.ConnectionLost, Note: k.note, Load: k.load, Since: k.up}
 	k.drop(c) // Danger: until it is closed the system may take the rest of a query, so Sent counts only then.
 	switch {
 	case !k.ready:
 		if s := &c.stores[k.store]; len(s.waits) > 0 {
 			e = s.waits[0]
 			s.waits = append(s.waits[:0], s.waits[1:]...)
-			c.fail(k.store, e, balance.Unreached) // also when the store says that it has too many
+			c.fail(k.store, e, balance.ConnectFailed) // also when the store says that it has too many
 		}
 		return
 	case k.spent:
@@ -293,18 +293,18 @@
 	if b.request >= 0 {
 		c.requests[b.request].owed++
 		if c.door != nil {
-			c.door.Back(c.now, b.request, b.r.Ending == balance.Served)
+			c.door.AttemptEnded(c.now, b.request, b.r.Ending == balance.Served)
 		}
 	}
 	c.backs = append(c.backs, b)
 }
 
-func (c *Core) end(k *conn, e errand, r balance.Return) {
+func (c *Core) end(k *conn, e errand, r balance.Result) {
 	if e.request >= 0 {
 		c.requests[e.request].attempt = nil
 	}
 	c.saw(k.store, e, r.Ending)
-	if w := c.limits.Watch; w != nil && (r.Ending <= balance.Crowded || e.survey) {
+	if w := c.limits.PositionWatch; w != nil && (r.Ending <= balance.Overloaded || e.survey) {
 		c.learned(w, k.store, e, r)
 	}
 	if e.survey && r.Ending != balance.Served {
@@ -314,16 +314,16 @@
 }
 
 // learned tells the watch what an answer has shown. A commit's position is told rounded up, so it is none.
-func (c *Core) learned(w Watch, i uint32, e errand, r balance.Return) {
+func (c *Core) learned(w PositionWatch, i uint32, e errand, r balance.Result) {
 	position := r.Load.Position
 	if e.request >= 0 && c.requests[e.request].class().Need != balance.Write {
 		position = max(position, r.Note.Position)
 	}
 	switch {
 	case position > 0:
-		w.Learned(c.stores[i].id, position)
+		w.PositionObserved(c.stores[i].id, position)
 	case e.survey:
-		w.Failed(c.stores[i].id)
+		w.QueryFailed(c.stores[i].id)
 	}
 }
 
@@ -333,7 +333,7 @@
 	c.conns[k.at], last.at = last, k.at
 	c.conns = c.conns[:len(c.conns)-1]
 	k.at = -1
-	k.link.Own(nil)
+	k.link.SetOwner(nil)
 	if k.ready && !k.idle && !k.spent {
 		// Danger: what a cut-off machine has not been sent yet would reach it when the cut is over, past its window.
 		k.link.Abort()
@@ -363,7 +363,7 @@
 		for n, e := range s.waits {
 			if e.request == t.request {
 				s.waits = append(s.waits[:n], s.waits[n+1:]...)
-				c.fail(j.store, e, balance.Recalled)
+				c.fail(j.store, e, balance.Cancelled)
 				return
 			}
 		}
@@ -371,7 +371,7 @@
 	if k := j.attempt; k != nil {
 		e := k.errand
 		k.drop(c)
-		c.end(k, e, balance.Return{Ending: balance.Recalled})
+		c.end(k, e, balance.Result{Ending: balance.Cancelled})
 	}
 }
 
@@ -393,12 +393,12 @@
 		if k := c.conns[n]; k.store == t.store {
 			k.drop(c)
 			if k.ready && !k.idle && !k.spent {
-				c.end(k, k.errand, balance.Return{Ending: balance.Severed})
+				c.end(k, k.errand, balance.Result{Ending: balance.ConnectionLost})
 			}
 		}
 	}
 	for _, e := range s.waits {
-		c.fail(t.store, e, balance.Unsent)
+		c.fail(t.store, e, balance.NotSent)
 	}
 	c.backs = slices.DeleteFunc(c.backs, func(b back) bool { return b.request < 0 && b.store == t.store })
 	delete(c.storeOf, s.id)
@@ -413,10 +413,10 @@
 		keep := s.waits[:0]
 		for _, e := range s.waits {
 			switch {
-			case e.dialled && c.now >= e.since+c.host.Dial:
-				c.fail(uint32(i), e, balance.Unreached)
+			case e.dialled && c.now >= e.since+c.host.DialTimeout:
+				c.fail(uint32(i), e, balance.ConnectFailed)
 			case !c.due(e): // Danger: a front that has no descriptor left must not blame the store.
-				c.fail(uint32(i), e, balance.Unsent)
+				c.fail(uint32(i), e, balance.NotSent)
 			default:
 				keep = append(keep, e)
 			}
@@ -427,9 +427,9 @@
 	for n := len(c.conns) - 1; n >= 0; n-- {
 		k := c.conns[n]
 		switch {
-		case !k.ready && c.now >= k.since+c.host.Dial:
+		case !k.ready && c.now >= k.since+c.host.DialTimeout:
 			k.drop(c)
-		case k.idle && c.now >= k.since+c.host.Idle*3/4: // well before the store does
+		case k.idle && c.now >= k.since+c.host.IdleTimeout*3/4: // well before the store does
 			k.drop(c)
 		case k.spent: // the beginning of something stands behind its answer
 			k.drop(c)
@@ -437,9 +437,9 @@
 		case k.ready && !k.idle && k.cut(c): // Danger: nothing new may go there, and what is open would go on
 			k.lost(c)
 		case k.ready && !k.idle && c.now >= k.errand.until:
-			e, r := k.errand, balance.Return{Ending: balance.Expired}
+			e, r := k.errand, balance.Result{Ending: balance.TimedOut}
 			k.drop(c)
-			if how := k.dialect.broken(k, c); how == balance.Unreached || how == balance.Undone {
+			if how := k.dialect.broken(k, c); how == balance.ConnectFailed || how == balance.Aborted {
 				r.Ending = how
 			}
 			if e.request < 0 {
--- a/internal/front/timeouts.go
+++ b/internal/front/timeouts.go
@@ -30,11 +30,11 @@
 
 // sweepUnread hangs up on a client that takes nothing of what it is sent. One that does so slowly is waited for.
 func (c *Core) sweepUnread(cl *client) {
-	if cl.link.Empty() {
+	if cl.link.Flushed() {
 		cl.unreadSince = 0
 		return
 	}
-	if sent := cl.link.Sent(); cl.unreadSince == 0 || sent != cl.unreadSent {
+	if sent := cl.link.SentBytes(); cl.unreadSince == 0 || sent != cl.unreadSent {
 		cl.unreadSince, cl.unreadSent, cl.unreadNoted = c.now, sent, false
 		return
 	}
@@ -53,8 +53,8 @@
 // Danger: what many clients share among them, they may run out of before this front does. Connections that none of them
 // asks on are given back while half of the room for clients is taken; from five to six eighths the sooner the less there is.
 func (c *Core) makeRoom() {
-	for n, all := len(c.clients), c.limits.Clients; n > all/2; n = len(c.clients) {
-		if !c.evict(c.limits.Rest * Time(max(min(6*all-8*n, all), 0)) / Time(all)) {
+	for n, all := len(c.clients), c.limits.MaxClients; n > all/2; n = len(c.clients) {
+		if !c.evict(c.limits.ClientIdle * Time(max(min(6*all-8*n, all), 0)) / Time(all)) {
 			return
 		}
 	}
@@ -64,8 +64,8 @@
 // Danger: one that never does would hold its descriptor, and the front's end, for ever.
 func (c *Core) sweepEnding(cl *client) {
 	patience := c.classes.longest
-	if cl.link.Empty() {
-		patience = c.limits.Rest
+	if cl.link.Flushed() {
+		patience = c.limits.ClientIdle
 	}
 	if c.now >= cl.since+patience || c.Stopping() && c.now >= c.endAt {
 		cl.hangUp(c, closedStayed)
--- a/internal/front/timeouts_test.go
+++ b/internal/front/timeouts_test.go
@@ -15,7 +15,7 @@
 		"head":       startup + request[:3],
 		"query":      startup + request[:len(request)-1],
 		"other":      startup + "P\x00\x00\x00\x09ab",
-		"after some": startup + string(pgwire.AppendSimple(nil, "")) + request[:9],
+		"after some": startup + string(pgwire.AppendSimpleQuery(nil, "")) + request[:9],
 	} {
 		s := newStage(t, 40, true)
 		cl := &wire{in: []byte(text)}
@@ -26,7 +26,7 @@
 			t.Errorf("%s: given up too early", name)
 		}
 		s.pass(20 * perMilli)
-		if !cl.finished || code(t, cl.take()) != pgwire.Violation {
+		if !cl.finished || code(t, cl.take()) != pgwire.ProtocolViolation {
 			t.Errorf("%s: it is not told", name)
 		}
 	}
@@ -61,7 +61,7 @@
 	s := newStage(t, 40, true)
 	dead, slow := s.client(), s.client()
 	for _, w := range []*wire{dead, slow} {
-		s.say(w, string(pgwire.AppendSimple(nil, "")))
+		s.say(w, string(pgwire.AppendSimpleQuery(nil, "")))
 		w.stuck = 6
 	}
 	for range 3 {
--- a/internal/course/course.go
+++ b/internal/outcome/course.go
@@ -6,7 +6,7 @@
 // moment its RUN was written whole; whatever was not written whole was never read. A transaction has no effect before
 // its COMMIT was written whole, whatever ran in it: a store that loses the connection, is told to reset or dies rolls it
 // back.
-package course
+package outcome
 
 import "micatrack/internal/bolt"
 
@@ -23,16 +23,16 @@
 type Verdict uint8
 
 const (
-	Again      Verdict = iota // the module may send it to another store: all that was written can be written again
-	TurnedBack                // the client has seen a part, so it has to begin anew itself; it may
-	WrittenOff                // whether it had its effect is not known
-	Failed                    // the store said why; the client is told that
+	Retry   Verdict = iota // the module may send it to another store: all that was written can be written again
+	Refused                // the client has seen a part, so it has to begin anew itself; it may
+	Unknown                // whether it had its effect is not known
+	Failed                 // the store said why; the client is told that
 )
 
-// Course is one trip of one job. The zero value is a statement outside a transaction, of which nothing was written.
-type Course struct {
+// Tracker is one trip of one job. The zero value is a statement outside a transaction, of which nothing was written.
+type Tracker struct {
 	Transaction bool
-	Reads       bool // the client said that it writes nothing, and the store holds it to that
+	ReadOnly    bool // the client said that it writes nothing, and the store holds it to that
 
 	written    int  // messages written whole
 	begun      bool // the first of them that makes it work
@@ -46,9 +46,9 @@
 	open       int  // messages written and not answered
 }
 
-// Wrote takes in that a message was written to the store. Whole is false for one of which a part may be missing;
+// MessageWritten takes in that a message was written to the store. Whole is false for one of which a part may be missing;
 // nothing may be written behind it.
-func (c *Course) Wrote(w bolt.What, whole bool) {
+func (c *Tracker) MessageWritten(w bolt.What, whole bool) {
 	if !whole {
 		return
 	}
@@ -62,9 +62,9 @@
 	}
 }
 
-// Answered takes in the store's answer to the oldest message without one: to which message, how it ended, and for a
+// MessageAnswered takes in the store's answer to the oldest message without one: to which message, how it ended, and for a
 // result whether there is more of it.
-func (c *Course) Answered(w bolt.What, ok, more bool, code []byte) {
+func (c *Tracker) MessageAnswered(w bolt.What, ok, more bool, code []byte) {
 	c.open--
 	switch {
 	case !ok:
@@ -85,20 +85,20 @@
 	}
 }
 
-// Showed takes in that the client was passed a part of an answer. From now on no other store's answer may follow it.
-func (c *Course) Showed() { c.shown = true }
+// ResultForwarded takes in that the client was passed a part of an answer. From now on no other store's answer may follow it.
+func (c *Tracker) ResultForwarded() { c.shown = true }
 
 // Complete tells that the store's last answer has come, and was good.
-func (c *Course) Complete() bool { return c.over && !c.failed }
+func (c *Tracker) Complete() bool { return c.over && !c.failed }
 
-// Begun tells that the store was asked for something whole.
-func (c *Course) Begun() bool { return c.written > 0 }
+// AnyWritten tells that the store was asked for something whole.
+func (c *Tracker) AnyWritten() bool { return c.written > 0 }
 
 // Idle tells that the store owes no answer: the next message is the client's.
-func (c *Course) Idle() bool { return c.open == 0 }
+func (c *Tracker) Idle() bool { return c.open == 0 }
 
 // Proof tells what is known now, should the connection end here.
-func (c *Course) Proof() Proof {
+func (c *Tracker) Proof() Proof {
 	switch {
 	case c.Complete():
 		return Done
@@ -110,26 +110,26 @@
 	return MayHaveRun
 }
 
-// End tells what becomes of the job now that its trip is over. reissuable: a profile that may run again; it does so as
+// Verdict tells what becomes of the job now that its trip is over. reissuable: a profile that may run again; it does so as
 // long as the client has seen nothing.
-func (c *Course) End(reissuable bool) Verdict {
+func (c *Tracker) Verdict(reissuable bool) Verdict {
 	proof := c.Proof()
 	switch {
 	case c.failed && !c.turnedAway && (proof == NeverRan || reissuable || !c.invites):
 		return Failed // the store's own word, which has nobody try again what may have run
 	case proof == NeverRan || reissuable:
 		if c.shown {
-			return TurnedBack
+			return Refused
 		}
-		return Again
+		return Retry
 	}
-	return WrittenOff
+	return Unknown
 }
 
-// May tells whether a message may still be written to a store whose drain's grace is over. New is whatever asks the
+// AllowedAfterDrain tells whether a message may still be written to a store whose drain's grace is over. New is whatever asks the
 // store for work: a statement, the beginning of a transaction, and COMMIT, which makes all of it last. What ends work
 // or takes up what is done already is not new.
-func May(w bolt.What) bool {
+func AllowedAfterDrain(w bolt.What) bool {
 	switch w {
 	case bolt.Rollback, bolt.Reset, bolt.Goodbye, bolt.Pull, bolt.Discard:
 		return true
@@ -137,9 +137,9 @@
 	return false
 }
 
-// Drained tells what becomes of a job at a store whose grace is over: it stays if all that it needs of the store was
+// StaysDuringDrain tells what becomes of a job at a store whose grace is over: it stays if all that it needs of the store was
 // written (its COMMIT, or the statement whose result is being pulled), else it ends here and now.
-func (c *Course) Drained() (stays bool) {
+func (c *Tracker) StaysDuringDrain() (stays bool) {
 	if c.Transaction {
 		return c.committed
 	}
--- a/internal/course/course_test.go
+++ b/internal/outcome/course_test.go
@@ -1,4 +1,4 @@
-package course
+package outcome
 
 import (
 	"flag"
@@ -48,7 +48,7 @@
 func TestProofHolds(t *testing.T) {
 	again, back, off := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c := Course{Transaction: rapid.Bool().Draw(t, "transaction")}
+		c := Tracker{Transaction: rapid.Bool().Draw(t, "transaction")}
 		script := []bolt.What{bolt.Run, bolt.Pull}
 		if c.Transaction {
 			script = []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull, bolt.Run, bolt.Pull, bolt.Commit}
@@ -61,21 +61,21 @@
 		refuse := rapid.IntRange(-1, 2*len(script)).Draw(t, "refused")
 		fault := rapid.IntRange(-1, 2*len(script)).Draw(t, "fault")
 		for i, w := range script[:wrote] {
-			c.Wrote(w, true)
+			c.MessageWritten(w, true)
 			ok, ignored, code := s.take(w, i == refuse, i == fault)
 			if i < heard {
 				if ignored {
-					c.Answered(w, false, false, nil)
+					c.MessageAnswered(w, false, false, nil)
 					continue
 				}
-				c.Answered(w, ok, false, []byte(code))
+				c.MessageAnswered(w, ok, false, []byte(code))
 				if ok && rapid.Bool().Draw(t, "shown") {
-					c.Showed()
+					c.ResultForwarded()
 				}
 			}
 		}
 		if part {
-			c.Wrote(script[wrote], false)
+			c.MessageWritten(script[wrote], false)
 		}
 		if c.Complete() {
 			if c.Proof() != Done || !s.effect {
@@ -86,21 +86,21 @@
 		if c.Proof() == NeverRan && s.effect {
 			t.Fatalf("said never to have run: %+v", c)
 		}
-		switch v := c.End(false); {
-		case (v == Again || v == TurnedBack) && s.effect:
+		switch v := c.Verdict(false); {
+		case (v == Retry || v == Refused) && s.effect:
 			t.Fatalf("verdict %d of what had its effect: %+v", v, c)
 		case v == Failed && s.effect && bolt.Invites([]byte(s.word)):
 			t.Fatalf("the client is told to try again what had its effect: %+v", c)
-		case v == Again && c.shown:
+		case v == Retry && c.shown:
 			t.Fatalf("goes again after the client saw a part: %+v", c)
-		case v == Again:
+		case v == Retry:
 			again++
-		case v == TurnedBack:
+		case v == Refused:
 			back++
-		case v == WrittenOff:
+		case v == Unknown:
 			off++
 		}
-		if c.Drained() && c.Transaction && !c.committed {
+		if c.StaysDuringDrain() && c.Transaction && !c.committed {
 			t.Fatal("a transaction without COMMIT stays past the grace")
 		}
 	})
@@ -111,32 +111,32 @@
 
 // TestCommitWrittenAnswerLost (a hard case): from COMMIT on, and only from there, a lost connection is written off.
 func TestCommitWrittenAnswerLost(t *testing.T) {
-	c := Course{Transaction: true}
+	c := Tracker{Transaction: true}
 	for _, w := range []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull} {
-		c.Wrote(w, true)
-		c.Answered(w, true, false, nil)
+		c.MessageWritten(w, true)
+		c.MessageAnswered(w, true, false, nil)
 	}
-	if c.End(false) != Again || c.Drained() {
+	if c.Verdict(false) != Retry || c.StaysDuringDrain() {
 		t.Errorf("before COMMIT: %+v", c)
 	}
-	c.Showed()
-	if c.End(false) != TurnedBack {
+	c.ResultForwarded()
+	if c.Verdict(false) != Refused {
 		t.Errorf("before COMMIT, a part shown: %+v", c)
 	}
-	c.Wrote(bolt.Commit, false)
-	if c.End(false) != TurnedBack {
+	c.MessageWritten(bolt.Commit, false)
+	if c.Verdict(false) != Refused {
 		t.Errorf("COMMIT written in part: %+v", c)
 	}
-	c.Wrote(bolt.Commit, true)
-	if c.End(false) != WrittenOff || !c.Drained() || c.Idle() {
+	c.MessageWritten(bolt.Commit, true)
+	if c.Verdict(false) != Unknown || !c.StaysDuringDrain() || c.Idle() {
 		t.Errorf("COMMIT written: %+v", c)
 	}
 	changed := c
-	changed.Answered(bolt.Commit, false, false, []byte(bolt.NotALeader))
-	if changed.End(false) != TurnedBack || changed.Proof() != NeverRan {
+	changed.MessageAnswered(bolt.Commit, false, false, []byte(bolt.NotALeader))
+	if changed.Verdict(false) != Refused || changed.Proof() != NeverRan {
 		t.Errorf("the old primary turned COMMIT away: %+v", changed)
 	}
-	c.Answered(bolt.Commit, true, false, nil)
+	c.MessageAnswered(bolt.Commit, true, false, nil)
 	if !c.Complete() || c.Proof() != Done {
 		t.Errorf("committed: %+v", c)
 	}
@@ -144,15 +144,15 @@
 
 // TestRefusalAfterAnAnswer: a store that took a statement up and refuses its result has said nothing of it.
 func TestRefusalAfterAnAnswer(t *testing.T) {
-	c := Course{}
-	c.Wrote(bolt.Run, true)
-	c.Wrote(bolt.Pull, true)
+	c := Tracker{}
+	c.MessageWritten(bolt.Run, true)
+	c.MessageWritten(bolt.Pull, true)
 	first := c
-	if first.Answered(bolt.Run, false, false, []byte(bolt.BehindMark)); first.End(false) != Again {
+	if first.MessageAnswered(bolt.Run, false, false, []byte(bolt.BehindMark)); first.Verdict(false) != Retry {
 		t.Errorf("refused at once: %+v", first)
 	}
-	c.Answered(bolt.Run, true, false, nil)
-	if c.Answered(bolt.Pull, false, false, []byte(bolt.BehindMark)); c.End(false) != WrittenOff || c.End(true) != Failed {
+	c.MessageAnswered(bolt.Run, true, false, nil)
+	if c.MessageAnswered(bolt.Pull, false, false, []byte(bolt.BehindMark)); c.Verdict(false) != Unknown || c.Verdict(true) != Failed {
 		t.Errorf("refused after it was taken up: %+v", c)
 	}
 }
@@ -161,16 +161,16 @@
 func TestAfterTheGrace(t *testing.T) {
 	for w, may := range map[bolt.What]bool{bolt.Run: false, bolt.BeginTx: false, bolt.Commit: false, bolt.Rollback: true, bolt.Reset: true,
 		bolt.Pull: true, bolt.Discard: true, bolt.Goodbye: true} {
-		if May(w) != may {
+		if AllowedAfterDrain(w) != may {
 			t.Errorf("%v: %v", w, !may)
 		}
 	}
-	c := Course{}
-	if c.Drained() {
+	c := Tracker{}
+	if c.StaysDuringDrain() {
 		t.Error("a statement that was not written stays")
 	}
-	c.Wrote(bolt.Run, true)
-	if !c.Drained() {
+	c.MessageWritten(bolt.Run, true)
+	if !c.StaysDuringDrain() {
 		t.Error("a statement whose result is pulled ends")
 	}
 }
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -160,7 +160,7 @@
 				return errFleet
 			}
 		case 3:
-			if number > uint64(membership.Answer) {
+			if number > uint64(membership.SyncResponse) {
 				return errShape
 			}
 			m.Kind = membership.Kind(number)
@@ -175,14 +175,14 @@
 		case 8:
 			m.TargetAddr = text
 		case 9:
-			if len(m.Facts) >= membership.MostFacts {
+			if len(m.Facts) >= membership.MaxFacts {
 				return errShape
 			}
 			var f membership.Fact
 			f, err = readFact(text)
 			m.Facts = append(m.Facts, f)
 		case 10:
-			if len(m.Notes) >= membership.MostNotes {
+			if len(m.Notes) >= membership.MaxNotes {
 				return errShape
 			}
 			var o membership.Note
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -20,8 +20,8 @@
 		}
 		return nil
 	}
-	return membership.Fact{Name: text(membership.MostName, "name"), Zone: text(membership.MostZone, "zone"), Addr: text(membership.MostAddr, "addr"),
-		By: text(membership.MostName, "by"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))}
+	return membership.Fact{Name: text(membership.MaxNameBytes, "name"), Zone: text(membership.MaxZoneBytes, "zone"), Addr: text(membership.MaxAddrBytes, "addr"),
+		By: text(membership.MaxNameBytes, "by"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))}
 }
 
 // TestMessagesComeBack: what is written is read as it was, and each cut or flipped form is told apart or harmless.
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(0, 5).Draw(t, "facts") {
 			m.Facts = append(m.Facts, drawFact(t))
 			m.Notes = append(m.Notes, membership.Note{Key: []byte("k"), Version: rapid.Uint64().Draw(t, "version"),
-				Age: rapid.Int64Range(0, 1<<40).Draw(t, "age"), Body: rapid.SliceOfN(rapid.Byte(), 1, membership.MostBody).Draw(t, "body")})
+				Age: rapid.Int64Range(0, 1<<40).Draw(t, "age"), Body: rapid.SliceOfN(rapid.Byte(), 1, membership.MaxBodyBytes).Draw(t, "body")})
 		}
 		text := Append(nil, "f", m)
 		var back membership.Message
@@ -48,7 +48,7 @@
 		Read(text[:cut], "f", &back)
 		text[cut] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		Read(text, "f", &back)
-		if len(back.Facts) > membership.MostFacts {
+		if len(back.Facts) > membership.MaxFacts {
 			t.Error("too many facts")
 		}
 	})
@@ -104,23 +104,23 @@
 	defer b.Close()
 	all := func(k membership.Kind) *membership.Message {
 		m := &membership.Message{Kind: k, Sender: membership.Fact{Name: []byte("a"), Incarnation: 1}}
-		for n := range membership.MostFacts {
+		for n := range membership.MaxFacts {
 			m.Facts = append(m.Facts, membership.Fact{Name: fmt.Appendf(nil, "%s%d", strings.Repeat("n", 58), n), Zone: bytes.Repeat([]byte("z"), 32),
 				Addr: bytes.Repeat([]byte("a"), 64), Incarnation: 1 << 60, By: bytes.Repeat([]byte("b"), 64), State: membership.Suspect})
-			m.Notes = append(m.Notes, membership.Note{Key: fmt.Appendf(nil, "e%d", n), Version: 1 << 60, Body: bytes.Repeat([]byte("x"), membership.MostBody)})
+			m.Notes = append(m.Notes, membership.Note{Key: fmt.Appendf(nil, "e%d", n), Version: 1 << 60, Body: bytes.Repeat([]byte("x"), membership.MaxBodyBytes)})
 		}
 		return m
 	}
-	a.Exchange(b.Addr(), all(membership.Whole))
+	a.Exchange(b.Addr(), all(membership.SyncRequest))
 	got := 0
 	for end := time.Now().Add(10 * time.Second); got == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		b.Take(func(m *membership.Message) bool {
-			return m.Kind == membership.Whole && len(m.Facts) == membership.MostFacts
+			return m.Kind == membership.SyncRequest && len(m.Facts) == membership.MaxFacts
 		},
-			func() *membership.Message { return all(membership.Answer) })
+			func() *membership.Message { return all(membership.SyncResponse) })
 		a.Take(func(m *membership.Message) bool { got = len(m.Facts); return false }, nil)
 	}
-	if got != membership.MostFacts {
+	if got != membership.MaxFacts {
 		t.Errorf("%d facts came back", got)
 	}
 }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -11,40 +11,40 @@
 	"slices"
 	"strconv"
 
-	"micatrack/internal/terms"
+	"micatrack/internal/metadata"
 )
 
 const (
 	// MostQuery bounds one message of a client: a value of 64 KiB in hex digits with its statement. An answer
 	// may be longer; how long it may be depends on the memory that there is.
-	MostQuery = 2*64<<10 + 16<<10
+	MaxQuerySize = 2*64<<10 + 16<<10
 	// MostStartup bounds a startup message, as PostgreSQL does.
-	MostStartup = 10000
+	MaxStartupSize = 10000
 
-	Version   = 3 << 16
-	CancelReq = 1234<<16 | 5678
-	SSLReq    = 1234<<16 | 5679
-	GSSReq    = 1234<<16 | 5680
+	Version       = 3 << 16
+	CancelRequest = 1234<<16 | 5678
+	SSLRequest    = 1234<<16 | 5679
+	GSSENCRequest = 1234<<16 | 5680
 
-	TooMany     = "53300" // the two that say that trying again is harmless
-	CannotNow   = "57P03"
-	ReadOnly    = "25006"
-	SnapTooOld  = "72000"
-	Unsupported = "0A000"
-	Violation   = "08P01"
-	Syntax      = "42601"
-	BadValue    = "22023"
-	NoDatabase  = "3D000"
-	Duplicate   = "42710"
-	Cancelled   = "57014"
-	Unresolved  = "08007" // whether it took effect is not known
+	TooManyConnections    = "53300" // the two that say that trying again is harmless
+	CannotConnectNow      = "57P03"
+	ReadOnlyTransaction   = "25006"
+	SnapshotTooOld        = "72000"
+	FeatureNotSupported   = "0A000"
+	ProtocolViolation     = "08P01"
+	SyntaxError           = "42601"
+	InvalidParameterValue = "22023"
+	UnknownDatabase       = "3D000"
+	DuplicateObject       = "42710"
+	QueryCanceled         = "57014"
+	OutcomeUnknown        = "08007" // whether it took effect is not known
 )
 
 var errLength = errors.New("message length is out of bounds")
 
-// Message takes one typed message off the front of buf: its kind, its body and the size of both with the header.
+// ParseMessage takes one typed message off the front of buf: its kind, its body and the size of both with the header.
 // most bounds the length that it says it has.
-func Message(buf []byte, most int) (kind byte, body []byte, size int, err error) {
+func ParseMessage(buf []byte, most int) (kind byte, body []byte, size int, err error) {
 	if len(buf) < 5 {
 		return 0, nil, 0, nil
 	}
@@ -58,13 +58,13 @@
 	return buf[0], buf[5:size], size, nil
 }
 
-// Startup takes a client's first message: the protocol version, or the code of a request.
-func Startup(buf []byte) (code uint32, size int, err error) {
+// ParseStartup takes a client's first message: the protocol version, or the code of a request.
+func ParseStartup(buf []byte) (code uint32, size int, err error) {
 	if len(buf) < 4 {
 		return 0, 0, nil
 	}
 	n := int64(binary.BigEndian.Uint32(buf))
-	if n < 8 || n > MostStartup {
+	if n < 8 || n > MaxStartupSize {
 		return 0, 0, errLength
 	}
 	if len(buf) < int(n) {
@@ -73,8 +73,8 @@
 	return binary.BigEndian.Uint32(buf[4:]), int(n), nil
 }
 
-// Text takes the zero-terminated string at the front of body.
-func Text(body []byte) (text, rest []byte, ok bool) {
+// ParseString takes the zero-terminated string at the front of body.
+func ParseString(body []byte) (text, rest []byte, ok bool) {
 	i := bytes.IndexByte(body, 0)
 	if i < 0 {
 		return nil, nil, false
@@ -82,11 +82,11 @@
 	return body[:i], body[i+1:], true
 }
 
-// Code gives the SQLSTATE of an ErrorResponse, or nothing if it has none.
-func Code(body []byte) string {
+// SQLState gives the SQLSTATE of an ErrorResponse, or nothing if it has none.
+func SQLState(body []byte) string {
 	for len(body) > 1 {
 		field := body[0]
-		text, rest, ok := Text(body[1:])
+		text, rest, ok := ParseString(body[1:])
 		if !ok {
 			return ""
 		}
@@ -98,8 +98,8 @@
 	return ""
 }
 
-// Value gives the one column of a DataRow.
-func Value(body []byte) ([]byte, bool) {
+// ColumnValue gives the one column of a DataRow.
+func ColumnValue(body []byte) ([]byte, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
@@ -112,17 +112,17 @@
 
 // Statement is a client's query with what its comment says. Its slices point into the query.
 type Statement struct {
-	terms.Terms
-	Cut
+	metadata.Request
+	TimeoutSpan
 }
 
-// Cut is where in a query the time left stands.
-type Cut struct{ at, to int }
+// TimeoutSpan is where in a query the time left stands.
+type TimeoutSpan struct{ at, to int }
 
 var names = [...]string{"id", "c", "t", "k", "r", "d", "cluster", "after"}
 
-// Query reads the comment and the quoted key of a query, which is all up to its terminating zero.
-func Query(text []byte) (s Statement, err error) {
+// ParseQuery reads the comment and the quoted key of a query, which is all up to its terminating zero.
+func ParseQuery(text []byte) (s Statement, err error) {
 	if !bytes.HasPrefix(text, []byte("/*")) {
 		return s, errors.New("the statement has no leading comment")
 	}
@@ -151,38 +151,38 @@
 		case "id":
 			s.ID = value
 		case "c":
-			s.Profile = value
+			s.Class = value
 		case "t":
-			s.Customer = value
+			s.Tenant = value
 		case "k":
 			s.Key = value
 		case "r":
-			s.Repeated = string(value) == "1"
+			s.Retry = string(value) == "1"
 		case "d":
-			if s.Left, err = tenths(value); err != nil || s.Left <= 0 {
+			if s.TimeLeft, err = tenths(value); err != nil || s.TimeLeft <= 0 {
 				return s, fmt.Errorf("d is no time in milliseconds: %.20q", value)
 			}
-			s.Cut.at = at + bytes.Index(text[at:to], value)
-			s.Cut.to = s.Cut.at + len(value)
+			s.TimeoutSpan.at = at + bytes.Index(text[at:to], value)
+			s.TimeoutSpan.to = s.TimeoutSpan.at + len(value)
 		case "cluster":
 			if s.Group, err = strconv.ParseUint(string(value), 10, 63); err != nil {
 				return s, fmt.Errorf("cluster is no number: %.20q", value)
 			}
 			group = true
 		case "after":
-			if s.After, err = tenths(value); err != nil {
+			if s.ReadAfter, err = tenths(value); err != nil {
 				return s, fmt.Errorf("after is no time in milliseconds: %.20q", value)
 			}
-			s.Carried = true
+			s.HasReadAfter = true
 		}
 		at = to + 1
 	}
 	switch {
 	case s.ID == nil:
 		return s, errors.New("the comment has no id")
-	case s.Profile == nil:
+	case s.Class == nil:
 		return s, errors.New("the comment has no c")
-	case s.Cut.to == 0:
+	case s.TimeoutSpan.to == 0:
 		return s, errors.New("the comment has no d")
 	case !group:
 		return s, errors.New("the comment has no cluster")
@@ -219,7 +219,7 @@
 }
 
 // AppendQuery writes the statement with another time left, in whole milliseconds; all else stays as it is.
-func (c Cut) AppendQuery(dst, text []byte, left int64) []byte {
+func (c TimeoutSpan) AppendQuery(dst, text []byte, left int64) []byte {
 	at := len(dst)
 	dst = append(dst, 'Q', 0, 0, 0, 0)
 	dst = append(dst, text[:c.at]...)
@@ -234,8 +234,8 @@
 	return dst
 }
 
-// AppendSimple writes a plain query.
-func AppendSimple(dst []byte, text string) []byte {
+// AppendSimpleQuery writes a plain query.
+func AppendSimpleQuery(dst []byte, text string) []byte {
 	at := len(dst)
 	dst = append(dst, 'Q', 0, 0, 0, 0)
 	dst = append(dst, text...)
@@ -255,9 +255,9 @@
 	return dst
 }
 
-// AppendWelcome answers a startup message: no password, the few parameters that clients look for, the key by which to
+// AppendStartupReply answers a startup message: no password, the few parameters that clients look for, the key by which to
 // cancel, ready.
-func AppendWelcome(dst []byte, minor uint32, key []byte) []byte {
+func AppendStartupReply(dst []byte, minor uint32, key []byte) []byte {
 	if minor > 0 { // it is told that 3.0 is spoken here
 		dst = append(dst, 'v', 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 0)
 	}
@@ -283,8 +283,8 @@
 // AppendReady writes a ReadyForQuery outside a transaction.
 func AppendReady(dst []byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, 'I') }
 
-// AppendEmpty writes the answer to an empty query.
-func AppendEmpty(dst []byte) []byte { return append(dst, 'I', 0, 0, 0, 4) }
+// AppendEmptyQueryResponse writes the answer to an empty query.
+func AppendEmptyQueryResponse(dst []byte) []byte { return append(dst, 'I', 0, 0, 0, 4) }
 
 // AppendError writes an ErrorResponse; an empty detail is left out.
 func AppendError(dst []byte, severity, code, text, detail string) []byte {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -10,53 +10,53 @@
 	"SELECT payload FROM entries WHERE ref = '7f3a'"
 
 func TestMessageAtEverySplit(t *testing.T) {
-	whole := AppendSimple(nil, "SELECT 1")
+	whole := AppendSimpleQuery(nil, "SELECT 1")
 	for i := range whole {
-		if _, _, n, err := Message(whole[:i], MostQuery); n != 0 || err != nil {
+		if _, _, n, err := ParseMessage(whole[:i], MaxQuerySize); n != 0 || err != nil {
 			t.Fatalf("%d bytes: size %d, %v", i, n, err)
 		}
 	}
-	kind, body, n, err := Message(append(bytes.Clone(whole), 'Q', 0, 0), MostQuery)
+	kind, body, n, err := ParseMessage(append(bytes.Clone(whole), 'Q', 0, 0), MaxQuerySize)
 	if kind != 'Q' || string(body) != "SELECT 1\x00" || n != len(whole) || err != nil {
 		t.Fatalf("%c %q %d %v", kind, body, n, err)
 	}
 	start := AppendStartup(nil, "web", "orders")
 	for i := range start {
-		if _, n, err := Startup(start[:i]); n != 0 || err != nil {
+		if _, n, err := ParseStartup(start[:i]); n != 0 || err != nil {
 			t.Fatalf("%d bytes of a start: size %d, %v", i, n, err)
 		}
 	}
-	if code, n, err := Startup(start); code != Version || n != len(start) || err != nil {
+	if code, n, err := ParseStartup(start); code != Version || n != len(start) || err != nil {
 		t.Fatalf("%d %d %v", code, n, err)
 	}
 }
 
 func TestLengthsAreBounded(t *testing.T) {
 	for _, in := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x03", "Q\x7f\xff\xff\xff"} {
-		if _, _, _, err := Message([]byte(in), MostQuery); err == nil {
+		if _, _, _, err := ParseMessage([]byte(in), MaxQuerySize); err == nil {
 			t.Errorf("%q is taken", in)
 		}
 	}
 	for _, in := range []string{"\x00\x00\x00\x07", "\x00\x10\x00\x00", "\xff\xff\xff\xff"} {
-		if _, _, err := Startup([]byte(in)); err == nil {
+		if _, _, err := ParseStartup([]byte(in)); err == nil {
 			t.Errorf("%q is taken", in)
 		}
 	}
 }
 
 func TestQuery(t *testing.T) {
-	s, err := Query([]byte(asked))
-	if err != nil || string(s.ID) != "9b1f" || string(s.Profile) != "basket" || string(s.Customer) != "acme" ||
-		s.Left != 4800 || string(s.Key) != "5c0f" || s.Group != 2 || s.After != 17672256001230 || !s.Carried ||
-		!s.Repeated || string(s.Session) != "7f3a" {
+	s, err := ParseQuery([]byte(asked))
+	if err != nil || string(s.ID) != "9b1f" || string(s.Class) != "basket" || string(s.Tenant) != "acme" ||
+		s.TimeLeft != 4800 || string(s.Key) != "5c0f" || s.Group != 2 || s.ReadAfter != 17672256001230 || !s.HasReadAfter ||
+		!s.Retry || string(s.Session) != "7f3a" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	out := s.AppendQuery(nil, []byte(asked), 77)
-	if _, body, _, _ := Message(out, MostQuery); string(body) != strings.Replace(asked, "d=480", "d=77", 1)+"\x00" {
+	if _, body, _, _ := ParseMessage(out, MaxQuerySize); string(body) != strings.Replace(asked, "d=480", "d=77", 1)+"\x00" {
 		t.Fatalf("%q", body)
 	}
-	s, err = Query([]byte("/*cluster=0 , d=0.25,c=w, id=x*/ INSERT INTO entries (ref, payload) VALUES ('a', '\\x00')"))
-	if err != nil || s.Left != 3 || s.Group != 0 || s.Carried || string(s.Session) != "a" {
+	s, err = ParseQuery([]byte("/*cluster=0 , d=0.25,c=w, id=x*/ INSERT INTO entries (ref, payload) VALUES ('a', '\\x00')"))
+	if err != nil || s.TimeLeft != 3 || s.Group != 0 || s.HasReadAfter || string(s.Session) != "a" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	if out := string(s.AppendQuery(nil, []byte("/*cluster=0 , d=0.25,c=w, id=x*/ X"), 1)); !strings.Contains(out, ", d=1,c") {
@@ -82,28 +82,28 @@
 		{"/* id=,c=a,d=1,cluster=1 */ x", "no name=value"},
 		{"/* id=1,c=a,,d=1,cluster=1 */ x", "no name=value"},
 	} {
-		if _, err := Query([]byte(c[0])); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := ParseQuery([]byte(c[0])); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v, want %q in it", c[0], err, c[1])
 		}
 	}
 }
 
 func TestErrorsAndValues(t *testing.T) {
-	_, body, _, _ := Message(AppendError(nil, "ERROR", TooMany, "text", "250"), MostQuery)
-	if Code(body) != TooMany || !bytes.Contains(body, []byte("D250\x00")) {
+	_, body, _, _ := ParseMessage(AppendError(nil, "ERROR", TooManyConnections, "text", "250"), MaxQuerySize)
+	if SQLState(body) != TooManyConnections || !bytes.Contains(body, []byte("D250\x00")) {
 		t.Fatalf("%q", body)
 	}
 	for _, in := range []string{"", "\x00", "C", "C53300", "M\x00"} {
-		if c := Code([]byte(in)); c != "" {
+		if c := SQLState([]byte(in)); c != "" {
 			t.Errorf("%q gives code %q", in, c)
 		}
 	}
-	if v, ok := Value([]byte("\x00\x01\x00\x00\x00\x02ab")); !ok || string(v) != "ab" {
+	if v, ok := ColumnValue([]byte("\x00\x01\x00\x00\x00\x02ab")); !ok || string(v) != "ab" {
 		t.Fatalf("%q %v", v, ok)
 	}
 	for _, in := range []string{"", "\x00\x02\x00\x00\x00\x02ab", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x03ab",
 		"\x00\x01\x00\x02\x00\x00"} {
-		if _, ok := Value([]byte(in)); ok {
+		if _, ok := ColumnValue([]byte(in)); ok {
 			t.Errorf("%q is a value", in)
 		}
 	}
@@ -113,30 +113,30 @@
 // says the same but for the time left.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte(asked))
-	f.Add(AppendError(nil, "FATAL", ReadOnly, "m", ""))
+	f.Add(AppendError(nil, "FATAL", ReadOnlyTransaction, "m", ""))
 	f.Add(AppendStartup(nil, "web", "orders"))
 	f.Add([]byte("/* id=1,c=a,d=1,cluster=1 */ '"))
 	f.Add([]byte("/* id=d,c=d=1,d=1,cluster=1 */ 'a'"))
 	f.Add([]byte("\x00\x01\x00\x00\x00\x02ab"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if _, body, n, err := Message(in, MostQuery); err == nil && (n > len(in) || n > 0 && len(body) != n-5) {
+		if _, body, n, err := ParseMessage(in, MaxQuerySize); err == nil && (n > len(in) || n > 0 && len(body) != n-5) {
 			t.Fatalf("message of %d in %d", n, len(in))
 		}
-		if _, n, err := Startup(in); err == nil && n > len(in) {
+		if _, n, err := ParseStartup(in); err == nil && n > len(in) {
 			t.Fatalf("start of %d in %d", n, len(in))
 		}
-		Code(in)
-		Text(in)
-		Value(in)
-		a, err := Query(in)
+		SQLState(in)
+		ParseString(in)
+		ColumnValue(in)
+		a, err := ParseQuery(in)
 		if err != nil {
 			return
 		}
 		out := a.AppendQuery(nil, in, 9)
 		text := out[5 : len(out)-1]
-		b, err := Query(text)
-		if err != nil || b.Left != 90 || !bytes.Equal(a.ID, b.ID) || !bytes.Equal(a.Key, b.Key) ||
-			!bytes.Equal(a.Session, b.Session) || a.Group != b.Group || a.After != b.After {
+		b, err := ParseQuery(text)
+		if err != nil || b.TimeLeft != 90 || !bytes.Equal(a.ID, b.ID) || !bytes.Equal(a.Key, b.Key) ||
+			!bytes.Equal(a.Session, b.Session) || a.Group != b.Group || a.ReadAfter != b.ReadAfter {
 			t.Fatalf("%q became %q: %v", in, text, err)
 		}
 	})
--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // Node is one end of a link.
@@ -42,13 +42,13 @@
 	mu     sync.Mutex
 	rules  []*rule
 	table  atomic.Pointer[[]*rule]
-	chance mwc.Source
+	chance random.Source
 	ends   []func()
 	ledger ledger
 }
 
 func newLinks(seed uint64) *Links {
-	l := &Links{chance: mwc.New(seed)}
+	l := &Links{chance: random.New(seed)}
 	l.table.Store(&[]*rule{})
 	return l
 }
--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"micatrack/internal/mwc"
 	"micatrack/internal/pgwire"
+	"micatrack/internal/random"
 	"micatrack/internal/standin"
 )
 
@@ -108,7 +108,7 @@
 		}
 		switch head[0] {
 		case 'E':
-			code = pgwire.Code(body)
+			code = pgwire.SQLState(body)
 		case 'Z':
 			return code, nil
 		}
@@ -117,7 +117,7 @@
 
 func (l *Load) clients(f *Front, rate float64) {
 	defer l.all.Done()
-	chance := mwc.New(l.rig.Plan.Seed*31 + uint64(f.n))
+	chance := random.New(l.rig.Plan.Seed*31 + uint64(f.n))
 	idle := make(chan *conn, 256)
 	defer func() {
 		close(idle)
@@ -182,14 +182,14 @@
 		}
 	}
 	k.c.SetDeadline(time.Now().Add(3 * patience * time.Millisecond))
-	_, err = k.c.Write(pgwire.AppendSimple(nil, text+fmt.Sprintf(verb, n%97)))
+	_, err = k.c.Write(pgwire.AppendSimpleQuery(nil, text+fmt.Sprintf(verb, n%97)))
 	code := ""
 	if err == nil {
 		code, err = k.answer()
 	}
 	d.Took = time.Since(d.At)
 	if d.Lost = err != nil; !d.Lost {
-		d.Delivered, d.Back = code == "", code == pgwire.TooMany
+		d.Delivered, d.Back = code == "", code == pgwire.TooManyConnections
 		select {
 		case idle <- k:
 		default:
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -8,7 +8,7 @@
 
 // Buffer is a bounded ring of bytes. Its zero value with Most set is ready for use.
 type Buffer struct {
-	Most   int           // bytes that it may hold
+	Max    int           // bytes that it may hold
 	Budget *atomic.Int64 // bytes that all rings together may grow by past their first size; nil: any
 	buf    []byte
 	head   int
@@ -38,7 +38,7 @@
 
 // Append writes all of p, or nothing if it does not fit.
 func (b *Buffer) Append(p []byte) bool {
-	if b.size+len(p) > b.Most {
+	if b.size+len(p) > b.Max {
 		return false
 	}
 	if b.grow(b.size + len(p)); b.size+len(p) > len(b.buf) {
@@ -67,7 +67,7 @@
 	if b.size == 0 {
 		b.head = 0
 		if len(b.buf) > first {
-			b.Free()
+			b.Release()
 		}
 	} else if b.head >= len(b.buf) {
 		b.head -= len(b.buf)
@@ -75,14 +75,14 @@
 }
 
 func (b *Buffer) grow(need int) {
-	if need <= len(b.buf) || len(b.buf) >= b.Most {
+	if need <= len(b.buf) || len(b.buf) >= b.Max {
 		return
 	}
 	n := max(first, len(b.buf))
 	for n < need {
 		n *= 2
 	}
-	n = min(n, b.Most)
+	n = min(n, b.Max)
 	if b.Budget != nil && n > first {
 		more := int64(n - max(len(b.buf), first))
 		if b.Budget.Add(-more) < 0 {
@@ -93,8 +93,8 @@
 	b.move(n)
 }
 
-// Free drops what it holds and gives its memory back.
-func (b *Buffer) Free() {
+// Release drops what it holds and gives its memory back.
+func (b *Buffer) Release() {
 	if b.Budget != nil && len(b.buf) > first {
 		b.Budget.Add(int64(len(b.buf) - first))
 	}
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -8,7 +8,7 @@
 
 // play turns each byte into one call and holds the ring against a plain slice.
 func play(t *testing.T, most int, calls []byte) {
-	b := Buffer{Most: most}
+	b := Buffer{Max: most}
 	var plain []byte
 	next := byte(0)
 	fill := func(n int) []byte {
@@ -62,7 +62,7 @@
 func TestRingsShareABudget(t *testing.T) {
 	var left atomic.Int64
 	left.Store(3 * first)
-	a, b := Buffer{Most: 8 * first, Budget: &left}, Buffer{Most: 8 * first, Budget: &left}
+	a, b := Buffer{Max: 8 * first, Budget: &left}, Buffer{Max: 8 * first, Budget: &left}
 	if !a.Append(make([]byte, 3*first)) { // grows to four times the first size, of which one is free
 		t.Fatal("no room within the budget")
 	}
@@ -76,7 +76,7 @@
 	if !b.Append(make([]byte, first)) {
 		t.Fatal("what the drained ring gave back is not there")
 	}
-	b.Free()
+	b.Release()
 	if left.Load() != 3*first || b.Len() != 0 {
 		t.Fatalf("%d left after all was freed", left.Load())
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,16 +10,16 @@
 
 const microsPerTime = 100 // the settings' microseconds in one balance.Time
 
-// Host is what the program round the module needs of the settings.
-type Host struct {
-	PositionZero int64        // microseconds from which the simulator's positions count
-	Dial, Idle   balance.Time // a connection comes up within Dial; a store closes one that stood idle for Idle
-	Reports      string       // where load reports come: "inline", "on_probe" or "off"
-	Grace        balance.Time // nothing new goes to a store that long after a drain of it was told
+// Process is what the program round the module needs of the settings.
+type Process struct {
+	PositionEpoch            int64        // microseconds from which the simulator's positions count
+	DialTimeout, IdleTimeout balance.Time // a connection comes up within Dial; a store closes one that stood idle for Idle
+	LoadReports              string       // where load reports come: "inline", "on_probe" or "off"
+	DrainGrace               balance.Time // nothing new goes to a store that long after a drain of it was told
 }
 
 // Read turns the settings into those of the module. Keys that it does not know are passed over.
-func Read(text []byte) (balance.Settings, Host, error) {
+func Read(text []byte) (balance.Settings, Process, error) {
 	var w struct {
 		Az       string
 		Ceilings struct {
@@ -57,24 +57,24 @@
 		Round        int64
 	}
 	if err := json.Unmarshal(text, &w); err != nil {
-		return balance.Settings{}, Host{}, err
+		return balance.Settings{}, Process{}, err
 	}
-	h := Host{PositionZero: w.Extra.PositionZero, Dial: w.Ceilings.DialTimeout / microsPerTime,
-		Idle: w.Ceilings.ConnIdle / microsPerTime, Reports: w.Report.Source, Grace: w.Contract.DrainGrace / microsPerTime}
+	h := Process{PositionEpoch: w.Extra.PositionZero, DialTimeout: w.Ceilings.DialTimeout / microsPerTime,
+		IdleTimeout: w.Ceilings.ConnIdle / microsPerTime, LoadReports: w.Report.Source, DrainGrace: w.Contract.DrainGrace / microsPerTime}
 	c := balance.Settings{
-		Fronts: w.ReplicasOfMe, Zone: w.Az, Round: w.Round / microsPerTime,
-		OverShare:     w.OverShareWorth,
-		Checks:        w.Extra.Behind == "refuse" || w.Extra.Behind == "wait",
-		FencesCarried: w.Extra.SessionMarks == "carried",
-		ListPushed:    w.RegistryMode == "pushed", AskWithin: w.Contract.AskWithin / microsPerTime,
-		OnlyDraining: w.Contract.OnlyDrainingBinds, AnswerSlack: w.Contract.AnswerSlack / microsPerTime,
-		StartShare: w.Contract.StartCapacity, Cold: w.Contract.Cold / microsPerTime,
-		FallMultiple: w.Contract.FallMultiple, FallSpan: w.Contract.TipAfter / microsPerTime,
-		MostAttempts: w.Ceilings.MaxAttempts, MayProbe: w.Ceilings.Probes, MayCancel: w.Ceilings.MayCancel,
-		CrossPrice: w.Prices.CrossZone, ProbePrice: w.Prices.Probe,
+		Fronts: w.ReplicasOfMe, Zone: w.Az, EventInterval: w.Round / microsPerTime,
+		OverQuotaCredit:  w.OverShareWorth,
+		StoresCheckReads: w.Extra.Behind == "refuse" || w.Extra.Behind == "wait",
+		FencesCarried:    w.Extra.SessionMarks == "carried",
+		ListPushed:       w.RegistryMode == "pushed", ListInterval: w.Contract.AskWithin / microsPerTime,
+		OnlyDrainingBinds: w.Contract.OnlyDrainingBinds, AnswerSlack: w.Contract.AnswerSlack / microsPerTime,
+		StartCapacity: w.Contract.StartCapacity, WarmupTime: w.Contract.Cold / microsPerTime,
+		ColdOverloadFactor: w.Contract.FallMultiple, ColdOverloadSpan: w.Contract.TipAfter / microsPerTime,
+		MaxAttempts: w.Ceilings.MaxAttempts, MayProbe: w.Ceilings.Probes, MayCancel: w.Ceilings.MayCancel,
+		CrossZonePrice: w.Prices.CrossZone, ProbePrice: w.Prices.Probe,
 	}
 	if w.Ceilings.RetryAfter {
-		c.MostPause = w.Ceilings.MaxRetryAfter / microsPerTime
+		c.MaxRetryAfter = w.Ceilings.MaxRetryAfter / microsPerTime
 	}
 	for _, k := range [...]struct {
 		key   string
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -249,11 +249,11 @@
 	case "ACCEPT":
 		err = h.accept(f)
 	case "LEFT":
-		f.module.Left(h.now, h.fields["Tid"])
+		f.module.ClientGone(h.now, h.fields["Tid"])
 	case "FLOWING":
-		f.module.Streams(h.now, h.fields["Tid"])
+		f.module.ResponseStarted(h.now, h.fields["Tid"])
 	case "WAKEUP":
-		f.module.Beat(h.now)
+		f.module.Tick(h.now)
 	case "NOTE_FROM": // the module sends no messages
 	case "OUTCOME", "CHECK_RESULT":
 		err = h.result(f, word == "OUTCOME")
@@ -279,7 +279,7 @@
 		return fmt.Errorf("UP %s: BootInfo: %w", name, err)
 	}
 	c.Seed = seed
-	f := &front{host: h, name: name, zero: settings.PositionZero, stores: map[uint32]bool{}}
+	f := &front{host: h, name: name, zero: settings.PositionEpoch, stores: map[uint32]bool{}}
 	if f.module, err = balance.New(h.now, c, f); err != nil {
 		return fmt.Errorf("UP %s: %w", name, err)
 	}
@@ -288,13 +288,13 @@
 }
 
 func (h *host) membership(f *front) error {
-	news, ok := map[string]balance.ListNews{"0": balance.ListFailed, "2": balance.ListWhole,
+	news, ok := map[string]balance.ListKind{"0": balance.ListFailed, "2": balance.ListFull,
 		"3": balance.ListChanges, "4": balance.ListCached}[h.fields["How"]]
 	if !ok {
 		return fmt.Errorf("How %q is unknown", h.fields["How"])
 	}
 	if news == balance.ListFailed {
-		f.module.List(h.now, news, nil)
+		f.module.UpdateMembers(h.now, news, nil)
 		return nil
 	}
 	n, err := h.int("Buffer")
@@ -307,7 +307,7 @@
 	for _, m := range h.lists[n].members {
 		f.stores[m.Store] = true
 	}
-	f.module.List(h.now, news, h.lists[n].members)
+	f.module.UpdateMembers(h.now, news, h.lists[n].members)
 	return nil
 }
 
@@ -334,15 +334,15 @@
 	if age > 0 {
 		j.WriteAge = int64(age * 1000 / microsPerTime)
 	}
-	if err := f.module.Take(h.now, j); err != nil {
+	if err := f.module.Submit(h.now, j); err != nil {
 		return err
 	}
 	return nil
 }
 
-var endings = map[string]balance.Ending{"0": balance.Served, "1": balance.Behind, "249": balance.Unsent,
-	"250": balance.Recalled, "251": balance.Severed, "252": balance.Unreached, "253": balance.Expired,
-	"254": balance.Crowded, "255": balance.Faulted}
+var endings = map[string]balance.Ending{"0": balance.Served, "1": balance.NotEligible, "249": balance.NotSent,
+	"250": balance.Cancelled, "251": balance.ConnectionLost, "252": balance.ConnectFailed, "253": balance.TimedOut,
+	"254": balance.Overloaded, "255": balance.Failed}
 
 func (h *host) result(f *front, attempt bool) error {
 	store, err := h.store()
@@ -356,12 +356,12 @@
 	if !ok {
 		return fmt.Errorf("StateCode %q is unknown", h.fields["StateCode"])
 	}
-	r := balance.Return{Ending: ending, Done: h.fields["Closed"] == "1"}
+	r := balance.Result{Ending: ending, Done: h.fields["Closed"] == "1"}
 	if r.Load, err = f.load(h.fields["Usage"]); err != nil {
 		return err
 	}
 	if !attempt {
-		f.module.Probed(h.now, store, r)
+		f.module.ProbeDone(h.now, store, r)
 		return nil
 	}
 	if h.fields["Note"] != "" {
@@ -378,7 +378,7 @@
 	if err != nil {
 		return err
 	}
-	f.module.Returned(h.now, h.fields["Tid"], int(hop), store, r)
+	f.module.AttemptDone(h.now, h.fields["Tid"], int(hop), store, r)
 	return nil
 }
 
@@ -471,7 +471,7 @@
 	f.end()
 }
 
-func (f *front) HangUp(store uint32) {
+func (f *front) CloseIdle(store uint32) {
 	f.start("HANG_UP")
 	f.field(" Store=", int64(store))
 	f.end()
@@ -480,13 +480,13 @@
 // Forget: numbers on the simulator's wire are its own, and name one store for the whole day.
 func (f *front) Forget(uint32) {}
 
-func (f *front) Wake(after balance.Time) {
+func (f *front) WakeAfter(after balance.Time) {
 	f.start("SET_ALARM").WriteString(" Name=1")
 	f.field(" SleepFor=", after*microsPerTime)
 	f.end()
 }
 
-func (f *front) Watch() {
+func (f *front) WatchMembers() {
 	f.start("WATCH").WriteString(" Active=1")
 	f.end()
 }
--- a/internal/sock/dial.go
+++ b/internal/sock/dial.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, lack(err)
 	}
-	l, err := n.add(c, 0, n.answer, pgwire.MostQuery)
+	l, err := n.add(c, 0, n.answer, pgwire.MaxQuerySize)
 	if err != nil {
 		return nil, lack(err)
 	}
@@ -48,7 +48,7 @@
 	}
 	switch errno {
 	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN:
-		return front.NoRoom
+		return front.ErrNoResources
 	}
 	return err
 }
--- a/internal/sock/link.go
+++ b/internal/sock/link.go
@@ -21,7 +21,7 @@
 	in     ring.Buffer
 	full   bool // the poller left bytes with the system, for want of room
 	closed bool
-	what   front.What // of an event not yet gathered; guarded by Net.mu
+	what   front.EventFlags // of an event not yet gathered; guarded by Net.mu
 	sent   atomic.Int64
 	awaits atomic.Bool // the system takes no more for now, and the loop is told when it does
 	ending atomic.Bool // nothing is to be sent behind what out holds
@@ -104,9 +104,9 @@
 	return rests
 }
 
-// CloseAtRest closes the connection if nothing has come on it that was not discarded. last is sent before, as far as the
+// CloseIfIdle closes the connection if nothing has come on it that was not discarded. last is sent before, as far as the
 // system takes it at once.
-func (l *Link) CloseAtRest(last []byte) bool {
+func (l *Link) CloseIfIdle(last []byte) bool {
 	closes := l.atRest(func() {
 		l.conn.Lock()
 		if closed, _ := l.conn.IsClosed(); !closed && len(last) > 0 {
@@ -121,9 +121,9 @@
 	return closes
 }
 
-// FinishAtRest is Finish, if nothing has come that was not discarded and nothing is queued.
-func (l *Link) FinishAtRest() bool {
-	return l.Empty() && l.atRest(func() {
+// CloseWriteIfIdle is Finish, if nothing has come that was not discarded and nothing is queued.
+func (l *Link) CloseWriteIfIdle() bool {
+	return l.Flushed() && l.atRest(func() {
 		l.ending.Store(true)
 		l.conn.Lock()
 		if closed, _ := l.conn.IsClosed(); !closed {
@@ -157,20 +157,20 @@
 // release is the one place where a link's rings are given back.
 func (l *Link) release() {
 	l.mu.Lock()
-	l.in.Free()
+	l.in.Release()
 	l.mu.Unlock()
-	l.out.Free()
+	l.out.Release()
 }
 
-// Full tells that bytes wait with the system for want of room here.
-func (l *Link) Full() bool {
+// ReadBufferFull tells that bytes wait with the system for want of room here.
+func (l *Link) ReadBufferFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.full
 }
 
-func (l *Link) Owner() any    { return l.owner }
-func (l *Link) Own(owner any) { l.owner = owner }
+func (l *Link) Owner() any         { return l.owner }
+func (l *Link) SetOwner(owner any) { l.owner = owner }
 
 func (l *Link) Peek() []byte {
 	l.mu.Lock()
@@ -190,7 +190,7 @@
 
 func (l *Link) Write(p []byte) bool { return l.out.Append(p) }
 
-func (l *Link) Sent() int64 { return l.sent.Load() }
+func (l *Link) SentBytes() int64 { return l.sent.Load() }
 
 // Flush writes what is queued, as far as the system takes it.
 func (l *Link) Flush() {
@@ -264,9 +264,9 @@
 	l.sent.Add(int64(size))
 }
 
-func (l *Link) Empty() bool { return l.out.Len() == 0 }
+func (l *Link) Flushed() bool { return l.out.Len() == 0 }
 
-func (l *Link) Finish() {
+func (l *Link) CloseWrite() {
 	l.ending.Store(true)
 	l.Flush()
 }
--- a/internal/sock/rest_test.go
+++ b/internal/sock/rest_test.go
@@ -31,8 +31,8 @@
 
 func TestRequestThatThePollerHasNotReadKeepsItsConnection(t *testing.T) {
 	for name, ends := range map[string]func(l *Link) bool{
-		"finish": (*Link).FinishAtRest,
-		"close":  func(l *Link) bool { return l.CloseAtRest([]byte("no room")) },
+		"finish": (*Link).CloseWriteIfIdle,
+		"close":  func(l *Link) bool { return l.CloseIfIdle([]byte("no room")) },
 	} {
 		n := open(t)
 		peer, l := accepted(t, n)
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -91,8 +91,8 @@
 	return n, nil
 }
 
-// Also listens on another address; what is told of its connections beside front.Accepted.
-func (n *Net) Also(addr string, what front.What) (bound string, err error) {
+// AddListener listens on another address; what is told of its connections beside front.Accepted.
+func (n *Net) AddListener(addr string, what front.EventFlags) (bound string, err error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
@@ -118,8 +118,8 @@
 	return n.taken
 }
 
-// Deafen stops listening. What has been accepted by then is among Clients.
-func (n *Net) Deafen() {
+// StopAccepting stops listening. What has been accepted by then is among Clients.
+func (n *Net) StopAccepting() {
 	defer n.taking.Wait()
 	n.deaf.Store(true)
 	n.listen.Close()
@@ -131,14 +131,14 @@
 // accept takes connections in while there is room; the backlog holds what comes meanwhile.
 // Danger: clients that connect by hundreds at once would take the descriptors that dials need before the loop
 // can turn any of them away.
-func (n *Net) accept(from net.Listener, what front.What) {
+func (n *Net) accept(from net.Listener, what front.EventFlags) {
 	for {
 		for n.full() && !n.deaf.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		c, err := from.Accept()
 		if err == nil {
-			if l, err := n.add(c, what, pgwire.MostQuery, n.answer); err == nil {
+			if l, err := n.add(c, what, pgwire.MaxQuerySize, n.answer); err == nil {
 				n.queue(l)
 			}
 			continue
@@ -159,7 +159,7 @@
 // add puts a connection of the standard library under the poller, which takes its descriptor over.
 // Danger: the poller may read from it, or see it closed, before the loop has heard of it. With what set from
 // the start that news waits for queue.
-func (n *Net) add(c net.Conn, what front.What, in, out int) (*Link, error) {
+func (n *Net) add(c net.Conn, what front.EventFlags, in, out int) (*Link, error) {
 	nc, err := nbio.NBConn(c)
 	for tries := 1; err != nil && what&front.Accepted != 0 && tries < mostCopies && !n.deaf.Load(); tries++ {
 		time.Sleep(acceptPause) // Danger: a client that is accepted has perhaps been read by the machine, and is owed an answer.
@@ -174,8 +174,8 @@
 		nc.Close()
 		return nil, err
 	}
-	l := &Link{net: n, conn: nc, descriptor: descriptor, what: what, client: what&front.Accepted != 0, in: ring.Buffer{Most: in + spare, Budget: &n.budget},
-		out: ring.Buffer{Most: out + spare, Budget: &n.budget}}
+	l := &Link{net: n, conn: nc, descriptor: descriptor, what: what, client: what&front.Accepted != 0, in: ring.Buffer{Max: in + spare, Budget: &n.budget},
+		out: ring.Buffer{Max: out + spare, Budget: &n.budget}}
 	n.mu.Lock()
 	n.links[nc] = l
 	if l.client {
@@ -204,7 +204,7 @@
 }
 
 // report notes that a link has news and wakes the loop.
-func (n *Net) report(l *Link, what front.What) {
+func (n *Net) report(l *Link, what front.EventFlags) {
 	n.mu.Lock()
 	fresh := l.what == 0
 	l.what |= what | queued
@@ -221,7 +221,7 @@
 	n.Wake()
 }
 
-const queued front.What = 1 << 7
+const queued front.EventFlags = 1 << 7
 
 // Wake makes Gather return.
 func (n *Net) Wake() {
@@ -231,8 +231,8 @@
 	}
 }
 
-// Gather waits until something is ready, for wait at most, and gives all that is.
-func (n *Net) Gather(wait time.Duration) []front.Event {
+// Poll waits until something is ready, for wait at most, and gives all that is.
+func (n *Net) Poll(wait time.Duration) []front.Event {
 	if wait > 0 {
 		n.timer.Reset(wait)
 		select {
@@ -246,7 +246,7 @@
 		}
 	}
 	for _, e := range n.events {
-		if e.What&front.Closed != 0 { // the core has seen the last of it
+		if e.Flags&front.Closed != 0 { // the core has seen the last of it
 			e.Link.(*Link).release()
 		}
 	}
@@ -254,7 +254,7 @@
 	n.owners.overdue()
 	n.mu.Lock()
 	for k, l := range n.ready {
-		n.events = append(n.events, front.Event{Link: l, What: l.what &^ queued})
+		n.events = append(n.events, front.Event{Link: l, Flags: l.what &^ queued})
 		l.what = 0
 		n.ready[k] = nil
 	}
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -13,11 +13,11 @@
 )
 
 // until gathers until a link has what is looked for.
-func until(t *testing.T, n *Net, l front.Link, what front.What) front.Link {
+func until(t *testing.T, n *Net, l front.Link, what front.EventFlags) front.Link {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		for _, e := range n.Gather(time.Second) {
-			if (l == nil || e.Link == l) && e.What&what != 0 {
+		for _, e := range n.Poll(time.Second) {
+			if (l == nil || e.Link == l) && e.Flags&what != 0 {
 				return e.Link
 			}
 		}
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.Deafen)
+	t.Cleanup(n.StopAccepting)
 	return n
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Deafen()
+	defer n.StopAccepting()
 	for range 10 {
 		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
@@ -57,8 +57,8 @@
 			t.Fatalf("%d links where 3 have room", len(n.links))
 		}
 		n.mu.Unlock()
-		for _, e := range n.Gather(time.Second) {
-			if e.What&front.Accepted != 0 {
+		for _, e := range n.Poll(time.Second) {
+			if e.Flags&front.Accepted != 0 {
 				came++
 				e.Link.Close()
 			}
@@ -82,8 +82,8 @@
 	if !l.Write(text) || l.Write(text) {
 		t.Fatal("a ring takes one message and no more")
 	}
-	l.Finish()
-	if l.Sent() == int64(len(text)) {
+	l.CloseWrite()
+	if l.SentBytes() == int64(len(text)) {
 		t.Skip("the system took all at once")
 	}
 	got := make(chan []byte)
@@ -94,8 +94,8 @@
 		got <- b
 	}()
 	until(t, n, l, front.Closed)
-	if b := <-got; !bytes.Equal(b, text) || l.Sent() != int64(len(text)) {
-		t.Fatalf("%d of %d bytes, %d sent", len(b), len(text), l.Sent())
+	if b := <-got; !bytes.Equal(b, text) || l.SentBytes() != int64(len(text)) {
+		t.Fatalf("%d of %d bytes, %d sent", len(b), len(text), l.SentBytes())
 	}
 }
 
@@ -115,14 +115,14 @@
 	link.Write(text)
 	link.Flush()
 	link.Close()
-	sent := link.Sent()
+	sent := link.SentBytes()
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	got, _ := io.ReadAll(c)
-	if until(t, n, link, front.Closed); int64(len(got)) > sent || link.Sent() != sent || sent == int64(len(text)) {
+	if until(t, n, link, front.Closed); int64(len(got)) > sent || link.SentBytes() != sent || sent == int64(len(text)) {
 		t.Errorf("%d bytes came, %d were told as sent", len(got), sent)
 	}
 }
@@ -140,8 +140,8 @@
 	}
 	link.Write([]byte("start"))
 	link.Flush()
-	if until(t, n, link, front.Closed); link.Sent() != 0 {
-		t.Errorf("%d bytes told as sent", link.Sent())
+	if until(t, n, link, front.Closed); link.SentBytes() != 0 {
+		t.Errorf("%d bytes told as sent", link.SentBytes())
 	}
 	if _, err := n.Dial("nowhere"); err == nil {
 		t.Error("an address that is none is dialled")
@@ -160,7 +160,7 @@
 	go c.Write(text)
 	for at := 0; at < len(text); {
 		in := l.Peek()
-		if len(in) > pgwire.MostQuery+spare || !bytes.HasPrefix(text[at:], in) {
+		if len(in) > pgwire.MaxQuerySize+spare || !bytes.HasPrefix(text[at:], in) {
 			t.Fatalf("%d bytes at %d", len(in), at)
 		}
 		at += len(in)
@@ -170,7 +170,7 @@
 	}
 	c.Close()
 	until(t, n, l, front.Closed)
-	if n.Gather(0); n.budget.Load() != 1<<20 || len(n.links) != 0 {
+	if n.Poll(0); n.budget.Load() != 1<<20 || len(n.links) != 0 {
 		t.Errorf("budget %d, %d links after the end", n.budget.Load(), len(n.links))
 	}
 }
@@ -223,7 +223,7 @@
 		t.Fatal("no room")
 	}
 	l.Flush()
-	l.Finish()
+	l.CloseWrite()
 	more := bytes.Repeat([]byte("x"), 300<<10) // past what the ring holds
 	go c.Write(more)
 	got := make(chan []byte)
@@ -239,7 +239,7 @@
 	}()
 	var b []byte
 	for end := time.Now().Add(20 * time.Second); b == nil && time.Now().Before(end); {
-		n.Gather(5 * time.Millisecond)
+		n.Poll(5 * time.Millisecond)
 		select {
 		case b = <-got:
 		default:
@@ -250,7 +250,7 @@
 	}
 	c.Close()
 	until(t, n, l, front.Closed)
-	if n.Gather(0); n.Clients() != 0 {
+	if n.Poll(0); n.Clients() != 0 {
 		t.Error("it is still open")
 	}
 }
@@ -276,7 +276,7 @@
 	link.Write(make([]byte, 140<<10))
 	for end := time.Now().Add(200 * time.Millisecond); time.Now().Before(end); {
 		link.Flush()
-		n.Gather(time.Millisecond)
+		n.Poll(time.Millisecond)
 	}
 	link.Abort()
 	got, err := io.ReadAll(c)
@@ -298,9 +298,9 @@
 		l := until(t, n, nil, front.Accepted)
 		c.Write(make([]byte, size))
 		for end := time.Now().Add(20 * time.Second); len(l.Peek()) < size && time.Now().Before(end); {
-			n.Gather(5 * time.Millisecond)
+			n.Poll(5 * time.Millisecond)
 		}
-		l.Finish()
+		l.CloseWrite()
 		l.Discard(size)
 		l.(*Link).mu.Lock()
 		if got := l.(*Link).in.Len(); got != 0 {
@@ -311,7 +311,7 @@
 		c.Close()
 		until(t, n, l, front.Closed)
 	}
-	if n.Gather(0); n.budget.Load() != 1<<20 || n.Clients() != 0 {
+	if n.Poll(0); n.budget.Load() != 1<<20 || n.Clients() != 0 {
 		t.Errorf("budget %d, %d clients after the end", n.budget.Load(), n.Clients())
 	}
 }
--- a/internal/standin/bolt.go
+++ b/internal/standin/bolt.go
@@ -200,7 +200,7 @@
 		if err != nil {
 			return s.fail(r.What, bolt.Invalid, err.Error())
 		}
-		s.job, s.mark, s.after, s.writes, s.records, s.open = string(t.ID), string(t.Key), t.After, false, 0, 0
+		s.job, s.mark, s.after, s.writes, s.records, s.open = string(t.ID), string(t.Key), t.ReadAfter, false, 0, 0
 	}
 	act := Answer
 	s.b.mu.Lock()
--- a/internal/standin/postgres.go
+++ b/internal/standin/postgres.go
@@ -101,7 +101,7 @@
 	if _, err := io.ReadFull(c, start); err != nil {
 		return
 	}
-	if n := binary.BigEndian.Uint32(start); n < 8 || n > pgwire.MostStartup {
+	if n := binary.BigEndian.Uint32(start); n < 8 || n > pgwire.MaxStartupSize {
 		return
 	} else if _, err := io.CopyN(io.Discard, c, int64(n)-4); err != nil {
 		return
@@ -115,7 +115,7 @@
 			return
 		}
 		n := int(binary.BigEndian.Uint32(head[1:])) - 4
-		if head[0] != 'Q' || n < 1 || n > pgwire.MostQuery {
+		if head[0] != 'Q' || n < 1 || n > pgwire.MaxQuerySize {
 			return
 		}
 		body := make([]byte, n)
@@ -138,7 +138,7 @@
 	before, takes, cores := p.before, p.takes, p.cores
 	p.mu.Unlock()
 	act := Answer
-	if s, err := pgwire.Query(text); err == nil && before != nil {
+	if s, err := pgwire.ParseQuery(text); err == nil && before != nil {
 		act = before(string(s.ID))
 	}
 	switch act {
@@ -175,7 +175,7 @@
 
 // Full is what a store says that turns a job away unseen.
 func Full() []byte {
-	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.TooMany, "full", ""))
+	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.TooManyConnections, "full", ""))
 }
 
 // Answer carries out a statement at one of the group's stores, now, and gives all that the store says to it.
@@ -188,18 +188,18 @@
 		}
 		return pgwire.AppendReady(row("x0=" + strconv.FormatFloat(float64(position)/10_000, 'f', 4, 64) + ",x1=" + role))
 	}
-	s, err := pgwire.Query(text)
+	s, err := pgwire.ParseQuery(text)
 	if err != nil {
-		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.Violation, err.Error(), ""))
+		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.ProtocolViolation, err.Error(), ""))
 	}
 	ok := false
 	if isWrite(text) {
 		if position, ok = g.Write(store, string(s.ID), string(s.Key)); !ok {
-			return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnly, "no primary", "")))
+			return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
 		}
 		position += 9 // a commit is told rounded up
-	} else if position, ok = g.Read(store, string(s.ID), s.After); !ok {
-		return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapTooOld, "too far behind", "")))
+	} else if position, ok = g.Read(store, string(s.ID), s.ReadAfter); !ok {
+		return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
 	}
 	return pgwire.AppendReady(g.notes(store, position, row(string(s.ID))))
 }
--- a/internal/syscallfault/fault.go
+++ b/internal/syscallfault/fault.go
@@ -21,18 +21,18 @@
 type Fault struct {
 	Errno syscall.Errno // the call is not made, and fails with this
 	Size  int           // over 0: it is asked for this many bytes in place of all
-	Late  time.Duration // its thread sees the result that much later, while all others go on
+	Delay time.Duration // its thread sees the result that much later, while all others go on
 }
 
-// Faults decides what happens to each call. It is called by one goroutine.
-type Faults func(call Call) Fault
+// FaultFunc decides what happens to each call. It is called by one goroutine.
+type FaultFunc func(call Call) Fault
 
 const (
 	smallestPayload = 9 // bytes; shorter transfers are wake-ups between the program's own threads
 	firstSocket     = 3 // descriptors below are the standard streams
 )
 
-// Transfers tells whether a call reads or writes a message on a connection.
-func (c Call) Transfers() bool {
+// IsTransfer tells whether a call reads or writes a message on a connection.
+func (c Call) IsTransfer() bool {
 	return (c.Number == syscall.SYS_WRITE || c.Number == syscall.SYS_READ) && c.Descriptor >= firstSocket && c.Size >= smallestPayload
 }
--- a/internal/syscallfault/fault_test.go
+++ b/internal/syscallfault/fault_test.go
@@ -13,7 +13,7 @@
 )
 
 // copied runs cat over a file with these faults and gives what it wrote.
-func copied(t *testing.T, size int, faults Faults) (want, got []byte) {
+func copied(t *testing.T, size int, faults FaultFunc) (want, got []byte) {
 	t.Helper()
 	want = bytes.Repeat([]byte("0123456789"), size/10)
 	path := filepath.Join(t.TempDir(), "file")
@@ -62,7 +62,7 @@
 			return Fault{}
 		}
 		held = true
-		return Fault{Late: late}
+		return Fault{Delay: late}
 	})
 	if took := time.Since(begun); !bytes.Equal(got, want) || took < late {
 		t.Errorf("%d of %d bytes in %v", len(got), len(want), took)
--- a/internal/syscallfault/tracer.go
+++ b/internal/syscallfault/tracer.go
@@ -27,7 +27,7 @@
 }
 
 // Start starts the command under a tracer of its own. The command must not be waited for by its own methods: Wait does it.
-func Start(cmd *exec.Cmd, faults Faults) (*Process, error) {
+func Start(cmd *exec.Cmd, faults FaultFunc) (*Process, error) {
 	process := &Process{done: make(chan struct{})}
 	started := make(chan error)
 	go func() {
@@ -74,7 +74,7 @@
 
 type tracer struct {
 	leader  int
-	faults  Faults
+	faults  FaultFunc
 	threads map[int]*thread
 	held    int
 }
@@ -158,8 +158,8 @@
 		return t.set(id, &registers)
 	}
 	current.inCall = false
-	if current.fault.Late > 0 {
-		current.heldTo = time.Now().Add(current.fault.Late)
+	if current.fault.Delay > 0 {
+		current.heldTo = time.Now().Add(current.fault.Delay)
 		t.held++
 	}
 	if current.fault.Errno != 0 {
--- a/internal/tenantsim/events.go
+++ b/internal/tenantsim/events.go
@@ -33,7 +33,7 @@
 }
 
 // after plans an event.
-func (w *World) after(span Time, do func()) {
+func (w *Simulation) after(span Time, do func()) {
 	w.events.last++
 	heap.Push(&w.events, event{w.Now + max(span, 0), w.events.last, do})
 }
--- a/internal/tenantsim/module.go
+++ b/internal/tenantsim/module.go
@@ -5,8 +5,8 @@
 // workDivisor gives the mean work of an attempt as a part of the class's expected time.
 const workDivisor = 8
 
-// LetIn takes in a request that the door lets in.
-func (w *World) LetIn(index int32) {
+// Admit takes in a request that the door lets in.
+func (w *Simulation) Admit(index int32) {
 	try := &w.tries[index]
 	if try.state != Arrived {
 		w.violated("job %d is let in when it is %s", index, try.state)
@@ -16,8 +16,8 @@
 	w.sendHeld()
 }
 
-// TurnBack takes in a request that the door refuses.
-func (w *World) TurnBack(index int32, pause Time) {
+// Reject takes in a request that the door refuses.
+func (w *Simulation) Reject(index int32, pause Time) {
 	try := &w.tries[index]
 	if try.state != Arrived {
 		w.violated("job %d is turned back when it is %s", index, try.state)
@@ -33,13 +33,13 @@
 }
 
 // rank is the module's: by powers of two of the credit for the time.
-func (w *World) rank(index int32) int {
+func (w *Simulation) rank(index int32) int {
 	class := &w.Settings.Classes[w.tries[index].class]
 	return math.Ilogb(class.Credit / float64(class.ExpectedTime))
 }
 
 // precedes reports whether the module sends one held request before another that was held before it.
-func (w *World) precedes(index, other int32) bool {
+func (w *Simulation) precedes(index, other int32) bool {
 	if w.FIFO {
 		return false
 	}
@@ -48,7 +48,7 @@
 }
 
 // sendHeld sends held requests while the stores have places.
-func (w *World) sendHeld() {
+func (w *Simulation) sendHeld() {
 	for w.busy < w.places && len(w.held) > 0 {
 		best := 0
 		for k, index := range w.held {
@@ -62,17 +62,17 @@
 	}
 }
 
-func (w *World) send(index int32) {
+func (w *Simulation) send(index int32) {
 	w.busy++
 	try := &w.tries[index]
 	try.state = Sent
 	if try.told > 0 {
-		try.Tenant.Kept++
+		try.Tenant.ReservationsKept++
 		off := math.Abs(float64(w.Now-try.toldAt-try.told)) / float64(try.told)
 		try.Tenant.PauseErrors = append(try.Tenant.PauseErrors, off)
 	}
-	if w.Door != nil {
-		w.Door.Sent(w.Now, index)
+	if w.Admission != nil {
+		w.Admission.AttemptStarted(w.Now, index)
 	}
 	expected := float64(w.Settings.Classes[try.class].ExpectedTime)
 	work := Time(expected / workDivisor / w.Speed * (0.75 + float64(w.random.Below(1000))/2000))
@@ -80,25 +80,25 @@
 }
 
 // deliver ends an attempt with an answer.
-func (w *World) deliver(index int32) {
+func (w *Simulation) deliver(index int32) {
 	try := &w.tries[index]
 	w.busy--
-	if w.Door != nil {
-		w.Door.Back(w.Now, index, true)
+	if w.Admission != nil {
+		w.Admission.AttemptEnded(w.Now, index, true)
 	}
 	expected := w.Settings.Classes[try.class].ExpectedTime
 	if w.Now-try.born <= expected {
 		try.Tenant.InTime++
 	}
 	if try.number == 0 && w.Now-try.arrivedAt <= expected {
-		try.Tenant.FirstsInTime++
+		try.Tenant.FirstTriesInTime++
 	}
 	w.end(index, Delivered)
 	w.sendHeld()
 }
 
 // refuseLate refuses held requests that cannot be delivered in time any more.
-func (w *World) refuseLate() {
+func (w *Simulation) refuseLate() {
 	var late []int32
 	keep := w.held[:0]
 	for _, index := range w.held {
@@ -111,14 +111,14 @@
 	w.held = keep
 	for _, index := range late {
 		pause := w.Pause(w)
-		if w.Door != nil {
-			pause = w.Door.Promise(w.Now, index, pause)
+		if w.Admission != nil {
+			pause = w.Admission.RetryAfter(w.Now, index, pause)
 		}
 		w.refuse(index, pause)
 	}
 }
 
-func (w *World) tooLate(try *Try) bool {
+func (w *Simulation) tooLate(try *Try) bool {
 	class := &w.Settings.Classes[try.class]
 	doneAt := w.Now + class.ExpectedTime/workDivisor
 	if class.LateCredit == 0 && doneAt > try.arrivedAt+class.ExpectedTime {
