--- a/internal/tenantsim/tenant.go
+++ b/internal/tenantsim/tenant.go
@@ -15,25 +15,25 @@
 // Tenant is one tenant, or many that come under ever new names. The first fields configure it, the others are
 // counted.
 type Tenant struct {
-	Name      string
-	NewNames  bool                   // each request comes under a name of its own
-	Rate      func(now Time) float64 // requests a second
-	Class     int                    // of its requests, as the settings number them
-	Clients   int                    // among which each request's is drawn
-	Client    uint64                 // of all requests; 0: it is drawn
-	Retries   int                    // of a request, at most
-	Impatient bool                   // it retries at once, whatever it was told
-	Marked    bool                   // retries are marked as such
+	Name         string
+	UniqueNames  bool                   // each request comes under a name of its own
+	Rate         func(now Time) float64 // requests a second
+	Class        int                    // of its requests, as the settings number them
+	Clients      int                    // among which each request's is drawn
+	Client       uint64                 // of all requests; 0: it is drawn
+	Retries      int                    // of a request, at most
+	IgnoresPause bool                   // it retries at once, whatever it was told
+	Marked       bool                   // retries are marked as such
 
-	Requests       int
-	InTime         int       // requests delivered in their expected time, counted from the first try
-	FirstTries     int       // the same as Requests, for FirstsInTime
-	FirstsInTime   int       // first tries delivered in their expected time
-	Refused        int       // tries
-	Promised       int       // refused tries that were told when to come back
-	Kept, Missed   int       // of these, tries that were sent, and that were refused again
-	PauseErrors    []float64 // how far the moment of being sent was from what was told, as a part of it
-	lastNameNumber int
+	Requests                             int
+	InTime                               int       // requests delivered in their expected time, counted from the first try
+	FirstTries                           int       // the same as Requests, for FirstsInTime
+	FirstTriesInTime                     int       // first tries delivered in their expected time
+	Refused                              int       // tries
+	Reserved                             int       // refused tries that were told when to come back
+	ReservationsKept, ReservationsMissed int       // of these, tries that were sent, and that were refused again
+	PauseErrors                          []float64 // how far the moment of being sent was from what was told, as a part of it
+	lastNameNumber                       int
 }
 
 // ConstantRate returns a rate that does not change, in requests a second.
@@ -45,7 +45,7 @@
 // String returns the counts for a test's log.
 func (t *Tenant) String() string {
 	return fmt.Sprintf("%s: asked %d, in time %.3f, turned back %d, told %d kept %d missed %d",
-		t.Name, t.Requests, t.Share(), t.Refused, t.Promised, t.Kept, t.Missed)
+		t.Name, t.Requests, t.Share(), t.Refused, t.Reserved, t.ReservationsKept, t.ReservationsMissed)
 }
 
 // Jain returns Jain's index of fairness: 1 where all values are equal, 1/n where one has all.
@@ -61,7 +61,7 @@
 // nextName returns the name of the tenant's next request.
 func (t *Tenant) nextName() []byte {
 	name := []byte(t.Name)
-	if !t.NewNames {
+	if !t.UniqueNames {
 		return name
 	}
 	t.lastNameNumber++
@@ -69,7 +69,7 @@
 }
 
 // startArrivals plans a tenant's requests, one after the other.
-func (w *World) startArrivals(t *Tenant) {
+func (w *Simulation) startArrivals(t *Tenant) {
 	at := float64(w.Now) // gaps may be shorter than a Time
 	var plan func()
 	plan = func() {
@@ -89,11 +89,11 @@
 }
 
 // drawGap draws the time until a tenant's next request from an exponential distribution, maxGap at most.
-func (w *World) drawGap(t *Tenant) float64 {
+func (w *Simulation) drawGap(t *Tenant) float64 {
 	rate := t.Rate(w.Now)
 	if rate <= 0 {
 		return float64(maxGap)
 	}
-	uniform := (float64(w.random.Next()) + 1) / (1<<32 + 1)
+	uniform := (float64(w.random.Uint32()) + 1) / (1<<32 + 1)
 	return min(float64(maxGap), -math.Log(uniform)*timesPerSecond/rate)
 }
--- a/internal/tenantsim/try.go
+++ b/internal/tenantsim/try.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"micatrack/door"
+	"micatrack/admission"
 )
 
 // State is that of a try.
@@ -53,7 +53,7 @@
 }
 
 // arrive brings one try in.
-func (w *World) arrive(t *Tenant, previous retryOf) {
+func (w *Simulation) arrive(t *Tenant, previous retryOf) {
 	index := w.allocateTry()
 	if previous.number == 0 {
 		w.lastID++
@@ -69,25 +69,25 @@
 	w.tries[index] = Try{Tenant: t, class: t.Class, client: client, arrivedAt: w.Now, left: left, state: Arrived,
 		retryOf: previous}
 	name := t.nextName()
-	if w.Door == nil {
-		w.LetIn(index)
+	if w.Admission == nil {
+		w.Admit(index)
 		return
 	}
-	w.Door.Arrive(w.Now, door.Arrival{
-		Job:      index,
-		Profile:  t.Class,
-		Customer: name,
-		Client:   client,
-		Mark:     binary.BigEndian.AppendUint64(nil, previous.id),
-		Group:    group,
-		Left:     left,
-		Repeated: previous.number > 0 && t.Marked,
-		Bytes:    statementBytes,
+	w.Admission.Arrive(w.Now, admission.Arrival{
+		Request:     index,
+		Class:       t.Class,
+		Tenant:      name,
+		Client:      client,
+		RetryKey:    binary.BigEndian.AppendUint64(nil, previous.id),
+		Group:       group,
+		TimeLeft:    left,
+		MarkedRetry: previous.number > 0 && t.Marked,
+		Bytes:       statementBytes,
 	})
 }
 
 // allocateTry returns the index of a free place for a try.
-func (w *World) allocateTry() int32 {
+func (w *Simulation) allocateTry() int32 {
 	if len(w.free) == 0 {
 		w.free = append(w.free, int32(len(w.tries)))
 		w.tries = append(w.tries, Try{})
@@ -98,29 +98,29 @@
 }
 
 // end ends a try.
-func (w *World) end(index int32, how State) {
+func (w *Simulation) end(index int32, how State) {
 	if w.OnEnd != nil {
 		w.OnEnd(w, &w.tries[index], string(how))
 	}
 	w.tries[index].state = how
 	w.free = append(w.free, index)
-	if w.Door != nil {
-		w.Door.Ended(w.Now, index)
+	if w.Admission != nil {
+		w.Admission.RequestEnded(w.Now, index)
 		w.sendHeld() // the module's turn comes first
-		w.Door.Turn(w.Now)
+		w.Admission.AdmitWaiting(w.Now)
 	}
 }
 
 // refuse ends a try that was refused, by the door or by the module, and plans the client's next one.
-func (w *World) refuse(index int32, pause Time) {
+func (w *Simulation) refuse(index int32, pause Time) {
 	ended := w.tries[index]
 	t := ended.Tenant
 	t.Refused++
-	if pause > w.Settings.MostPause {
+	if pause > w.Settings.MaxRetryAfter {
 		w.violated("pause %d", pause)
 	}
 	if ended.told > 0 {
-		t.Missed++
+		t.ReservationsMissed++
 	}
 	w.end(index, Refused)
 	if ended.number >= t.Retries {
@@ -128,10 +128,10 @@
 	}
 	next := retryOf{id: ended.id, number: ended.number + 1, born: ended.born}
 	switch {
-	case t.Impatient:
+	case t.IgnoresPause:
 		w.after(impatientPause, func() { w.arrive(t, next) })
 	case pause > 0:
-		t.Promised++
+		t.Reserved++
 		next.told = pause
 		next.toldAt = w.Now
 		w.after(pause+w.random.Below(promiseJitter), func() { w.arrive(t, next) })
--- a/internal/tenantsim/world.go
+++ b/internal/tenantsim/world.go
@@ -7,9 +7,9 @@
 	"container/heap"
 	"fmt"
 
+	"micatrack/admission"
 	"micatrack/balance"
-	"micatrack/door"
-	"micatrack/internal/mwc"
+	"micatrack/internal/random"
 )
 
 // Time is a moment or a span in whole tenths of a millisecond.
@@ -25,25 +25,25 @@
 	settingsSeed      = 7
 )
 
-// World plays tenants, a stand-in of the decision module, and stores with a number of places. The stand-in
+// Simulation plays tenants, a stand-in of the decision module, and stores with a number of places. The stand-in
 // holds what has no place, the request with most credit first and the newest of these, as the module does,
 // and refuses what cannot be in time any more.
-type World struct {
+type Simulation struct {
 	Now        Time
-	Door       *door.Door // nil: requests go straight to the module
+	Admission  *admission.Controller // nil: requests go straight to the module
 	Settings   balance.Settings
 	FIFO       bool     // the module holds requests in order of arrival
 	Speed      float64  // of the stores; 1 at first
 	Violations []string // of what must not happen
 	Logs       []string // lines of the door's log
 	// Pause gives the pause of a request that the module refuses.
-	Pause func(w *World) Time
+	Pause func(w *Simulation) Time
 	// OverridePause, if it is set, gives what a client is told in place of the door's pause.
 	OverridePause func(t *Tenant, client uint64, pause Time) Time
 	// OnEnd, if it is set, is told how each try ended.
-	OnEnd func(w *World, try *Try, how string)
+	OnEnd func(w *Simulation, try *Try, how string)
 
-	random  mwc.Source
+	random  random.Source
 	events  events
 	places  int // of the stores
 	busy    int // of them
@@ -60,40 +60,40 @@
 		Deadline: 1200 * millisecond, Credit: 1}
 	save := balance.Class{Name: "save", Need: balance.Write, Repeat: balance.Keyed, Window: 3000 * millisecond,
 		ExpectedTime: 600 * millisecond, Deadline: 3000 * millisecond, Credit: 4, LateCredit: 0.3}
-	return balance.Settings{Seed: settingsSeed, Fronts: 1, Round: tickSpan, MostPause: 1000 * millisecond,
+	return balance.Settings{Seed: settingsSeed, Fronts: 1, EventInterval: tickSpan, MaxRetryAfter: 1000 * millisecond,
 		Classes: []balance.Class{read, save}}
 }
 
 // Bounds returns what the operators' file gives by default.
-func Bounds() door.Bounds {
-	return door.Bounds{Jobs: 4096, Bytes: 16 << 20, Customers: 128, Places: 64, Strangers: 0.25, Further: 0.5}
+func Bounds() admission.Bounds {
+	return admission.Bounds{MaxRequests: 4096, MaxBytes: 16 << 20, DedicatedTenants: 128, SharedQueues: 64, SharedWeight: 0.25, RetriesPerRequest: 0.5}
 }
 
 // New returns a world whose stores have so many places, with a door in front of them, or without one if
 // bounds is nil. It returns an error for bounds out of range.
-func New(places int, bounds *door.Bounds, tenants ...*Tenant) (*World, error) {
-	w := &World{
+func New(places int, bounds *admission.Bounds, tenants ...*Tenant) (*Simulation, error) {
+	w := &Simulation{
 		Now:      Start,
 		Settings: Settings(),
 		Speed:    1,
-		random:   mwc.New(seed),
+		random:   random.New(seed),
 		places:   places,
 		tenants:  tenants,
 	}
-	w.Pause = func(w *World) Time {
-		half := w.Settings.MostPause / 2
+	w.Pause = func(w *Simulation) Time {
+		half := w.Settings.MaxRetryAfter / 2
 		return half + w.random.Below(half)
 	}
 	if bounds == nil {
 		return w, nil
 	}
 	var err error
-	w.Door, err = door.New(w.Now, w.Settings, *bounds, w)
+	w.Admission, err = admission.New(w.Now, w.Settings, *bounds, w)
 	return w, err
 }
 
-// Play lets a span pass, with arrivals drawn as a Poisson process.
-func (w *World) Play(span Time) {
+// Run lets a span pass, with arrivals drawn as a Poisson process.
+func (w *Simulation) Run(span Time) {
 	end := w.Now + span
 	if w.events.last == 0 {
 		for _, t := range w.tenants {
@@ -110,18 +110,18 @@
 }
 
 // tick has the module and the door do what is due.
-func (w *World) tick() {
+func (w *Simulation) tick() {
 	w.refuseLate()
-	if w.Door != nil {
-		w.Door.Beat(w.Now)
+	if w.Admission != nil {
+		w.Admission.Tick(w.Now)
 	}
 	w.sendHeld()
 	w.after(tickSpan, w.tick)
 }
 
-func (w *World) violated(format string, values ...any) {
+func (w *Simulation) violated(format string, values ...any) {
 	w.Violations = append(w.Violations, fmt.Sprintf(format, values...))
 }
 
 // Log keeps a line of the door's log.
-func (w *World) Log(text string) { w.Logs = append(w.Logs, text) }
+func (w *Simulation) Log(text string) { w.Logs = append(w.Logs, text) }
--- a/internal/world/link.go
+++ b/internal/world/link.go
@@ -21,7 +21,7 @@
 	in, out []byte
 	sent    int64
 	owner   any
-	what    front.What
+	what    front.EventFlags
 	told    bool // it stands among the front's events
 	closed  bool // by the front
 	gone    bool // by the other side
@@ -36,18 +36,18 @@
 }
 
 // Peek, Discard, Full, Write, Flush, Sent, Empty, Close, Abort, Finish, Owner and Own are front.Link.
-func (l *link) Peek() []byte  { return l.in }
-func (l *link) Discard(n int) { l.in = l.in[n:] }
-func (l *link) Full() bool    { return len(l.in) > 1<<18 }
+func (l *link) Peek() []byte         { return l.in }
+func (l *link) Discard(n int)        { l.in = l.in[n:] }
+func (l *link) ReadBufferFull() bool { return len(l.in) > 1<<18 }
 func (l *link) Write(p []byte) bool {
 	l.out = append(l.out, p...)
 	return true
 }
-func (l *link) Sent() int64 { return l.sent }
-func (l *link) Empty() bool { return len(l.out) == 0 }
-func (l *link) Abort()      { l.Close() }
-func (l *link) Owner() any  { return l.owner }
-func (l *link) Own(o any)   { l.owner = o }
+func (l *link) SentBytes() int64 { return l.sent }
+func (l *link) Flushed() bool    { return len(l.out) == 0 }
+func (l *link) Abort()           { l.Close() }
+func (l *link) Owner() any       { return l.owner }
+func (l *link) SetOwner(o any)   { l.owner = o }
 
 func (l *link) Flush() {
 	if len(l.out) == 0 || l.closed {
@@ -77,8 +77,8 @@
 	})
 }
 
-// Finish closes once all is out; the front hears of that.
-func (l *link) Finish() {
+// CloseWrite closes once all is out; the front hears of that.
+func (l *link) CloseWrite() {
 	l.Flush()
 	f := l.f
 	l.Close()
@@ -89,17 +89,17 @@
 // PeerOpen tells whether the other side is there, as the front knows.
 func (l *link) PeerOpen() bool { return !l.closed }
 
-// FinishAtRest is Finish if nothing of a message has come.
-func (l *link) FinishAtRest() bool {
+// CloseWriteIfIdle is Finish if nothing of a message has come.
+func (l *link) CloseWriteIfIdle() bool {
 	if len(l.in) > 0 {
 		return false
 	}
-	l.Finish()
+	l.CloseWrite()
 	return true
 }
 
-// CloseAtRest is Close if nothing of a message has come.
-func (l *link) CloseAtRest([]byte) bool {
+// CloseIfIdle is Close if nothing of a message has come.
+func (l *link) CloseIfIdle([]byte) bool {
 	if len(l.in) > 0 {
 		return false
 	}
@@ -131,7 +131,7 @@
 }
 
 // news tells the front of it at its next step.
-func (l *link) news(what front.What) {
+func (l *link) news(what front.EventFlags) {
 	f := l.f
 	if f.core == nil || !f.links[l] {
 		return
--- a/internal/world/load.go
+++ b/internal/world/load.go
@@ -96,7 +96,7 @@
 	if k.Write {
 		verb = " */ INSERT INTO entries (ref) VALUES ('s%d') RETURNING payload"
 	}
-	a.text = pgwire.AppendSimple(nil, text+fmt.Sprintf(verb, a.session))
+	a.text = pgwire.AppendSimpleQuery(nil, text+fmt.Sprintf(verb, a.session))
 	var l *link
 	if n := len(f.idle); n > 0 {
 		l, f.idle = f.idle[n-1], f.idle[:n-1]
@@ -137,7 +137,7 @@
 func (c client) took(l *link, b []byte) {
 	l.buf = append(l.buf, b...)
 	for {
-		kind, body, n, err := pgwire.Message(l.buf, 1<<20)
+		kind, body, n, err := pgwire.ParseMessage(l.buf, 1<<20)
 		if err != nil {
 			l.hang()
 			c.ended(l)
@@ -150,7 +150,7 @@
 		a := l.ask
 		switch {
 		case kind == 'E' && a != nil:
-			a.code = pgwire.Code(body)
+			a.code = pgwire.SQLState(body)
 		case kind != 'Z':
 		case a != nil && !a.written:
 			a.written = true
@@ -166,7 +166,7 @@
 func (a *asked) end(w *World, lost bool) {
 	a.Took, a.Lost = w.Now-a.At, lost
 	if !lost {
-		a.Delivered, a.Back = a.code == "", a.code == pgwire.TooMany
+		a.Delivered, a.Back = a.code == "", a.code == pgwire.TooManyConnections
 	}
 	if a.Delivered && a.Write {
 		p := w.Groups[a.Group].Found(a.Job)
@@ -199,8 +199,8 @@
 		}
 	}
 	for _, f := range w.Fronts {
-		if f.core != nil && f.core.InHand() > 0 && !w.load {
-			broken = append(broken, fmt.Sprintf("%s has %d jobs in hand that nobody waits for", f.Name, f.core.InHand()))
+		if f.core != nil && f.core.PendingRequests() > 0 && !w.load {
+			broken = append(broken, fmt.Sprintf("%s has %d jobs in hand that nobody waits for", f.Name, f.core.PendingRequests()))
 		}
 	}
 	for _, s := range w.Stores {
--- a/internal/world/region.go
+++ b/internal/world/region.go
@@ -35,15 +35,15 @@
 }
 
 // news is what discovery tells of the list now.
-func (w *World) news() front.List {
+func (w *World) news() front.StoreList {
 	changed := w.changed
 	w.changed = nil
 	if !w.Changes {
-		return w.whole(balance.ListWhole)
+		return w.whole(balance.ListFull)
 	}
-	list := front.List{News: balance.ListChanges}
+	list := front.StoreList{Kind: balance.ListChanges}
 	for _, k := range changed {
-		list.Lines = append(list.Lines, w.lists[k])
+		list.Entries = append(list.Entries, w.lists[k])
 	}
 	return list
 }
--- a/internal/world/standing_test.go
+++ b/internal/world/standing_test.go
@@ -6,8 +6,8 @@
 
 	"micatrack/balance"
 	"micatrack/internal/front"
-	"micatrack/internal/mwc"
 	"micatrack/internal/pgwire"
+	"micatrack/internal/random"
 )
 
 // cause is something that leaves fronts without a store that they may send to, and its end.
@@ -21,7 +21,7 @@
 	}
 }
 
-func lists(w *World, l front.List) {
+func lists(w *World, l front.StoreList) {
 	for _, f := range w.Fronts {
 		f.told(l)
 		f.wake()
@@ -34,7 +34,7 @@
 	silent := func(w *World) { heal = w.Cut(func(from, to Node) bool { return !from.Front || !to.Front }) }
 	down := func(w *World) { stores(w, (*Store).Down) }
 	condition := func(to balance.Condition) func(w *World) {
-		return func(w *World) { w.Change(func(l *front.Line) { l.Condition = to }) }
+		return func(w *World) { w.Change(func(l *front.StoreEntry) { l.Condition = to }) }
 	}
 	return map[string]cause{
 		"silent":                {silent, func(w *World) { heal() }}, // for an answer to a probe
@@ -42,8 +42,8 @@
 		"connections refused":   {down, func(w *World) { stores(w, func(s *Store) { s.down = false }) }},
 		"started anew and cold": {down, func(w *World) { stores(w, (*Store).Up) }},
 		// for that, and for its part of what they bear
-		"an empty list": {func(w *World) { lists(w, front.List{News: balance.ListWhole}) }, // for a list
-			func(w *World) { lists(w, w.whole(balance.ListWhole)) }},
+		"an empty list": {func(w *World) { lists(w, front.StoreList{Kind: balance.ListFull}) }, // for a list
+			func(w *World) { lists(w, w.whole(balance.ListFull)) }},
 		"all drain": {condition(balance.Draining), condition(balance.Ready)},
 		"no primary": {func(w *World) { // for one that says that it is the primary
 			for _, g := range w.Groups {
@@ -87,7 +87,7 @@
 	settings := map[string]func(p *Plan){
 		"as it is": func(p *Plan) {},
 		"dear":     func(p *Plan) { p.Settings.ProbePrice = 0.1 },
-		"checks":   func(p *Plan) { p.Settings.Checks = true },
+		"checks":   func(p *Plan) { p.Settings.StoresCheckReads = true },
 	}
 	spans, fleets := []Time{2 * Second, 6 * Second}, []int{1, 300}
 	if raced {
@@ -138,7 +138,7 @@
 	l.buf = append(l.buf, text...)
 	refused := false
 	for {
-		kind, _, n, err := pgwire.Message(l.buf, 1<<20)
+		kind, _, n, err := pgwire.ParseMessage(l.buf, 1<<20)
 		if err != nil || n == 0 {
 			return
 		}
@@ -153,10 +153,10 @@
 // harass has bad clients come to all fronts, at a fifth of the good ones' rate, and stores spoil one answer
 // in twenty.
 func harass(w *World, seed uint64) {
-	draws, asked := mwc.New(seed*7+5), 0
+	draws, asked := random.New(seed*7+5), 0
 	ask := func() []byte {
 		asked++
-		return pgwire.AppendSimple(nil,
+		return pgwire.AppendSimpleQuery(nil,
 			fmt.Sprintf("/* id=bad%d,c=any,t=t1,d=1000,cluster=1 */ SELECT payload FROM entries "+
 				"WHERE ref = 's1'", asked))
 	}
--- a/internal/world/store.go
+++ b/internal/world/store.go
@@ -60,7 +60,7 @@
 		s.Down()
 	}
 	s.down, s.upAt, s.recent, s.aware, s.Peak, s.Told = false, s.w.Now, nil, nil, 0, 0
-	s.w.Change(func(l *front.Line) {
+	s.w.Change(func(l *front.StoreEntry) {
 		if l.ID == s.Name {
 			l.Started = s.upAt
 		}
@@ -70,10 +70,10 @@
 // strength is the part of its work that it does now.
 func (s *Store) strength(at Time) float64 {
 	c := &s.w.Settings
-	if s.upAt == 0 || at >= s.upAt+c.Cold || c.Cold == 0 {
+	if s.upAt == 0 || at >= s.upAt+c.WarmupTime || c.WarmupTime == 0 {
 		return 1
 	}
-	return c.StartShare + (1-c.StartShare)*float64(at-s.upAt)/float64(c.Cold)
+	return c.StartCapacity + (1-c.StartCapacity)*float64(at-s.upAt)/float64(c.WarmupTime)
 }
 
 func (s *Store) accept(l *link) {
@@ -101,7 +101,7 @@
 			l.push(standin.Welcome())
 			continue
 		}
-		kind, body, n, err := pgwire.Message(l.buf, pgwire.MostQuery)
+		kind, body, n, err := pgwire.ParseMessage(l.buf, pgwire.MaxQuerySize)
 		if err != nil || n > 0 && kind != 'Q' {
 			delete(s.conns, l)
 			l.hang()
@@ -130,7 +130,7 @@
 		j.l.push(standin.Full())
 		return
 	}
-	if q, err := pgwire.Query(j.text); err == nil {
+	if q, err := pgwire.ParseQuery(j.text); err == nil {
 		s.w.sent[string(q.ID)] = s.w.Now - s.w.Delay
 	}
 	s.waits = append(s.waits, j)
@@ -169,16 +169,16 @@
 // bears notes a request while the store is cold, and lets it fall over where too many come in one span.
 func (s *Store) bears(told bool) {
 	c, now := &s.w.Settings, s.w.Now
-	if s.upAt == 0 || now >= s.upAt+c.Cold+c.FallSpan {
+	if s.upAt == 0 || now >= s.upAt+c.WarmupTime+c.ColdOverloadSpan {
 		return
 	}
 	s.recent = append(s.recent, now)
-	for now-s.recent[0] >= c.FallSpan {
+	for now-s.recent[0] >= c.ColdOverloadSpan {
 		s.recent = s.recent[1:]
 	}
 	bears := s.budget(s.recent[0])
 	if told {
-		for s.aware = append(s.aware, now); now-s.aware[0] >= c.FallSpan; {
+		for s.aware = append(s.aware, now); now-s.aware[0] >= c.ColdOverloadSpan; {
 			s.aware = s.aware[1:]
 		}
 		n := s.budget(s.aware[0])
@@ -194,5 +194,5 @@
 // budget is how many requests the settings allow in a span that begins then.
 func (s *Store) budget(at Time) float64 {
 	c := &s.w.Settings
-	return float64(s.w.Cores) / float64(s.w.Takes) * s.strength(at) * c.FallMultiple * float64(c.FallSpan)
+	return float64(s.w.Cores) / float64(s.w.Takes) * s.strength(at) * c.ColdOverloadFactor * float64(c.ColdOverloadSpan)
 }
--- a/internal/world/traffic.go
+++ b/internal/world/traffic.go
@@ -39,7 +39,7 @@
 	switch kind {
 	case membership.Gossip:
 		return Rumors
-	case membership.Whole, membership.Answer:
+	case membership.SyncRequest, membership.SyncResponse:
 		return Exchanges
 	default:
 		return Probes
@@ -54,10 +54,10 @@
 )
 
 // listBytes is the length of a list as discovery tells it.
-func listBytes(list front.List) int {
+func listBytes(list front.StoreList) int {
 	bytes := listHead
-	for k := range list.Lines {
-		line := &list.Lines[k]
+	for k := range list.Entries {
+		line := &list.Entries[k]
 		bytes += lineHead + len(line.ID) + len(line.Addr) + len(line.Zone)
 	}
 	return bytes
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -25,8 +25,8 @@
 	"micatrack/fleet/zones"
 	"micatrack/internal/bridge"
 	"micatrack/internal/front"
-	"micatrack/internal/mwc"
 	"micatrack/internal/peers"
+	"micatrack/internal/random"
 	"micatrack/internal/settings"
 	"micatrack/internal/standin"
 )
@@ -45,7 +45,7 @@
 // Plan is what a world is made of.
 type Plan struct {
 	Settings  balance.Settings // zone, number of fronts and seed are filled in
-	Host      settings.Host
+	Host      settings.Process
 	Fronts    int // spread over the zones in turn
 	Zones     []string
 	Groups    int // each with a member in every zone; the primary is in each zone in turn
@@ -122,10 +122,10 @@
 
 	queue    queue
 	seq      uint64
-	chance   mwc.Source
+	chance   random.Source
 	rules    []*rule
 	held     []parcel // what waits for a cut to end
-	lists    []front.Line
+	lists    []front.StoreEntry
 	listing  bool // a change of it is on its way
 	changed  []int
 	byAddr   map[string]*Store
@@ -147,7 +147,7 @@
 
 // New builds a world; its fronts serve from the beginning.
 func New(p Plan) *World {
-	w := &World{Plan: p, Now: start, chance: mwc.New(p.Seed), byAddr: map[string]*Store{}, byPeer: map[string]*Front{},
+	w := &World{Plan: p, Now: start, chance: random.New(p.Seed), byAddr: map[string]*Store{}, byPeer: map[string]*Front{},
 		sent: map[string]Time{}}
 	clock := func() time.Time { return time.Unix(0, w.Now*100_000) }
 	for g := range p.Groups {
@@ -173,14 +173,14 @@
 			}
 			w.Stores = append(w.Stores, s)
 			w.byAddr[s.addr] = s
-			w.lists = append(w.lists, front.Line{ID: name, Addr: s.addr, Member: balance.Member{Group: group.ID, Zone: s.Zone,
+			w.lists = append(w.lists, front.StoreEntry{ID: name, Addr: s.addr, Member: balance.Member{Group: group.ID, Zone: s.Zone,
 				Condition: balance.Ready, Primary: k == 0, Size: 1}})
 		}
 	}
 	for n := range p.Fronts {
 		zone := p.Zones[n%len(p.Zones)]
 		f := &Front{Node: Node{Name: fmt.Sprint("f", n), Zone: zone, Front: true, Region: p.region(zone)}, w: w, n: n,
-			addr: fmt.Sprintf("127.1.%d.%d:1", n/250, n%250+1), chance: mwc.New(p.Seed*31 + uint64(n))}
+			addr: fmt.Sprintf("127.1.%d.%d:1", n/250, n%250+1), chance: random.New(p.Seed*31 + uint64(n))}
 		w.Fronts = append(w.Fronts, f)
 		w.byPeer[f.addr] = f
 	}
@@ -261,7 +261,7 @@
 }
 
 // Change edits the list of stores and tells it to all fronts, with all else that changes at the same moment.
-func (w *World) Change(edit func(l *front.Line)) {
+func (w *World) Change(edit func(l *front.StoreEntry)) {
 	for k := range w.lists {
 		before := w.lists[k]
 		edit(&w.lists[k])
@@ -297,8 +297,8 @@
 	})
 }
 
-func (w *World) whole(news balance.ListNews) front.List {
-	return front.List{News: news, Lines: append([]front.Line(nil), w.lists...)}
+func (w *World) whole(news balance.ListKind) front.StoreList {
+	return front.StoreList{Kind: news, Entries: append([]front.StoreEntry(nil), w.lists...)}
 }
 
 // Front is one front of the world.
@@ -317,11 +317,11 @@
 	msg     membership.Message
 	events  []front.Event
 	links   map[*link]bool
-	lists   []front.List
+	lists   []front.StoreList
 	knows   map[string]Time // the start of each store as it was told
 	idle    []*link         // of its clients
 	Sent    int             // attempts that have reached a store
-	chance  mwc.Source
+	chance  random.Source
 	stepAt  Time // 0: no step is planned
 	frozen  bool
 	left    bool
@@ -338,7 +338,7 @@
 	f.events, f.links, f.lists, f.idle, f.stepAt, f.frozen, f.left, f.slept = nil, map[*link]bool{}, nil, nil, 0, false, false, nil
 	c := w.Settings
 	c.Fronts, c.Zone, c.Seed = w.Plan.Fronts, f.Zone, w.Seed<<20+uint64(f.n+1)<<8+uint64(f.life)
-	limits := front.Limits{Links: cmp.Or(w.Plan.Links, 1000), Clients: cmp.Or(w.Plan.Links, 1000) / 2, Answer: 1 << 16, Rest: 2 * Second, Grace: 600 * Millisecond, Longest: 3 * Second}
+	limits := front.Limits{MaxConnections: cmp.Or(w.Plan.Links, 1000), MaxClients: cmp.Or(w.Plan.Links, 1000) / 2, MaxStoreMessage: 1 << 16, ClientIdle: 2 * Second, ShutdownGrace: 600 * Millisecond, MaxDeadline: 3 * Second}
 	together := w.Plan.Fleet && (w.Without == nil || !w.Without(f.n))
 	f.fleet, f.watch = nil, nil
 	if together {
@@ -347,18 +347,18 @@
 			seeds = append(seeds, w.Fronts[k].addr)
 		}
 		f.bridge = bridge.Bridge{}
-		limits.Saw = func(store string, how balance.Ending, expected, took Time) {
+		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took Time) {
 			before := w.Meter.enter(Fleet)
 			f.bridge.Saw(w.Now, store, how, expected, took)
 			w.Meter.enter(before)
 		}
-		f.fleet = fleet.New(w.Now, membership.Self{Name: f.Name, Zone: f.Zone, Addr: f.addr, Incarnation: uint64(f.life), Seed: c.Seed,
-			Period: w.Period, Seeds: seeds, Members: 1024, NoteLife: 20 * w.Period},
-			zones.Self{StartShare: c.StartShare, Cold: c.Cold, FallSpan: c.FallSpan}, host{f})
+		f.fleet = fleet.New(w.Now, membership.Config{Name: f.Name, Zone: f.Zone, Addr: f.addr, Incarnation: uint64(f.life), RandomSeed: c.Seed,
+			Period: w.Period, Seeds: seeds, MaxMembers: 1024, NoteTTL: 20 * w.Period},
+			zones.Config{ColdCapacity: c.StartCapacity, WarmupTime: c.WarmupTime, OverloadTolerance: c.ColdOverloadSpan}, host{f})
 		f.bridge.Zones = f.fleet.Zones
 		if w.Plan.Watch {
-			f.watch = watch.New(w.Now, watch.Self{Name: f.Name, Addr: f.addr, Wait: w.WatchWait, Period: w.Period, Patience: w.Host.Dial, Seed: c.Seed}, looks{f})
-			f.bridge.Watch, limits.Watch = f.watch, seen{f}
+			f.watch = watch.New(w.Now, watch.Self{Name: f.Name, Addr: f.addr, Wait: w.WatchWait, Period: w.Period, Patience: w.Host.DialTimeout, Seed: c.Seed}, looks{f})
+			f.bridge.Watch, limits.PositionWatch = f.watch, seen{f}
 		}
 	}
 	var err error
@@ -369,13 +369,13 @@
 	f.holder = nil
 	if f.watch != nil && len(w.Voters) > 0 {
 		f.holder = lease.NewHolder(w.Now, lease.Party{Name: f.Name, Life: uint64(f.life)}, f.addr, len(w.Voters), w.Terms, c.Seed, asks{f})
-		f.holder.Want(w.Now, summary.Name)
+		f.holder.Want(w.Now, summary.LeaseName)
 	}
 	known := w.whole(balance.ListCached)
 	f.Traffic.Received[Lists].count(listBytes(known))
 	f.knows = map[string]Time{}
 	f.learn(known)
-	f.core.Tell(known)
+	f.core.UpdateStores(known)
 	if together {
 		f.bridge.Listed(w.Now, known)
 	}
@@ -383,15 +383,15 @@
 }
 
 // told hands a list to the front, for its next step.
-func (f *Front) told(l front.List) {
+func (f *Front) told(l front.StoreList) {
 	f.lists = append(f.lists, l)
 	f.Traffic.Received[Lists].count(listBytes(l))
 	f.learn(l)
 }
 
-func (f *Front) learn(l front.List) {
-	for k := range l.Lines {
-		f.knows[l.Lines[k].ID] = l.Lines[k].Started
+func (f *Front) learn(l front.StoreList) {
+	for k := range l.Entries {
+		f.knows[l.Entries[k].ID] = l.Entries[k].Started
 	}
 }
 
@@ -445,7 +445,7 @@
 // Part gives the part of ordinary traffic that the front's plan has for a zone, 1 without a fleet.
 func (f *Front) Part(zone string) float64 {
 	if f.fleet != nil {
-		for _, r := range f.fleet.Zones.Rows(f.w.Now) {
+		for _, r := range f.fleet.Zones.Status(f.w.Now) {
 			if r.Zone == zone {
 				return r.Part
 			}
@@ -480,8 +480,8 @@
 	f.events = nil
 	for k := range events {
 		l := events[k].Link.(*link)
-		events[k].What, l.what, l.told = l.what, 0, false
-		if events[k].What&front.Closed != 0 {
+		events[k].Flags, l.what, l.told = l.what, 0, false
+		if events[k].Flags&front.Closed != 0 {
 			delete(f.links, l)
 		}
 	}
@@ -492,7 +492,7 @@
 		f.Kill()
 		return
 	}
-	next := f.core.Next()
+	next := f.core.NextStep()
 	if f.fleet != nil {
 		next = min(next, f.fleet.Next())
 	}
@@ -513,7 +513,7 @@
 	before := f.w.Meter.enter(List)
 	defer func() { f.w.Meter.enter(before) }()
 	for _, l := range f.lists {
-		f.core.Tell(l)
+		f.core.UpdateStores(l)
 		if f.fleet != nil {
 			f.bridge.Listed(f.w.Now, l)
 		}
@@ -552,7 +552,7 @@
 	f.own(l)
 	sent := f.w.Now
 	f.w.carry(f.Node, s.Node, func() {
-		if l.closed && f.w.Now-sent > f.w.Host.Dial {
+		if l.closed && f.w.Now-sent > f.w.Host.DialTimeout {
 			return // given up while the way was cut: nobody tries it any more
 		}
 		s.accept(l)
@@ -569,7 +569,7 @@
 // host is what the front does for its fleet.
 type host struct{ f *Front }
 
-func (h host) Part(zone string, part float64) { h.f.core.Zone(zone, part) }
+func (h host) SetShare(zone string, part float64) { h.f.core.SetZoneShare(zone, part) }
 func (h host) Log(text string) {
 	if log := h.f.w.Plan.Log; log != nil {
 		log(h.f.w.Now-start, h.f.Name, text)
@@ -600,12 +600,12 @@
 	})
 }
 
-func (h host) Exchange(addr string) {
+func (h host) StartSync(addr string) {
 	f, to := h.f, h.f.w.byPeer[addr]
 	if to == nil {
 		return
 	}
-	w, text := f.w, peers.Append(nil, "world", f.fleet.Members.Open(membership.Whole))
+	w, text := f.w, peers.Append(nil, "world", f.fleet.Members.SyncMessage(membership.SyncRequest))
 	w.Peers.Bytes += len(text)
 	f.Traffic.Sent[Exchanges].count(len(text))
 	w.carryWithin(exchangeWait, f.Node, to.Node, func() {
@@ -623,9 +623,9 @@
 // looks is what the front does for its watch, and seen what its core tells it. Without voters who is meant to watch may.
 type looks struct{ f *Front }
 
-func (l looks) Survey(store string)                 { l.f.core.Survey(store) }
-func (l looks) Vouch(store string, position Time)   { l.f.core.Vouch(store, position) }
-func (l looks) Proxied(store string, answered bool) { l.f.core.Proxied(store, answered) }
+func (l looks) Survey(store string)                 { l.f.core.QueryPosition(store) }
+func (l looks) Vouch(store string, position Time)   { l.f.core.ReportPosition(store, position) }
+func (l looks) Proxied(store string, answered bool) { l.f.core.PositionResolved(store, answered) }
 func (l looks) Query(addr string, q watch.Query) {
 	l.f.post(addr, peers.AppendQuery(nil, "world", &q))
 }
@@ -641,11 +641,13 @@
 
 type seen struct{ f *Front }
 
-func (s seen) Ask(store string, need Time, any bool) bool {
+func (s seen) RequestPosition(store string, need Time, any bool) bool {
 	return s.f.watch.Ask(s.f.w.Now, store, need, any)
 }
-func (s seen) Learned(store string, position Time) { s.f.watch.Learned(s.f.w.Now, store, position) }
-func (s seen) Failed(store string)                 { s.f.watch.Failed(s.f.w.Now, store) }
+func (s seen) PositionObserved(store string, position Time) {
+	s.f.watch.Learned(s.f.w.Now, store, position)
+}
+func (s seen) QueryFailed(store string) { s.f.watch.Failed(s.f.w.Now, store) }
 
 // post sends a message of the watch.
 func (f *Front) post(addr string, text []byte) {
@@ -687,8 +689,8 @@
 	if f.fleet == nil || peers.Read(text, "world", &f.msg) != nil {
 		return
 	}
-	if f.fleet.Take(f.w.Now, &f.msg) && answer != nil {
-		back := peers.Append(nil, "world", f.fleet.Members.Open(membership.Answer))
+	if f.fleet.Receive(f.w.Now, &f.msg) && answer != nil {
+		back := peers.Append(nil, "world", f.fleet.Members.SyncMessage(membership.SyncResponse))
 		f.w.Peers.Bytes += len(back)
 		answer(back)
 	}
