--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-const maxCalls = 8 // to discovery that have no answer yet
+const maxCalls = 8 // bound on concurrent unanswered calls to discovery
 
-// reply is what became of one call.
+// reply is the result of one call.
 type reply struct {
 	slot     int
 	response *http.Response
 	err      error
 }
 
-// responseBody is a response's. Closing it ends its call too.
+// responseBody is the body of a response. Closing it also cancels the call.
 type responseBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close ends the call.
+// Close closes the body and cancels the call.
 func (b responseBody) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
 
-// call asks discovery for a watch and gives the first response, whose body has to be closed. Each Ask while there is none
-// makes one more call beside those without an answer, up to maxCalls. A call is given up once it has had no answer for
-// Watcher.answers. The error is the last call's, once all have ended.
+// call requests a watch from discovery and returns the first response, whose body the caller must close. Each Connect while
+// there is no response makes one more call in parallel with the unanswered ones, up to maxCalls. A call that has no answer
+// after Watcher.answerTimeout is abandoned. Once all calls have failed, call returns the error of the last one.
 //
-// Danger: a call that was made while discovery was silent may never be answered though discovery speaks again, and what
-// it has from then on counts as told.
+// Parallel calls are needed because a call made while discovery was unresponsive may never be answered, even after discovery
+// has recovered. From the recovery on, what discovery publishes counts as known to the front.
 func (w *Watcher) call(ctx context.Context, url string) (*http.Response, error) {
 	replies := make(chan reply, maxCalls)
-	var cancels [maxCalls]context.CancelFunc // nil: no call
+	var cancels [maxCalls]context.CancelFunc // nil: the slot has no call
 	startCall := func() {
 		for slot := range cancels {
 			if cancels[slot] == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// request makes one call. It is given up where no response begins within Watcher.answers.
+// request makes one call. It is abandoned with errSilent if no response begins within Watcher.answerTimeout.
 func (w *Watcher) request(ctx context.Context, url string) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(w.answerTimeout, func() { cancel(errSilent) })
@@ -99,7 +99,7 @@
 	return response, nil
 }
 
-// countOpen counts the calls that have not ended.
+// countOpen returns the number of calls that have not ended.
 func countOpen(cancels []context.CancelFunc) (count int) {
 	for _, cancel := range cancels {
 		if cancel != nil {
@@ -109,7 +109,7 @@
 	return count
 }
 
-// cancelAll ends all calls and tells how many there were.
+// cancelAll cancels all calls and returns how many there were.
 func cancelAll(cancels []context.CancelFunc) int {
 	for _, cancel := range cancels {
 		if cancel != nil {
@@ -119,7 +119,7 @@
 	return countOpen(cancels)
 }
 
-// discardReplies gives back what calls still bring that are not needed any more.
+// discardReplies receives the replies of count calls that are no longer needed and closes their response bodies.
 func discardReplies(replies <-chan reply, count int) {
 	for range count {
 		if r := <-replies; r.err == nil {
--- a/internal/discovery/call_test.go
+++ b/internal/discovery/call_test.go
@@ -10,18 +10,18 @@
 	"micatrack/balance"
 )
 
-// TestCallsWhileSilent: calls that were made while discovery was silent are never answered; one more is made each time that
-// the watch is asked for, and the first that is answered is the watch. The others are closed.
+// TestFirstAnsweredCallBecomesWatch: calls made while discovery was unresponsive are never answered. Each Connect makes one more
+// call, the first that is answered becomes the watch, and the others are closed.
 func TestFirstAnsweredCallBecomesWatch(t *testing.T) {
 	const unanswered = 3
 	closed := make(chan struct{}, unanswered)
 	silent := func(c *net.TCPConn) {
-		io.Copy(io.Discard, c) // until the watcher ends it
+		io.Copy(io.Discard, c) // until the watcher cancels the call
 		closed <- struct{}{}
 	}
 	addr, calls := startScript(t, silent, silent, silent, write(responseHead, list(7, true, storeEntry)+"\n"))
-	told := make(chan struct{}, 9)
-	w := newWatcher(addr, -1, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	updated := make(chan struct{}, 9)
+	w := newWatcher(addr, -1, func() { updated <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.silenceTimeout, w.answerTimeout = time.Hour, time.Hour
 	go w.run()
 	for range unanswered + 1 {
@@ -29,33 +29,33 @@
 		select {
 		case <-calls:
 		case <-time.After(20 * time.Second):
-			t.Fatal("no further call is made")
+			t.Fatal("no further call was made")
 		}
 	}
 	select {
-	case <-told:
+	case <-updated:
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing is told")
+		t.Fatal("no list was received")
 	}
 	if got := w.TakeUpdates(nil); len(got) != 1 || got[0].Kind != balance.ListFull {
-		t.Errorf("told %+v", got)
+		t.Errorf("received %+v", got)
 	}
 	for range unanswered {
 		select {
 		case <-closed:
 		case <-time.After(20 * time.Second):
-			t.Fatal("a call that is not needed any more stays open")
+			t.Fatal("a call that is no longer needed stays open")
 		}
 	}
-	w.Connect() // a watch stands
+	w.Connect() // a watch is open
 	select {
 	case <-calls:
-		t.Error("one more call though a watch stands")
+		t.Error("another call was made while a watch was open")
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-// TestCallsAreBounded: however often the watch is asked for, no more than maxCalls calls are open at once.
+// TestCallsAreBounded: however often Connect is called, no more than maxCalls calls are open at once.
 func TestCallsAreBounded(t *testing.T) {
 	addr, calls := startScript(t)
 	w := newWatcher(addr, -1, func() {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -67,6 +67,6 @@
 		time.Sleep(time.Millisecond)
 	}
 	if len(calls) < 2 || len(calls) > maxCalls {
-		t.Errorf("%d calls", len(calls))
+		t.Errorf("%d calls, want 2 to maxCalls", len(calls))
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps a watch on the list of stores over HTTP. When to open it anew is the module's
-// matter: a watch that breaks is told as a failed list, and Ask opens the next one.
+// Package discovery watches the list of stores that a discovery service publishes over HTTP. The core decides when to open a
+// new watch: a watch that breaks is reported as a failed list, and Watcher.Connect opens the next one.
 package discovery
 
 import (
@@ -20,21 +20,27 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second           // an empty line comes that often while nothing changes
-	silenceTimeout    = heartbeatInterval * 9 / 4 // a watch that has missed two of them is broken, and what it missed is not yet due
-	answerTimeout     = heartbeatInterval / 2     // discovery answers a call at once; one that is silent for so long is given up
-	maxObjectSize     = 4 << 20                   // bytes of one object
-	propagationTime   = 6 * time.Second           // what one agent of a discovery has told, each other one has by then
+	// heartbeatInterval is the interval of the empty lines that discovery sends while nothing changes.
+	heartbeatInterval = 2 * time.Second
+	// silenceTimeout is the time without data after which a watch is broken: it has missed two heartbeats, and the front
+	// isn't yet held to know the changes that it missed.
+	silenceTimeout = heartbeatInterval * 9 / 4
+	// answerTimeout is the time without an answer after which a call is abandoned. Discovery answers a call at once.
+	answerTimeout = heartbeatInterval / 2
+	// maxObjectSize bounds one JSON object, in bytes.
+	maxObjectSize = 4 << 20
+	// propagationTime is the time within which what one agent of a discovery service has published reaches all others.
+	propagationTime = 6 * time.Second
 )
 
-// Decode reads one object of the list. It gives all of it or an error.
+// Decode parses one JSON object of the store list. It returns the list's version and either all of its entries or an error.
 func Decode(text []byte) (version int64, l front.StoreList, err error) {
 	var w struct {
 		Version *int64
 		Full    bool
 		Servers []struct {
 			ID, Addr, Zone, State, Role string
-			Protocol                    string // "bolt"; without it PostgreSQL's
+			Protocol                    string // "bolt"; otherwise the store uses the PostgreSQL protocol
 			Cell                        uint64
 			Weight                      float64
 			Started                     int64 `json:"started_ms"`
@@ -53,7 +59,7 @@
 	seen := map[string]bool{}
 	for _, s := range w.Servers {
 		if s.ID == "" || seen[s.ID] {
-			return 0, l, fmt.Errorf("store %q is named twice or not at all", s.ID)
+			return 0, l, fmt.Errorf("store ID %q is empty or listed twice", s.ID)
 		}
 		seen[s.ID] = true
 		m := balance.Member{Group: s.Cell, Zone: s.Zone, Size: s.Weight, Started: s.Started * 10,
@@ -76,24 +82,30 @@
 	return *w.Version, l, nil
 }
 
-// Watcher follows the list. One goroutine of its lives as long as the process, the others as long as a call.
+// Watcher follows the store list. One of its goroutines lives as long as the process, the others as long as a call. Its methods
+// are safe for concurrent use.
 type Watcher struct {
 	client                        *http.Client
 	wake                          func()
 	log                           *slog.Logger
-	connectRequests               chan struct{}
+	connectRequests               chan struct{} // holds a request of Connect until run or call receives it
 	answerTimeout, silenceTimeout time.Duration
-	version                       int64 // -1: the whole list is asked for; run's alone, as newest
-	newestVersion                 int64 // that was told, by this discovery or the one before
-	newestAt                      time.Time
-	mu                            sync.Mutex
-	url                           string // and what follows is guarded by mu
-	addrChanged                   bool   // since the last watch was opened
-	cancelWatch                   func() // of the watch that stands
-	updates                       []front.StoreList
+
+	// version is that of the last list received; -1 requests the whole list. Only run uses it.
+	version int64
+	// newestVersion is the highest version received, from this discovery address or an earlier one, unless discovery has
+	// started to count anew. Only run uses it.
+	newestVersion int64
+	newestAt      time.Time         // when newestVersion was set
+	mu            sync.Mutex        // guards the fields below
+	url           string            // of the watch, without its query
+	addrChanged   bool              // SetAddr was called after the last watch was opened
+	cancelWatch   func()            // cancels the open watch
+	updates       []front.StoreList // lists that TakeUpdates has not returned yet
 }
 
-// Watch starts a watcher that knows the list up to version; it opens nothing before Ask.
+// Watch starts a Watcher whose caller knows the list up to version, or -1 for no list. It opens no watch before Connect is
+// called. wake is called whenever TakeUpdates has something to return.
 func Watch(addr string, version int64, wake func(), log *slog.Logger) *Watcher {
 	w := newWatcher(addr, version, wake, log)
 	go w.run()
@@ -107,7 +119,7 @@
 		version: version, newestVersion: version, answerTimeout: answerTimeout, silenceTimeout: silenceTimeout, cancelWatch: func() {}}
 }
 
-// Connect opens the watch if none is open; where a call for it has no answer yet, one more.
+// Connect opens a watch if none is open. If a call for one is still unanswered, it makes one more call.
 func (w *Watcher) Connect() {
 	select {
 	case w.connectRequests <- struct{}{}:
@@ -115,7 +127,7 @@
 	}
 }
 
-// TakeUpdates gives what was told since the last call.
+// TakeUpdates appends the lists received since the last call to into and returns the result.
 func (w *Watcher) TakeUpdates(into []front.StoreList) []front.StoreList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,7 +136,7 @@
 	return into
 }
 
-// SetAddr follows the list at another address from now on, whether or not the old one still speaks.
+// SetAddr makes the Watcher follow the list at another address, whether or not the old one still responds.
 func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	w.url, w.addrChanged = "http://"+addr+"/api/targets", true
@@ -133,6 +145,7 @@
 	w.mu.Unlock()
 }
 
+// publish adds a list for TakeUpdates and wakes the caller.
 func (w *Watcher) publish(l front.StoreList) {
 	w.mu.Lock()
 	w.updates = append(w.updates, l)
@@ -140,19 +153,20 @@
 	w.wake()
 }
 
+// run opens a watch for each request of Connect and reports the end of each as a failed list.
 func (w *Watcher) run() {
 	for range w.connectRequests {
 		err := w.follow()
 		w.mu.Lock()
 		addrChanged := w.addrChanged
 		if !addrChanged {
-			select { // what was asked for while it stood is answered by its end
+			select { // requests made while the watch was open are answered by its end
 			case <-w.connectRequests:
 			default:
 			}
 		}
 		w.mu.Unlock()
-		if addrChanged { // nothing has failed; what Move asked for may have been taken by the call that it ended
+		if addrChanged { // nothing has failed; the call that SetAddr cancelled may have consumed the request made by SetAddr
 			w.Connect()
 			continue
 		}
@@ -161,16 +175,17 @@
 	}
 }
 
-// follow keeps one watch until it breaks, falls silent or says what cannot be. After the last, and after an object that was
-// cut off, the next one starts from the whole list.
-// Danger: a call that is never answered, or a watch that has fallen silent, holds up what counts as told meanwhile. So
-// each is given up while there is time for another.
+// follow keeps one watch open until it breaks, falls silent or sends invalid data. After invalid data or a truncated object the
+// next watch requests the whole list.
+//
+// A call that is never answered, or a watch that has fallen silent, delays changes that the front is meanwhile held to know. So
+// each is abandoned early enough to leave time for another.
 func (w *Watcher) follow() error {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	w.mu.Lock()
 	if w.addrChanged {
-		// Danger: what was told before still holds, though the other agent may not know of it yet.
+		// newestVersion is kept: earlier lists remain valid, although the new agent may not have them yet.
 		w.addrChanged, w.version = false, -1
 	}
 	w.cancelWatch = func() { cancel(errAddrChanged) }
@@ -207,7 +222,7 @@
 				return requireWholeList(err)
 			}
 		}
-		if n > 0 && scanner.depth == 0 { // Danger: an object that comes on for ever is silence as well.
+		if n > 0 && scanner.depth == 0 { // Within an object nothing is reset: an object that never ends counts as silence too.
 			watchdog.Reset(w.silenceTimeout)
 		}
 		if err == io.EOF {
@@ -223,24 +238,26 @@
 
 var (
 	errSilent      = errors.New("discovery is silent")
-	errAddrChanged = errors.New("discovery has moved")
+	errAddrChanged = errors.New("discovery address changed")
 )
 
-// handleObject takes in one object of the list as a watch told it.
+// handleObject decodes one object of a watch, checks its version and publishes its list. whole says whether the whole list was
+// requested and not received yet.
 func (w *Watcher) handleObject(text []byte, whole *bool) error {
 	version, l, err := Decode(text)
 	switch {
 	case err != nil:
 		return err
 	case *whole && l.Kind != balance.ListFull:
-		return errors.New("changes where the whole list was asked for")
+		return errors.New("received changes where the whole list was requested")
 	case !*whole && version < w.version:
-		return fmt.Errorf("version %d after %d", version, w.version)
+		return fmt.Errorf("received version %d after version %d", version, w.version)
 	case l.Kind == balance.ListFull && version < w.newestVersion:
-		// Danger: a discovery that has gone back knows nothing of drains that it told before.
+		// A discovery that has gone back to an older version doesn't know of drains that it published before.
 		l.Kind = balance.ListStale
 	}
-	// Danger: a discovery may count anew, and one that lags may tell more than one list from before.
+	// A lower version may come from a lagging discovery, which may send several old lists, or from one that has started
+	// to count anew; so it becomes the newest only after propagationTime.
 	if version >= w.newestVersion || time.Since(w.newestAt) > propagationTime {
 		w.newestVersion, w.newestAt = version, time.Now()
 	}
@@ -249,14 +266,15 @@
 	return nil
 }
 
-// objectScanner gathers one JSON object from the pieces in which it comes, on one line or on many.
+// objectScanner extracts JSON objects from a stream that arrives in pieces. An object may span several lines.
 type objectScanner struct {
-	text              []byte
-	depth             int
+	text              []byte // the object so far
+	depth             int    // of open braces
 	inString, escaped bool
 }
 
-// scan looks at more of the stream, and gives the object that ends there, if one does, and how much it has used.
+// scan reads more of the stream. It returns the first object that ends in p, or nil, and the number of bytes of p it has used.
+// text is valid until the next call.
 func (o *objectScanner) scan(p []byte) (text []byte, used int, err error) {
 	if o.depth == 0 {
 		o.text = o.text[:0]
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -41,19 +41,19 @@
 		"wrong type":    list(1, true, strings.Replace(storeEntry, `"cell":3`, `"cell":-3`, 1)),
 	} {
 		if _, l, err := Decode([]byte(text)); err == nil {
-			t.Errorf("%s: taken as %+v", name, l)
+			t.Errorf("%s: decoded as %+v", name, l)
 		}
 	}
 }
 
-// TestWatch: each way in which a watch goes wrong is told as a failed list and leaves the last good one, and
-// nothing is opened before it is asked for.
+// TestWatch: each way in which a watch fails is reported as a failed list and leaves the last good version in place, and no
+// watch is opened before Connect is called.
 func TestWatch(t *testing.T) {
 	answers := []struct{ text, since string }{
 		{list(5, true, storeEntry) + "\n\n" + list(6, false, storeEntry) + "\n", "4"},
-		{list(3, false, storeEntry) + "\n", "6"}, // goes back
-		{list(2, false, storeEntry) + "\n", ""},  // a change where the whole list was asked for, and still back
-		{list(2, true, storeEntry) + "\n", ""},   // discovery started anew
+		{list(3, false, storeEntry) + "\n", "6"}, // the version goes back
+		{list(2, false, storeEntry) + "\n", ""},  // a change where the whole list was requested, and still an older version
+		{list(2, true, storeEntry) + "\n", ""},   // discovery has restarted
 		{"status 500", "2"},
 		{list(7, true, storeEntry)[:30] + "\n", "2"},
 		{list(9, true, storeEntry) + "\n", ""},
@@ -68,15 +68,15 @@
 		io.WriteString(w, a.text)
 	}))
 	defer server.Close()
-	told := make(chan struct{}, 99)
-	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { told <- struct{}{} },
+	updated := make(chan struct{}, 99)
+	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { updated <- struct{}{} },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	next := func() balance.ListKind {
 		t.Helper()
 		select {
-		case <-told:
+		case <-updated:
 		case <-time.After(20 * time.Second):
-			t.Fatal("nothing is told")
+			t.Fatal("no list was received")
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -91,19 +91,19 @@
 		w.Connect()
 		for _, n := range want {
 			if got := next(); got != n {
-				t.Fatalf("answer %d: told %d, want %d", k, got, n)
+				t.Fatalf("answer %d: received kind %d, want %d", k, got, n)
 			}
 		}
 		if got := <-asked; got != since {
-			t.Errorf("answer %d: asked since %q, want %q", k, got, since)
+			t.Errorf("answer %d: requested since %q, want %q", k, got, since)
 		}
 	}
 	if len(asked) != 0 {
-		t.Error("a watch was opened that nobody asked for")
+		t.Error("a watch was opened without a call of Connect")
 	}
 }
 
-// TestSilentWatch: one that says nothing for three of its own beats is broken, with or without an answer before.
+// TestSilentWatch: a watch that receives nothing for silenceTimeout is broken, with or without a response before.
 func TestSilentWatch(t *testing.T) {
 	end := make(chan struct{})
 	first := make(chan struct{}, 1)
@@ -119,21 +119,21 @@
 	}))
 	defer server.Close()
 	defer close(end)
-	told := make(chan struct{}, 9)
-	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { told <- struct{}{} },
+	updated := make(chan struct{}, 9)
+	w := Watch(strings.TrimPrefix(server.URL, "http://"), 4, func() { updated <- struct{}{} },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.silenceTimeout = 200 * time.Millisecond // nothing is open yet
+	w.silenceTimeout = 200 * time.Millisecond // no watch is open yet
 	for _, want := range [][]balance.ListKind{{balance.ListFull, balance.ListFailed}, {balance.ListFailed}} {
 		w.Connect()
 		for _, n := range want {
 			select {
-			case <-told:
+			case <-updated:
 			case <-time.After(20 * time.Second):
-				t.Fatal("nothing is told")
+				t.Fatal("no list was received")
 			}
 			w.mu.Lock()
 			if got := w.updates[0].Kind; got != n {
-				t.Errorf("told %d, want %d", got, n)
+				t.Errorf("received kind %d, want %d", got, n)
 			}
 			w.updates = w.updates[1:]
 			w.mu.Unlock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// startScript is a discovery that answers the k-th call with what stands in its k-th place, over a bare connection, and
-// says when and since which version it was called.
+// startScript starts a discovery server that answers its k-th call with answers[k], on the raw connection, and sends on calls
+// the version since which each call requests the list.
 func startScript(t *testing.T, answers ...func(c *net.TCPConn)) (addr string, calls chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,7 +172,7 @@
 	return l.Addr().String(), calls
 }
 
-const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // an answer without a length
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // of a response without a length
 
 func write(text ...string) func(c *net.TCPConn) {
 	return func(c *net.TCPConn) {
@@ -189,19 +189,19 @@
 	return string(b)
 }
 
-// TestWatchAnswers: what a watch may answer, each over a connection of its own. All that came whole is told, nothing else
-// is, and each end is told as a failed list at once, without the patience for a silent watch.
+// TestWatchAnswers: possible responses to a watch, each on its own connection. Every complete object is reported and nothing
+// else, and each end is reported as a failed list at once, without waiting for silenceTimeout.
 func TestWatchAnswers(t *testing.T) {
 	const whole, changes, broke, older = balance.ListFull, balance.ListChanges, balance.ListFailed, balance.ListStale
 	seven, eight := list(7, true, storeEntry), list(8, false, storeEntry)
 	bare := func(c *net.TCPConn) { c.Close() }
 	reset := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
 	for _, c := range []struct {
-		name  string
-		says  string
-		end   func(c *net.TCPConn)
-		news  []balance.ListKind
-		since string // that the next call asks for
+		name     string
+		response string
+		end      func(c *net.TCPConn)
+		kinds    []balance.ListKind
+		since    string // version that the next call requests changes since
 	}{
 		{"indented", indented(seven) + "\n\n" + indented(eight) + "\n", bare, []balance.ListKind{whole, changes, broke}, "8"},
 		{"indented, with brackets in a text", indented(strings.Replace(seven, `"zone":"a"`, `"zone":"}\"{\\"`, 1)), bare,
@@ -219,43 +219,44 @@
 		{"too much", seven + `{"version":8,"x":"` + strings.Repeat("x", maxObjectSize), nil, []balance.ListKind{whole, broke}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			says := func(k *net.TCPConn) {
-				if io.WriteString(k, responseHead+c.says); c.end != nil {
+			respond := func(k *net.TCPConn) {
+				if io.WriteString(k, responseHead+c.response); c.end != nil {
 					c.end(k)
 				}
 			}
-			addr, calls := startScript(t, says)
-			told := make(chan struct{}, 99)
-			w := newWatcher(addr, 4, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			addr, calls := startScript(t, respond)
+			updated := make(chan struct{}, 99)
+			w := newWatcher(addr, 4, func() { updated <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			w.version, w.silenceTimeout, w.answerTimeout = -1, time.Hour, time.Hour
 			go w.run()
 			w.Connect()
-			for k, want := range c.news {
+			for k, want := range c.kinds {
 				select {
-				case <-told:
+				case <-updated:
 				case <-time.After(20 * time.Second):
-					t.Fatalf("only %d told", k)
+					t.Fatalf("received only %d lists", k)
 				}
 				w.mu.Lock()
 				got := w.updates[k].Kind
 				w.mu.Unlock()
 				if got != want {
-					t.Errorf("told %d as %d, want %d", k, got, want)
+					t.Errorf("list %d is of kind %d, want %d", k, got, want)
 				}
 			}
 			<-calls
 			if w.Connect(); <-calls != c.since {
-				t.Errorf("the next call is not since %q", c.since)
+				t.Errorf("the next call does not request changes since %q", c.since)
 			}
 		})
 	}
 }
 
-// TestPatience: a call that is not answered, a watch that falls silent behind its answer and one whose object never ends
-// are each given up, and early enough that a second call lies within what counts as told 6 s after the silence began.
+// TestWatchTimeouts: an unanswered call, a watch that falls silent after its response and a watch with an object that never ends
+// are each abandoned, early enough for a second call before the front is held to know, 6 s after the silence began, what
+// discovery has published.
 func TestWatchTimeouts(t *testing.T) {
 	if silenceTimeout+answerTimeout >= 6*time.Second || silenceTimeout <= 2*heartbeatInterval || answerTimeout > heartbeatInterval {
-		t.Errorf("patience of %v and %v", silenceTimeout, answerTimeout)
+		t.Errorf("silenceTimeout %v and answerTimeout %v don't fit", silenceTimeout, answerTimeout)
 	}
 	const short = 300 * time.Millisecond
 	drip := func(c *net.TCPConn) {
@@ -267,41 +268,41 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	beats := func(c *net.TCPConn) {
+	heartbeats := func(c *net.TCPConn) {
 		io.WriteString(c, responseHead+list(7, true, storeEntry)+"\n")
-		for range 20 { // twice the patience, but lines come
+		for range 20 { // longer in all than the timeouts, but with lines in between
 			time.Sleep(150 * time.Millisecond)
 			io.WriteString(c, "\n")
 		}
 	}
 	for name, c := range map[string]struct {
-		says    func(c *net.TCPConn)
+		respond func(c *net.TCPConn)
 		least   time.Duration
 		listed  int
-		silence time.Duration // long against what a loaded machine holds a line up by, where lines have to come
+		silence time.Duration // much longer than the delay of a line on a loaded machine, in the case that expects lines
 	}{"no answer": {write(), 0, 0, short}, "half a head": {write(responseHead[:20]), 0, 0, short}, "a head alone": {write(responseHead), 0, 0, short},
 		"silent": {write(responseHead, list(7, true, storeEntry)), 0, 1, short}, "no end": {drip, 0, 1, short},
-		"beats": {beats, 3 * time.Second, 1, 5 * short}} {
+		"heartbeats": {heartbeats, 3 * time.Second, 1, 5 * short}} {
 		t.Run(name, func(t *testing.T) {
-			addr, calls := startScript(t, c.says)
-			told := make(chan struct{}, 99)
-			w := newWatcher(addr, -1, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			addr, calls := startScript(t, c.respond)
+			updated := make(chan struct{}, 99)
+			w := newWatcher(addr, -1, func() { updated <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			w.silenceTimeout, w.answerTimeout = c.silence, c.silence*2/3
 			go w.run()
 			began := time.Now()
 			w.Connect()
 			for k := range c.listed + 1 {
 				select {
-				case <-told:
+				case <-updated:
 				case <-time.After(20 * time.Second):
-					t.Fatalf("%d told", k)
+					t.Fatalf("received only %d lists", k)
 				}
 			}
 			w.mu.Lock()
 			last := w.updates[len(w.updates)-1].Kind
 			w.mu.Unlock()
 			if last != balance.ListFailed || time.Since(began) < c.least {
-				t.Errorf("told %d after %v", last, time.Since(began))
+				t.Errorf("the last list is of kind %d after %v", last, time.Since(began))
 			}
 			<-calls
 		})
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,13 +19,13 @@
 	"micatrack/internal/settings"
 )
 
-// entry is a store's line in the list.
+// entry returns the list entry of a store.
 func entry(id, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":"10.1.0.18:5433","zone":"a","cell":3,"state":%q,"weight":1.5,`+
 		`"started_ms":1767225600123,"role":"replica"}`, id, state)
 }
 
-// writePieces writes text in pieces of that many bytes, each in a packet of its own.
+// writePieces returns an answer that writes text in pieces of size bytes, each in its own packet, and closes the connection.
 func writePieces(text string, size int) func(c *net.TCPConn) {
 	return func(c *net.TCPConn) {
 		c.SetNoDelay(true)
@@ -39,7 +39,7 @@
 	}
 }
 
-// chunked puts text into an answer's chunks of that many bytes, with its end.
+// chunked returns a complete response that carries text in chunks of size bytes.
 func chunked(text string, size int) string {
 	out := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for ; text != ""; text = text[min(size, len(text)):] {
@@ -49,17 +49,16 @@
 	return out + "0\r\n\r\n"
 }
 
-// TestUnrequestedWholeLists forces whole lists on a watch that was opened since a version, as
-// its first object, between changes and twice in a row, on one line and indented, in pieces down to a byte,
-// with a length and in chunks. All are told in order, as whole ones, with all their stores, and the next call
-// is since the last of them.
+// TestUnrequestedWholeLists sends whole lists on a watch that requested changes since a version: as the first object, between
+// changes and twice in a row, on one line and indented, in pieces down to one byte, without a length and in chunks. All must be
+// reported in order, as whole lists with all their stores, and the next call must request changes since the last of them.
 func TestUnrequestedWholeLists(t *testing.T) {
 	const whole, changes, broke = balance.ListFull, balance.ListChanges, balance.ListFailed
 	all := entry("s-1", "active") + "," + entry("s-2", "leaving") + "," + entry("s-3", "active")
 	for _, c := range []struct {
 		name    string
 		objects []string
-		news    []balance.ListKind
+		kinds   []balance.ListKind
 		stores  []int
 		since   string
 	}{
@@ -70,7 +69,7 @@
 		{"twice", []string{list(41, true, all), list(42, true, entry("s-1", "active"))},
 			[]balance.ListKind{whole, whole}, []int{3, 1}, "42"},
 		{"empty", []string{list(41, true)}, []balance.ListKind{whole}, []int{0}, "41"},
-		// One that goes back is not believed on this watch; the next is opened for the whole list.
+		// A list with an older version is rejected on this watch; the next watch requests the whole list.
 		{"going back", []string{list(41, true, all), list(39, true, all)}, []balance.ListKind{whole}, []int{3}, ""},
 		{"first, and older", []string{list(39, true, all)}, nil, nil, ""},
 	} {
@@ -83,34 +82,34 @@
 						text.WriteString(put(o) + "\n\n")
 					}
 					addr, calls := startScript(t, writePieces(form(text.String()), size))
-					told := make(chan struct{}, 99)
-					w := newWatcher(addr, 40, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-					w.answerTimeout, w.silenceTimeout = time.Hour, time.Hour // how fast the machine is says nothing here
+					updated := make(chan struct{}, 99)
+					w := newWatcher(addr, 40, func() { updated <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+					w.answerTimeout, w.silenceTimeout = time.Hour, time.Hour // so that a slow machine can't fail the test
 					go w.run()
 					w.Connect()
 					if got := <-calls; got != "40" {
-						t.Fatalf("opened since %q", got)
+						t.Fatalf("the watch requests changes since %q", got)
 					}
 					var lists []front.StoreList
-					for range append(c.news, broke) {
+					for range append(c.kinds, broke) {
 						select {
-						case <-told:
+						case <-updated:
 							lists = w.TakeUpdates(lists)
 						case <-time.After(20 * time.Second):
-							t.Fatalf("%s, in pieces of %d: only %v", c.name, size, lists)
+							t.Fatalf("%s, in pieces of %d: received only %v", c.name, size, lists)
 						}
 					}
-					for k, want := range c.news {
+					for k, want := range c.kinds {
 						if lists[k].Kind != want || len(lists[k].Entries) != c.stores[k] {
-							t.Errorf("%s, in pieces of %d: told %+v, want %d with %d stores", c.name, size, lists[k], want,
+							t.Errorf("%s, in pieces of %d: received %+v, want kind %d with %d stores", c.name, size, lists[k], want,
 								c.stores[k])
 						}
 					}
-					if last := lists[len(lists)-1]; last.Kind != broke || len(lists) != len(c.news)+1 {
-						t.Errorf("%s, in pieces of %d: %d told, the last of them %+v", c.name, size, len(lists), last)
+					if last := lists[len(lists)-1]; last.Kind != broke || len(lists) != len(c.kinds)+1 {
+						t.Errorf("%s, in pieces of %d: received %d lists, the last %+v", c.name, size, len(lists), last)
 					}
 					if w.Connect(); <-calls != c.since {
-						t.Errorf("%s, in pieces of %d: the next call is not since %q", c.name, size, c.since)
+						t.Errorf("%s, in pieces of %d: the next call does not request changes since %q", c.name, size, c.since)
 					}
 				}
 			}
@@ -118,13 +117,13 @@
 	}
 }
 
-// refusingSockets is a front's sockets where no store is asked anything.
+// refusingSockets implements front.Sockets and refuses every dial.
 type refusingSockets struct{}
 
 func (refusingSockets) Dial(string) (front.Link, error) { return nil, errors.New("refused") }
 
-// runCore is a real core that a watcher's lists are told to, and that has it opened anew, on a virtual
-// clock.
+// runCore runs a real core with the lists of w on a virtual clock until the given time. The core reopens the watch when it
+// breaks. onList is called for each list.
 func runCore(t *testing.T, w *Watcher, until time.Time, onList func(l front.StoreList)) {
 	const tick = 100 * time.Microsecond
 	now := func() front.Time { return time.Now().UnixNano() / int64(tick) }
@@ -147,29 +146,28 @@
 	}
 }
 
-// TestDrainReportedAfterWatchFallsSilent forces a watch to live for 13 s, with an empty line every 2 s, and then to
-// say nothing more in the moment in which a store begins to drain; the next call is answered, or is first
-// refused, reset, or never answered. The drain is told within 6 s, by a watch opened anew, and calls are not
-// made without end.
+// TestDrainReportedAfterWatchFallsSilent keeps a watch alive for 13 s, with an empty line every 2 s, and lets it fall silent at
+// the moment a store begins to drain. The next calls are answered, or first refused, reset or never answered. The drain must be
+// reported within 6 s by a new watch, and the number of calls must be bounded.
 func TestDrainReportedAfterWatchFallsSilent(t *testing.T) {
-	const life, within = 13 * time.Second, 6 * time.Second
+	const silentAfter, within = 13 * time.Second, 6 * time.Second
 	type answer = func(c net.Conn) // nil: the call is refused
 	reset := func(c net.Conn) { c.Close() }
-	mute := func(net.Conn) {}
-	for name, bad := range map[string][]answer{"answered": nil, "refused": {nil, nil}, "reset": {reset, reset},
-		"never answered": {mute}, "refused, then never answered": {nil, mute}} {
+	unanswered := func(net.Conn) {}
+	for name, failures := range map[string][]answer{"answered": nil, "refused": {nil, nil}, "reset": {reset, reset},
+		"never answered": {unanswered}, "refused, then never answered": {nil, unanswered}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began, calls := time.Now(), 0
 				var ends []net.Conn
-				lives := func(c net.Conn) {
+				serveFirstWatch := func(c net.Conn) {
 					io.WriteString(c, responseHead+list(1, true, entry("s-1", "active"))+"\n")
-					for time.Since(began) < life-time.Second {
+					for time.Since(began) < silentAfter-time.Second {
 						time.Sleep(heartbeatInterval)
 						io.WriteString(c, "\n")
 					}
 				}
-				back := func(c net.Conn) {
+				serveRecovered := func(c net.Conn) {
 					_, err := io.WriteString(c, responseHead+list(2, true, entry("s-1", "leaving"))+"\n")
 					for ; err == nil; _, err = io.WriteString(c, "\n") {
 						time.Sleep(heartbeatInterval)
@@ -178,82 +176,82 @@
 				w := newWatcher("127.0.0.1:1", -1, func() {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				w.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn,
 					error) {
-					here, there := net.Pipe()
-					ends = append(ends, there)
+					clientEnd, serverEnd := net.Pipe()
+					ends = append(ends, serverEnd)
 					k := calls
-					if calls++; k > 0 && k <= len(bad) && bad[k-1] == nil {
+					if calls++; k > 0 && k <= len(failures) && failures[k-1] == nil {
 						return nil, errors.New("refused")
 					}
 					go func() {
-						http.ReadRequest(bufio.NewReader(there))
-						go io.Copy(io.Discard, there)
+						http.ReadRequest(bufio.NewReader(serverEnd))
+						go io.Copy(io.Discard, serverEnd)
 						switch {
 						case k == 0:
-							lives(there)
-						case k <= len(bad):
-							bad[k-1](there)
+							serveFirstWatch(serverEnd)
+						case k <= len(failures):
+							failures[k-1](serverEnd)
 						default:
-							back(there)
+							serveRecovered(serverEnd)
 						}
 					}()
-					return here, nil
+					return clientEnd, nil
 				}
 				go w.run()
-				var drains time.Duration
-				runCore(t, w, began.Add(life+10*time.Second), func(l front.StoreList) {
-					if l.Kind != balance.ListFailed && l.Entries[0].Condition == balance.Draining && drains == 0 {
-						drains = time.Since(began)
+				var drainedAfter time.Duration
+				runCore(t, w, began.Add(silentAfter+10*time.Second), func(l front.StoreList) {
+					if l.Kind != balance.ListFailed && l.Entries[0].Condition == balance.Draining && drainedAfter == 0 {
+						drainedAfter = time.Since(began)
 					}
 				})
-				if drains < life || drains > life+within {
-					t.Errorf("told %v after the beginning", drains)
+				if drainedAfter < silentAfter || drainedAfter > silentAfter+within {
+					t.Errorf("the drain was reported %v after the beginning", drainedAfter)
 				}
-				if calls != 2+len(bad) {
+				if calls != 2+len(failures) {
 					t.Errorf("%d calls", calls)
 				}
 				w.mu.Lock()
 				w.cancelWatch()
 				w.mu.Unlock()
 				synctest.Wait()
-				close(w.connectRequests) // run ends
+				close(w.connectRequests) // ends run
 				for _, c := range ends {
 					c.Close()
 				}
-				time.Sleep(2 * heartbeatInterval) // whoever writes to them hears of it
+				time.Sleep(2 * heartbeatInterval) // the goroutines that write to them get an error and end
 			})
 		})
 	}
 }
 
-// TestSetAddrToLaggingAgent forces a move to an agent that lags: its first whole lists are from before what the old
-// one has told, and close stores but open none; the first that is as new counts in full.
+// TestSetAddrToLaggingAgent switches to an agent that lags: its first whole lists are older than what the old agent has sent and
+// are reported as older ones, which take stores out of use but put none into use. The first one that is as new counts in full.
 func TestSetAddrToLaggingAgent(t *testing.T) {
 	const whole, older = balance.ListFull, balance.ListStale
 	stays := func(text string) func(c *net.TCPConn) { return write(responseHead, text) }
 	from, _ := startScript(t, stays(list(40, true, entry("s-1", "leaving"))))
 	to, calls := startScript(t, stays(list(7, true, entry("s-1", "active"))+list(8, true, entry("s-1", "active"))+
 		list(40, true, entry("s-1", "active"))))
-	told := make(chan struct{}, 99)
-	w := newWatcher(from, -1, func() { told <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	updated := make(chan struct{}, 99)
+	w := newWatcher(from, -1, func() { updated <- struct{}{} }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.answerTimeout, w.silenceTimeout = time.Hour, time.Hour
 	go w.run()
 	w.Connect()
 	var lists []front.StoreList
 	for k, want := range []balance.ListKind{whole, older, older, whole} {
 		select {
-		case <-told:
+		case <-updated:
 			lists = w.TakeUpdates(lists)
 		case <-time.After(20 * time.Second):
-			t.Fatalf("only %d told", k)
+			t.Fatalf("received only %d lists", k)
 		}
 		if lists[k].Kind != want {
-			t.Errorf("told %d as %d, want %d", k, lists[k].Kind, want)
+			t.Errorf("list %d is of kind %d, want %d", k, lists[k].Kind, want)
 		}
 		if k == 0 {
 			w.SetAddr(to)
 		}
 	}
 	if since := <-calls; since != "" {
-		t.Errorf("the new agent is asked since %q", since)
+		t.Errorf("the new agent is asked for changes since %q", since)
 	}
 }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,6 +1,6 @@
-// Package pgwire reads and writes version 3 of PostgreSQL's wire protocol, as far as simple queries need it.
-// Its parsers are incremental: they are given all that has come in so far and tell how much of it is a whole
-// message, or 0 if more is needed. All lengths are bounded.
+// Package pgwire reads and writes version 3 of the PostgreSQL wire protocol, as far as the simple query protocol needs it. Its
+// message parsers are incremental: they are given all data received so far and return the size of the first complete message,
+// or 0 if more data is needed. All lengths are bounded.
 package pgwire
 
 import (
@@ -15,18 +15,21 @@
 )
 
 const (
-	// MostQuery bounds one message of a client: a value of 64 KiB in hex digits with its statement. An answer
-	// may be longer; how long it may be depends on the memory that there is.
+	// MaxQuerySize bounds one message from a client, in bytes: a value of 64 KiB in hexadecimal digits with its statement. An
+	// answer may be longer; its bound depends on the available memory.
 	MaxQuerySize = 2*64<<10 + 16<<10
-	// MostStartup bounds a startup message, as PostgreSQL does.
+	// MaxStartupSize bounds a startup message, in bytes, as PostgreSQL does.
 	MaxStartupSize = 10000
 
+	// Version is protocol version 3.0, as a startup message gives it. The others are the request codes that may stand in its
+	// place.
 	Version       = 3 << 16
 	CancelRequest = 1234<<16 | 5678
 	SSLRequest    = 1234<<16 | 5679
 	GSSENCRequest = 1234<<16 | 5680
 
-	TooManyConnections    = "53300" // the two that say that trying again is harmless
+	// SQLSTATEs of errors. The first two mean that the client can safely retry.
+	TooManyConnections    = "53300"
 	CannotConnectNow      = "57P03"
 	ReadOnlyTransaction   = "25006"
 	SnapshotTooOld        = "72000"
@@ -37,13 +40,14 @@
 	UnknownDatabase       = "3D000"
 	DuplicateObject       = "42710"
 	QueryCanceled         = "57014"
-	OutcomeUnknown        = "08007" // whether it took effect is not known
+	OutcomeUnknown        = "08007" // transaction_resolution_unknown: the statement may or may not have taken effect
 )
 
 var errLength = errors.New("message length is out of bounds")
 
-// ParseMessage takes one typed message off the front of buf: its kind, its body and the size of both with the header.
-// most bounds the length that it says it has.
+// ParseMessage parses the typed message at the start of buf. It returns the message type, the body, and the size of the whole
+// message with its header, or size 0 if buf doesn't hold a whole message yet. It returns an error if the length field is
+// invalid or greater than maxLength.
 func ParseMessage(buf []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(buf) < 5 {
 		return 0, nil, 0, nil
@@ -58,7 +62,8 @@
 	return buf[0], buf[5:size], size, nil
 }
 
-// ParseStartup takes a client's first message: the protocol version, or the code of a request.
+// ParseStartup parses a client's first message. It returns the protocol version or request code and the size of the message, or
+// size 0 if buf doesn't hold a whole message yet.
 func ParseStartup(buf []byte) (code uint32, size int, err error) {
 	if len(buf) < 4 {
 		return 0, 0, nil
@@ -73,7 +78,7 @@
 	return binary.BigEndian.Uint32(buf[4:]), int(n), nil
 }
 
-// ParseString takes the zero-terminated string at the front of body.
+// ParseString parses the zero-terminated string at the start of body. It returns the string without the zero and what follows.
 func ParseString(body []byte) (text, rest []byte, ok bool) {
 	i := bytes.IndexByte(body, 0)
 	if i < 0 {
@@ -82,7 +87,7 @@
 	return body[:i], body[i+1:], true
 }
 
-// SQLState gives the SQLSTATE of an ErrorResponse, or nothing if it has none.
+// SQLState returns the SQLSTATE in the body of an ErrorResponse, or "" if it has none.
 func SQLState(body []byte) string {
 	for len(body) > 1 {
 		field := body[0]
@@ -98,7 +103,8 @@
 	return ""
 }
 
-// ColumnValue gives the one column of a DataRow.
+// ColumnValue returns the value of the only column in the body of a DataRow. It returns false if the body is malformed, has
+// another number of columns or holds a NULL.
 func ColumnValue(body []byte) ([]byte, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
@@ -110,18 +116,19 @@
 	return body[6:], true
 }
 
-// Statement is a client's query with what its comment says. Its slices point into the query.
+// Statement is the metadata in the leading comment of a client's query. Its slices point into the query.
 type Statement struct {
 	metadata.Request
 	TimeoutSpan
 }
 
-// TimeoutSpan is where in a query the time left stands.
+// TimeoutSpan is the position in a query of the value that gives the remaining time.
 type TimeoutSpan struct{ start, end int }
 
 var fieldNames = [...]string{"id", "c", "t", "k", "r", "d", "cluster", "after"}
 
-// ParseQuery reads the comment and the quoted key of a query, which is all up to its terminating zero.
+// ParseQuery parses the leading comment of a query and its first quoted string, which becomes the Session. text is the query
+// without the terminating zero.
 func ParseQuery(text []byte) (s Statement, err error) {
 	if !bytes.HasPrefix(text, []byte("/*")) {
 		return s, errors.New("the statement has no leading comment")
@@ -130,13 +137,13 @@
 	if end < 0 {
 		return s, errors.New("the comment does not end")
 	}
-	at, hasGroup, seen := 2, false, 0
-	for at < end {
-		to := end
-		if i := bytes.IndexByte(text[at:end], ','); i >= 0 {
-			to = at + i
+	pos, hasGroup, seen := 2, false, 0
+	for pos < end {
+		pairEnd := end
+		if i := bytes.IndexByte(text[pos:end], ','); i >= 0 {
+			pairEnd = pos + i
 		}
-		pair := bytes.TrimSpace(text[at:to])
+		pair := bytes.TrimSpace(text[pos:pairEnd])
 		name, value, ok := bytes.Cut(pair, []byte("="))
 		if !ok || len(value) == 0 {
 			return s, fmt.Errorf("the comment holds %.40q, which is no name=value", pair)
@@ -162,7 +169,7 @@
 			if s.TimeLeft, err = parseTenths(value); err != nil || s.TimeLeft <= 0 {
 				return s, fmt.Errorf("d is no time in milliseconds: %.20q", value)
 			}
-			s.TimeoutSpan.start = at + bytes.Index(text[at:to], value)
+			s.TimeoutSpan.start = pos + bytes.Index(text[pos:pairEnd], value)
 			s.TimeoutSpan.end = s.TimeoutSpan.start + len(value)
 		case "cluster":
 			if s.Group, err = strconv.ParseUint(string(value), 10, 63); err != nil {
@@ -175,7 +182,7 @@
 			}
 			s.HasReadAfter = true
 		}
-		at = to + 1
+		pos = pairEnd + 1
 	}
 	switch {
 	case s.ID == nil:
@@ -197,7 +204,8 @@
 	return s, nil
 }
 
-// parseTenths reads decimal milliseconds into tenths, rounded up: a fence must not come out looser.
+// parseTenths parses decimal milliseconds into tenths of a millisecond. It rounds up, because a fence that is rounded down would
+// allow reads that are too old.
 func parseTenths(v []byte) (int64, error) {
 	whole, part, dot := bytes.Cut(v, []byte("."))
 	n, err := strconv.ParseUint(string(whole), 10, 50)
@@ -218,7 +226,7 @@
 	return t, nil
 }
 
-// AppendQuery writes the statement with another time left, in whole milliseconds; all else stays as it is.
+// AppendQuery appends a Query message with the query text, in which the remaining time is replaced by left, in milliseconds.
 func (c TimeoutSpan) AppendQuery(dst, text []byte, left int64) []byte {
 	start := len(dst)
 	dst = append(dst, 'Q', 0, 0, 0, 0)
@@ -228,13 +236,13 @@
 	return setLength(append(dst, 0), start)
 }
 
-// setLength fills in the length of the typed message that starts at at.
+// setLength sets the length field of the typed message that begins at start and ends with dst.
 func setLength(dst []byte, start int) []byte {
 	binary.BigEndian.PutUint32(dst[start+1:], uint32(len(dst)-start-1))
 	return dst
 }
 
-// AppendSimpleQuery writes a plain query.
+// AppendSimpleQuery appends a Query message.
 func AppendSimpleQuery(dst []byte, text string) []byte {
 	start := len(dst)
 	dst = append(dst, 'Q', 0, 0, 0, 0)
@@ -242,7 +250,7 @@
 	return setLength(append(dst, 0), start)
 }
 
-// AppendStartup writes a front's first message to a store.
+// AppendStartup appends a StartupMessage, the first message that a front sends to a store.
 func AppendStartup(dst []byte, user, database string) []byte {
 	start := len(dst)
 	dst = append(dst, 0, 0, 0, 0)
@@ -255,10 +263,11 @@
 	return dst
 }
 
-// AppendStartupReply answers a startup message: no password, the few parameters that clients look for, the key by which to
-// cancel, ready.
+// AppendStartupReply appends the answer to a startup message: AuthenticationOk, the parameters that clients look for,
+// BackendKeyData with the key for cancel requests, and ReadyForQuery. If the client asked for a minor version above 0, a
+// NegotiateProtocolVersion message comes first.
 func AppendStartupReply(dst []byte, minor uint32, key []byte) []byte {
-	if minor > 0 { // it is told that 3.0 is spoken here
+	if minor > 0 { // tells the client that the server uses version 3.0
 		dst = append(dst, 'v', 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 0)
 	}
 	dst = append(dst, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
@@ -271,7 +280,7 @@
 	return AppendReady(append(dst, key...))
 }
 
-// AppendParameter writes a ParameterStatus.
+// AppendParameter appends a ParameterStatus message.
 func AppendParameter(dst []byte, name, value string) []byte {
 	start := len(dst)
 	dst = append(dst, 'S', 0, 0, 0, 0)
@@ -280,13 +289,13 @@
 	return setLength(dst, start)
 }
 
-// AppendReady writes a ReadyForQuery outside a transaction.
+// AppendReady appends a ReadyForQuery message with the status idle, outside a transaction.
 func AppendReady(dst []byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, 'I') }
 
-// AppendEmptyQueryResponse writes the answer to an empty query.
+// AppendEmptyQueryResponse appends an EmptyQueryResponse message.
 func AppendEmptyQueryResponse(dst []byte) []byte { return append(dst, 'I', 0, 0, 0, 4) }
 
-// AppendError writes an ErrorResponse; an empty detail is left out.
+// AppendError appends an ErrorResponse message. Empty fields are left out.
 func AppendError(dst []byte, severity, code, text, detail string) []byte {
 	start := len(dst)
 	dst = append(dst, 'E', 0, 0, 0, 0)
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -23,7 +23,7 @@
 	start := AppendStartup(nil, "web", "orders")
 	for i := range start {
 		if _, n, err := ParseStartup(start[:i]); n != 0 || err != nil {
-			t.Fatalf("%d bytes of a start: size %d, %v", i, n, err)
+			t.Fatalf("%d bytes of a startup message: size %d, %v", i, n, err)
 		}
 	}
 	if code, n, err := ParseStartup(start); code != Version || n != len(start) || err != nil {
@@ -34,12 +34,12 @@
 func TestLengthsAreBounded(t *testing.T) {
 	for _, in := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x03", "Q\x7f\xff\xff\xff"} {
 		if _, _, _, err := ParseMessage([]byte(in), MaxQuerySize); err == nil {
-			t.Errorf("%q is taken", in)
+			t.Errorf("%q is accepted", in)
 		}
 	}
 	for _, in := range []string{"\x00\x00\x00\x07", "\x00\x10\x00\x00", "\xff\xff\xff\xff"} {
 		if _, _, err := ParseStartup([]byte(in)); err == nil {
-			t.Errorf("%q is taken", in)
+			t.Errorf("%q is accepted", in)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	for _, in := range []string{"", "\x00", "C", "C53300", "M\x00"} {
 		if c := SQLState([]byte(in)); c != "" {
-			t.Errorf("%q gives code %q", in, c)
+			t.Errorf("SQLState(%q) is %q", in, c)
 		}
 	}
 	if v, ok := ColumnValue([]byte("\x00\x01\x00\x00\x00\x02ab")); !ok || string(v) != "ab" {
@@ -104,13 +104,13 @@
 	for _, in := range []string{"", "\x00\x02\x00\x00\x00\x02ab", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x03ab",
 		"\x00\x01\x00\x02\x00\x00"} {
 		if _, ok := ColumnValue([]byte(in)); ok {
-			t.Errorf("%q is a value", in)
+			t.Errorf("ColumnValue accepts %q", in)
 		}
 	}
 }
 
-// FuzzParsers: no bytes make a parser panic or read past what it was given, and what a query is rewritten to
-// says the same but for the time left.
+// FuzzParsers: no input makes a parser panic or read past its end, and a rewritten query has the same metadata except for the
+// remaining time.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte(sampleQuery))
 	f.Add(AppendError(nil, "FATAL", ReadOnlyTransaction, "m", ""))
@@ -120,10 +120,10 @@
 	f.Add([]byte("\x00\x01\x00\x00\x00\x02ab"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if _, body, n, err := ParseMessage(in, MaxQuerySize); err == nil && (n > len(in) || n > 0 && len(body) != n-5) {
-			t.Fatalf("message of %d in %d", n, len(in))
+			t.Fatalf("message size %d in %d bytes", n, len(in))
 		}
 		if _, n, err := ParseStartup(in); err == nil && n > len(in) {
-			t.Fatalf("start of %d in %d", n, len(in))
+			t.Fatalf("startup message size %d in %d bytes", n, len(in))
 		}
 		SQLState(in)
 		ParseString(in)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,24 +1,26 @@
-// Package ring holds the buffer that stands at each direction of a connection. It starts empty, grows by
-// doubling up to its bound and lets its memory go once it is drained.
+// Package ring implements the ring buffer used for each direction of a connection. A buffer starts empty, grows by doubling
+// up to its bound and frees its memory once it is drained.
 package ring
 
 import "sync/atomic"
 
-const initialSize = 4 << 10
+const initialSize = 4 << 10 // bytes of the first allocation, which no budget is charged for
 
-// Buffer is a bounded ring of bytes. Its zero value with Most set is ready for use.
+// Buffer is a bounded ring buffer of bytes. A zero value with Max set is ready for use. A Buffer isn't safe for concurrent
+// use, except that several may share a Budget.
 type Buffer struct {
-	Max    int           // bytes that it may hold
-	Budget *atomic.Int64 // bytes that all rings together may grow by past their first size; nil: any
+	Max    int           // capacity bound in bytes
+	Budget *atomic.Int64 // bytes by which all buffers that share it may still grow beyond their initial sizes; nil: no limit
 	buf    []byte
-	head   int
-	size   int
+	head   int // index of the first byte held
+	size   int // number of bytes held
 }
 
-// Len tells how many bytes it holds.
+// Len returns the number of bytes held.
 func (b *Buffer) Len() int { return b.size }
 
-// Space gives a piece of free room to write into, empty only if the ring holds as much as it may.
+// Space returns a contiguous part of the free space to write into, growing the buffer if it is full. It is empty only if the
+// buffer can't grow, because of Max or Budget. Commit makes the bytes written part of the content.
 func (b *Buffer) Space() []byte {
 	if b.size == len(b.buf) {
 		b.grow(b.size + 1)
@@ -33,10 +35,10 @@
 	return b.buf[tail:]
 }
 
-// Commit counts n bytes of the last Space as written.
+// Commit adds the first n bytes of the slice last returned by Space to the content.
 func (b *Buffer) Commit(n int) { b.size += n }
 
-// Append writes all of p, or nothing if it does not fit.
+// Append adds all of p and reports true, or adds nothing and reports false if p doesn't fit.
 func (b *Buffer) Append(p []byte) bool {
 	if b.size+len(p) > b.Max {
 		return false
@@ -52,7 +54,7 @@
 	return true
 }
 
-// Peek gives all that it holds in one piece, valid until the next Peek, Append or Discard.
+// Peek returns the whole content as one slice, valid until the next Peek, Append or Discard.
 func (b *Buffer) Peek() []byte {
 	if b.head+b.size > len(b.buf) {
 		b.reallocate(len(b.buf))
@@ -60,7 +62,7 @@
 	return b.buf[b.head : b.head+b.size]
 }
 
-// Discard drops the first n bytes.
+// Discard removes the first n bytes. A buffer that is drained releases its memory unless it still has the initial size.
 func (b *Buffer) Discard(n int) {
 	b.head += n
 	b.size -= n
@@ -74,6 +76,7 @@
 	}
 }
 
+// grow makes the buffer hold at least need bytes, or Max if that is less. It does nothing if the budget doesn't allow it.
 func (b *Buffer) grow(need int) {
 	if need <= len(b.buf) || len(b.buf) >= b.Max {
 		return
@@ -93,7 +96,7 @@
 	b.reallocate(n)
 }
 
-// Release drops what it holds and gives its memory back.
+// Release drops the content, frees the memory and returns its size to the budget.
 func (b *Buffer) Release() {
 	if b.Budget != nil && len(b.buf) > initialSize {
 		b.Budget.Add(int64(len(b.buf) - initialSize))
@@ -101,10 +104,11 @@
 	b.buf, b.head, b.size = nil, 0, 0
 }
 
-// reallocate lays the content at the start of a new buffer; what was handed out of the old one stays as it is.
+// reallocate copies the content to the start of a new array of n bytes. The old array isn't changed, so slices of it that
+// were handed out keep their content.
 func (b *Buffer) reallocate(n int) {
-	to := make([]byte, n)
-	k := copy(to, b.buf[b.head:min(b.head+b.size, len(b.buf))])
-	copy(to[k:], b.buf[:b.size-k])
-	b.buf, b.head = to, 0
+	array := make([]byte, n)
+	copied := copy(array, b.buf[b.head:min(b.head+b.size, len(b.buf))])
+	copy(array[copied:], b.buf[:b.size-copied])
+	b.buf, b.head = array, 0
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// checkCalls turns each byte into one call and holds the ring against a plain slice.
+// checkCalls decodes each byte into a call and compares the buffer with a plain slice after each.
 func checkCalls(t *testing.T, limit int, calls []byte) {
 	buffer := Buffer{Max: limit}
 	var plain []byte
@@ -27,12 +27,12 @@
 			if buffer.Append(p) {
 				plain = append(plain, p...)
 			} else if len(plain)+n <= limit {
-				t.Fatalf("no room for %d beside %d of %d", n, len(plain), limit)
+				t.Fatalf("Append refused %d bytes with %d of %d in use", n, len(plain), limit)
 			}
 		case 1:
 			space := buffer.Space()
 			if len(space) == 0 && len(plain) < limit {
-				t.Fatalf("no space at %d of %d", len(plain), limit)
+				t.Fatalf("Space is empty with %d of %d in use", len(plain), limit)
 			}
 			k := copy(space, fill(min(n, len(space))))
 			plain = append(plain, space[:k]...)
@@ -43,7 +43,7 @@
 			plain = plain[n:]
 		}
 		if buffer.Len() != len(plain) || !bytes.Equal(buffer.Peek(), plain) || len(plain) > limit {
-			t.Fatalf("after %d: %d bytes held, %d expected", c, buffer.Len(), len(plain))
+			t.Fatalf("after call %d: holds %d bytes, want %d", c, buffer.Len(), len(plain))
 		}
 	}
 }
@@ -63,21 +63,21 @@
 	var budget atomic.Int64
 	budget.Store(3 * initialSize)
 	a, b := Buffer{Max: 8 * initialSize, Budget: &budget}, Buffer{Max: 8 * initialSize, Budget: &budget}
-	if !a.Append(make([]byte, 3*initialSize)) { // grows to four times the first size, of which one is free
-		t.Fatal("no room within the budget")
+	if !a.Append(make([]byte, 3*initialSize)) { // grows to 4*initialSize, the first of which isn't charged
+		t.Fatal("Append refused within the budget")
 	}
 	if !b.Append(make([]byte, initialSize)) {
-		t.Fatal("the first size must always be had")
+		t.Fatal("the initial size must not depend on the budget")
 	}
 	if b.Append(make([]byte, initialSize)) || b.Space() != nil {
-		t.Fatal("grew past the budget")
+		t.Fatal("the buffer grew beyond the budget")
 	}
 	a.Discard(3 * initialSize)
 	if !b.Append(make([]byte, initialSize)) {
-		t.Fatal("what the drained ring gave back is not there")
+		t.Fatal("memory that the drained buffer returned isn't available")
 	}
 	b.Release()
 	if budget.Load() != 3*initialSize || b.Len() != 0 {
-		t.Fatalf("%d left after all was freed", budget.Load())
+		t.Fatalf("budget is %d after both buffers were released", budget.Load())
 	}
 }
--- a/internal/sock/dial.go
+++ b/internal/sock/dial.go
@@ -11,9 +11,10 @@
 	"micatrack/internal/pgwire"
 )
 
-// Dial starts a connection. What is written meanwhile waits until it is up; Closed follows if it is refused.
-// One that never comes up is the core's to close: the library's own dial would leave it no handle for that,
-// and misreads IPv4 addresses besides (1.6.8 takes the first four bytes of the sixteen-byte form).
+// Dial starts connecting to addr, an IP address and port, and returns without waiting. Data written before the connection is
+// established is queued; a front.Closed event follows if the connection is refused. The core has to close a connection that is
+// never established. nbio's own dial isn't used because it would give the core no handle for that, and because it misreads
+// IPv4 addresses (version 1.6.8 takes the first four bytes of the sixteen-byte form).
 func (n *Net) Dial(addr string) (front.Link, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -40,7 +41,8 @@
 	return l, nil
 }
 
-// dialError is front.NoRoom where the machine is out of something for a moment, which says nothing of the store; else err.
+// dialError returns front.ErrNoResources if err means that this machine is temporarily out of a resource, which says nothing
+// about the store. Otherwise it returns err.
 func dialError(err error) error {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -53,12 +55,15 @@
 	return err
 }
 
-var bind = syscall.Bind // that no socket reads back where the port is left to connect, so a test stands in for it
+// bind is a variable so that a test can observe the call: a socket's state doesn't show afterwards that it was bound if the
+// port is left to connect.
+var bind = syscall.Bind
 
-// openBoundSocket opens a socket that is bound before it connects.
-// Danger: the standard library asks a socket for its name before it takes it over. Where the system gives one
-// that is bound nowhere no name until it is up, every store is unreachable. The port is left to connect:
-// bind would take one that no other connection shares, and the machine runs out of those.
+// openBoundSocket opens a non-blocking socket for a connection to the address and binds it to the wildcard address.
+//
+// net.FileConn calls getsockname on the socket. On systems where an unbound socket has no name until it is connected, that
+// call fails and no store could be reached; so the socket is bound first. The port is chosen only by connect: bind would
+// choose one that no other connection shares, and the machine could run out of ports.
 func openBoundSocket(to netip.AddrPort) (fd int, sa syscall.Sockaddr, err error) {
 	family, sa, local := syscall.AF_INET6, syscall.Sockaddr(&syscall.SockaddrInet6{Port: int(to.Port()),
 		Addr: to.Addr().As16()}), syscall.Sockaddr(&syscall.SockaddrInet6{})
@@ -69,7 +74,7 @@
 	if fd, err = syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0); err != nil {
 		return fd, sa, err
 	}
-	syscall.SetsockoptInt(fd, syscall.IPPROTO_IP, ipBindAddressNoPort, 1) // a wish: older systems lack it
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_IP, ipBindAddressNoPort, 1) // best effort: older systems don't support it
 	if err = bind(fd, local); err != nil {
 		syscall.Close(fd)
 	}
--- a/internal/sock/idle_test.go
+++ b/internal/sock/idle_test.go
@@ -8,7 +8,7 @@
 	"micatrack/internal/front"
 )
 
-// acceptPeer connects a peer and gives both ends.
+// acceptPeer connects a peer to n and returns both ends.
 func acceptPeer(t *testing.T, n *Net) (net.Conn, *Link) {
 	t.Helper()
 	peer, err := net.Dial("tcp", n.Addr())
@@ -19,20 +19,22 @@
 	return peer, pollUntil(t, n, nil, front.Accepted).(*Link)
 }
 
-// holdPoller keeps the poller busy with another link until release is called, so that it hears of nothing else.
+// holdPoller blocks the poller on another link until release is called, so that it handles no further events.
 func holdPoller(t *testing.T, n *Net) (release func()) {
 	t.Helper()
 	peer, other := acceptPeer(t, n)
 	other.mu.Lock()
 	peer.Write([]byte("x"))
-	time.Sleep(20 * time.Millisecond) // the poller waits for the lock by then
+	time.Sleep(20 * time.Millisecond) // by then the poller waits for the lock
 	return other.mu.Unlock
 }
 
+// TestUnreadRequestPreventsIdleClose: a request that has arrived but that the poller has not read yet keeps its connection
+// open, and is answered.
 func TestUnreadRequestPreventsIdleClose(t *testing.T) {
 	for name, ends := range map[string]func(l *Link) bool{
-		"finish": (*Link).CloseWriteIfIdle,
-		"close":  func(l *Link) bool { return l.CloseIfIdle([]byte("no room")) },
+		"close write": (*Link).CloseWriteIfIdle,
+		"close":       func(l *Link) bool { return l.CloseIfIdle([]byte("no room")) },
 	} {
 		n := openNet(t)
 		peer, l := acceptPeer(t, n)
@@ -40,10 +42,10 @@
 		peer.Write([]byte("request"))
 		time.Sleep(20 * time.Millisecond)
 		if len(l.Peek()) > 0 {
-			t.Fatal("the poller is not held")
+			t.Fatal("the poller isn't blocked")
 		}
 		if ends(l) || string(l.Peek()) != "request" {
-			t.Errorf("%s: the connection was ended over %q", name, l.Peek())
+			t.Errorf("%s: the connection was ended although it had received %q", name, l.Peek())
 		}
 		release()
 		l.Discard(len("request"))
@@ -52,38 +54,41 @@
 		got := make([]byte, 6)
 		peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := peer.Read(got); err != nil || string(got) != "answer" {
-			t.Errorf("%s: answered %q, %v", name, got, err)
+			t.Errorf("%s: peer received %q, %v", name, got, err)
 		}
 		if !ends(l) {
-			t.Errorf("%s: a connection at rest is not ended", name)
+			t.Errorf("%s: an idle connection was not ended", name)
 		}
 		if name == "close" {
 			got = make([]byte, 7)
 			if _, err := peer.Read(got); err != nil || string(got) != "no room" {
-				t.Errorf("told %q, %v", got, err)
+				t.Errorf("peer received %q, %v at the close", got, err)
 			}
 		}
 		if _, err := peer.Read(got); err == nil {
-			t.Errorf("%s: the peer does not hear of the end", name)
+			t.Errorf("%s: the peer does not see the end", name)
 		}
 	}
 }
 
+// TestPeerOpenSeesCloseBeforePoller: PeerOpen sees that the peer has closed before the poller handles the event.
 func TestPeerOpenSeesCloseBeforePoller(t *testing.T) {
 	n := openNet(t)
 	peer, l := acceptPeer(t, n)
 	release := holdPoller(t, n)
 	defer release()
 	if !l.PeerOpen() {
-		t.Error("a peer that is there is taken for gone")
+		t.Error("PeerOpen is false for an open peer")
 	}
 	peer.Close()
 	time.Sleep(20 * time.Millisecond)
 	if l.PeerOpen() {
-		t.Error("a peer that has gone is taken for there")
+		t.Error("PeerOpen is true for a closed peer")
 	}
 }
 
+// TestStaleEventSparesReusedDescriptor: the poller has taken the close event of a connection that is then closed by the front
+// and whose descriptor a new connection reuses. The event must not close the new connection.
 func TestStaleEventSparesReusedDescriptor(t *testing.T) {
 	n := openNet(t)
 	firstPeer, first := acceptPeer(t, n)
@@ -91,23 +96,23 @@
 	oldPeer, old := acceptPeer(t, n)
 	first.mu.Lock()
 	firstPeer.Write([]byte("x"))
-	time.Sleep(20 * time.Millisecond) // the poller waits for the first
+	time.Sleep(20 * time.Millisecond) // by then the poller is blocked on the first link
 	second.mu.Lock()
 	secondPeer.Write([]byte("x"))
 	oldPeer.Close()
 	time.Sleep(20 * time.Millisecond)
 	first.mu.Unlock()
-	time.Sleep(20 * time.Millisecond) // it has both events now, and waits for the second
+	time.Sleep(20 * time.Millisecond) // by then it has taken both events and is blocked on the second link
 	old.Close()
 	var next *Link
 	var peer net.Conn
-	for range 10 { // until one has the descriptor that the old one had
+	for range 10 { // until a link reuses the old descriptor
 		if peer, next = acceptPeer(t, n); next.descriptor == old.descriptor {
 			break
 		}
 	}
 	if next.descriptor != old.descriptor {
-		t.Fatal("no connection has the old one's descriptor")
+		t.Fatal("no connection reuses the old descriptor")
 	}
 	second.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
@@ -116,6 +121,6 @@
 	got := make([]byte, 6)
 	peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := peer.Read(got); err != nil || string(got) != "answer" {
-		t.Errorf("the next connection on the descriptor: %q, %v", got, err)
+		t.Errorf("peer of the connection that reuses the descriptor received %q, %v", got, err)
 	}
 }
--- a/internal/sock/link.go
+++ b/internal/sock/link.go
@@ -12,33 +12,33 @@
 	"micatrack/internal/ring"
 )
 
-// Link is one socket.
+// Link is one connection. It implements front.Link.
 type Link struct {
 	net       *Net
 	owner     any
 	conn      *nbio.Conn
-	mu        sync.Mutex // guards what follows but for sent
-	in        ring.Buffer
-	inputFull bool // the poller left bytes with the system, for want of room
-	closed    bool
-	pending   front.EventFlags // of an event not yet gathered; guarded by Net.mu
-	sent      atomic.Int64
-	blocked   atomic.Bool // the system takes no more for now, and the loop is told when it does
-	finishing atomic.Bool // nothing is to be sent behind what out holds
+	mu        sync.Mutex       // guards in, inputFull and closed
+	in        ring.Buffer      // data that was received and not discarded
+	inputFull bool             // received bytes were left with the system because in was full
+	closed    bool             // the descriptor was released
+	pending   front.EventFlags // events that Poll has not returned yet; guarded by Net.mu
+	sent      atomic.Int64     // bytes that the system has accepted
+	blocked   atomic.Bool      // the send buffer is full; writability reports when it isn't
+	finishing atomic.Bool      // sending ends after the content of out; received data is dropped
 
-	descriptor    int         // valid while conn is locked and not closed
-	registered    bool        // it is under the poller, or was; guarded by registry.mu, as the next
-	closedByFront bool        // the front has closed it
-	waitToken     int32       // of its last wait; guarded by writability.mu
-	out           ring.Buffer // the loop's alone, as what follows
-	writeShutdown bool        // the sending has ended
-	accepted      bool        // it was accepted
-	connecting    bool        // it was dialled, and nothing has been written yet
-	received      atomic.Bool // something has come in
-	handedOver    bool        // what it begins with waits in the library until the connection is up
+	descriptor    int         // file descriptor; valid while conn is locked and not closed
+	registered    bool        // it was added to the poller; guarded by registry.mu
+	closedByFront bool        // the front has closed it; guarded by registry.mu
+	waitToken     int32       // token of its last wait; guarded by writability.mu
+	out           ring.Buffer // queued data; used by the main loop only
+	writeShutdown bool        // the sending direction was shut down
+	accepted      bool        // it was accepted rather than dialled
+	connecting    bool        // it was dialled and no data has been written yet
+	received      atomic.Bool // some data was received
+	handedOver    bool        // its first data was handed over to nbio, which writes it once the connection is established
 }
 
-// readInput reads what the system holds into the ring, as far as there is room.
+// readInput reads available data into the ring buffer, as far as there is space, and reports the result to the main loop.
 func (l *Link) readInput() {
 	l.mu.Lock()
 	got, ended := l.fill()
@@ -46,11 +46,11 @@
 	l.reportRead(got, ended)
 }
 
-// fill reads what the system holds into the ring. ended: the peer has closed its side, or the connection has broken. The
-// lock is held.
+// fill reads available data into the ring buffer, as far as there is space. got reports whether it read any, or whether the
+// buffer is full; ended, whether the peer has closed its side or the connection is broken. The caller must hold mu.
 func (l *Link) fill() (got, ended bool) {
 	for !l.closed {
-		if l.finishing.Load() { // Danger: a close over unread bytes is a reset, and takes what the peer was sent last with it.
+		if l.finishing.Load() { // Closing with unread bytes resets the connection, and the peer may lose the last data sent to it.
 			l.in.Discard(l.in.Len())
 		}
 		space := l.in.Space()
@@ -71,7 +71,7 @@
 	return got, false
 }
 
-// reportRead tells the loop what fill has found.
+// reportRead reports the result of fill to the main loop, and closes the link if it has ended.
 func (l *Link) reportRead(got, ended bool) {
 	if got {
 		l.net.report(l, front.Readable)
@@ -81,7 +81,7 @@
 	}
 }
 
-// PeerOpen reads what the system holds and tells whether the peer is still there.
+// PeerOpen reads available data and reports whether the connection is still open on both sides.
 func (l *Link) PeerOpen() bool {
 	l.mu.Lock()
 	got, ended := l.fill()
@@ -91,7 +91,8 @@
 	return open
 }
 
-// ifIdle does end if nothing has come that was not discarded, up to the moment of end.
+// ifIdle calls end if no received data is left undiscarded, including what the system holds, and reports whether it did. No
+// other data is read between the check and the call.
 func (l *Link) ifIdle(end func()) bool {
 	l.mu.Lock()
 	got, ended := l.fill()
@@ -104,8 +105,8 @@
 	return idle
 }
 
-// CloseIfIdle closes the connection if nothing has come on it that was not discarded. last is sent before, as far as the
-// system takes it at once.
+// CloseIfIdle closes the connection if all received data was discarded, and reports whether it did. Before that, it sends as
+// much of last as the system accepts at once.
 func (l *Link) CloseIfIdle(last []byte) bool {
 	closes := l.ifIdle(func() {
 		l.conn.Lock()
@@ -121,7 +122,8 @@
 	return closes
 }
 
-// CloseWriteIfIdle is Finish, if nothing has come that was not discarded and nothing is queued.
+// CloseWriteIfIdle is like CloseWrite, but does nothing and returns false if there is queued data or received data that was
+// not discarded.
 func (l *Link) CloseWriteIfIdle() bool {
 	return l.Flushed() && l.ifIdle(func() {
 		l.finishing.Store(true)
@@ -134,7 +136,7 @@
 	})
 }
 
-// onClosed is told when the descriptor has been given back.
+// onClosed is called when the descriptor has been released. It reports front.Closed once.
 func (l *Link) onClosed() {
 	n := l.net
 	n.mu.Lock()
@@ -154,7 +156,7 @@
 	l.net.report(l, front.Closed)
 }
 
-// release is the one place where a link's rings are given back.
+// release releases the link's ring buffers. This happens nowhere else.
 func (l *Link) release() {
 	l.mu.Lock()
 	l.in.Release()
@@ -162,25 +164,30 @@
 	l.out.Release()
 }
 
-// ReadBufferFull tells that bytes wait with the system for want of room here.
+// ReadBufferFull reports whether received bytes are waiting in the system because the link has no space for them.
 func (l *Link) ReadBufferFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inputFull
 }
 
-func (l *Link) Owner() any         { return l.owner }
+// Owner returns the value last passed to SetOwner.
+func (l *Link) Owner() any { return l.owner }
+
+// SetOwner stores a value of the core's for Owner.
 func (l *Link) SetOwner(owner any) { l.owner = owner }
 
+// Peek returns all received data that was not discarded.
 func (l *Link) Peek() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.in.Peek()
 }
 
+// Discard drops the first n bytes of the received data, and reads on if there was no space for more.
 func (l *Link) Discard(n int) {
 	l.mu.Lock()
-	l.in.Discard(min(n, l.in.Len())) // Danger: where the link is ending, what came is gone before the core drops it.
+	l.in.Discard(min(n, l.in.Len())) // If the link is finishing, fill may have dropped the data before the core does.
 	resume := l.inputFull && n > 0
 	l.mu.Unlock()
 	if resume {
@@ -188,16 +195,18 @@
 	}
 }
 
+// Write queues all of p and reports true, or reports false if there is no space for it.
 func (l *Link) Write(p []byte) bool { return l.out.Append(p) }
 
+// SentBytes returns the number of bytes that the system has accepted.
 func (l *Link) SentBytes() int64 { return l.sent.Load() }
 
-// Flush writes what is queued, as far as the system takes it.
+// Flush writes queued data, as far as the system accepts it.
 func (l *Link) Flush() {
 	if l.blocked.Load() || l.out.Len() == 0 && !l.finishing.Load() || l.handedOver && !l.received.Load() {
 		return
 	}
-	l.conn.Lock() // until it is unlocked the descriptor is not another's
+	l.conn.Lock() // while it is locked, the descriptor can't be reused
 	if closed, _ := l.conn.IsClosed(); closed {
 		l.conn.Unlock()
 		return
@@ -219,15 +228,15 @@
 	}
 }
 
-// isRegistered tells whether the link is under the poller.
+// isRegistered reports whether the link was added to the poller.
 func (l *Link) isRegistered() bool {
 	l.net.registry.mu.Lock()
 	defer l.net.registry.mu.Unlock()
 	return l.registered
 }
 
-// send writes until all is out or the system is full. A write that is cut short or interrupted is gone on with at once.
-// up is false where the connection that was dialled is not up yet.
+// send writes until all queued data is sent or the send buffer is full. A write that is cut short or interrupted is continued
+// at once. connected is false if the connection was dialled and is not established yet.
 func (l *Link) send() (connected bool, err error) {
 	for l.out.Len() > 0 {
 		size, err := syscall.Write(l.descriptor, l.out.Peek())
@@ -252,34 +261,41 @@
 	return true, nil
 }
 
-// handOver gives the library what a connection begins with, to be written once it is up: then there is an edge. All else
-// waits until the peer has said something.
+// handOver passes the queued data of a connection that is not established yet to nbio, which writes it once the connection is
+// established: an edge of writability is certain to follow then. Flush holds all further data back until the peer has sent
+// something.
 func (l *Link) handOver() {
 	l.connecting, l.handedOver = false, true
 	size := l.out.Len()
 	if _, err := l.conn.Write(l.out.Peek()); err != nil {
-		return // it is closed, and says so
+		return // the connection is closed, which nbio reports
 	}
 	l.out.Discard(size)
 	l.sent.Add(int64(size))
 }
 
+// Flushed reports whether the system has accepted all queued data.
 func (l *Link) Flushed() bool { return l.out.Len() == 0 }
 
+// CloseWrite shuts down the sending direction once all queued data is sent. Received data is dropped from now on, and the link
+// is closed when the peer closes its side.
 func (l *Link) CloseWrite() {
 	l.finishing.Store(true)
 	l.Flush()
 }
 
+// Close closes the link at once and drops queued data.
 func (l *Link) Close() { l.close(nil) }
 
-// close is the one place where the front closes a link by itself; the poller closes it where the peer has.
+// close closes the link. All closes that the front decides on go through here; the poller closes a link that its peer has
+// closed.
 func (l *Link) close(err error) {
 	if l.net.registry.close(l, err) {
 		l.onClosed()
 	}
 }
 
+// Abort is like Close, but resets the connection, so that data that the system has not sent yet is dropped too.
 func (l *Link) Abort() {
 	l.conn.Lock()
 	if closed, _ := l.conn.IsClosed(); !closed {
--- a/internal/sock/register.go
+++ b/internal/sock/register.go
@@ -10,31 +10,31 @@
 	"github.com/lesismal/nbio"
 )
 
-// registerPatience is how long a connection waits for the poller's word before it is put under it all the same. The poller
-// may be held up for half of that.
+// registerTimeout is how long a new connection waits for the poller to handle a wake-up before it is added regardless. The
+// poller may stall for up to half of this time.
 const registerTimeout = 300 * time.Millisecond
 
-// registry puts connections under the poller.
+// registry adds connections to the poller.
 //
-// Danger: the poller takes events from the system in batches, by descriptor. While it works on one, a connection that has
-// an event there may be closed and its descriptor be given to a new one, which the poller would then close for the old
-// one's event. So a connection whose descriptor was closed a moment ago waits until the poller has begun with a later
-// batch. The poller's own closes need no such wait: they happen at the one event that the descriptor has in the batch.
+// The poller takes events from the system in batches, identified by descriptor. While it handles a batch, a connection with an
+// event in it may be closed and its descriptor reused for a new connection, which the poller would then close because of the
+// old connection's event. So a connection whose descriptor was closed recently waits until the poller has started a later
+// batch. Descriptors that the poller closes need no such wait: it closes them while handling their only event in the batch.
 type registry struct {
-	add    func(l *Link)
-	onLate func(l *Link) // is told of one that had to wait and is under the poller now
-
-	mu               sync.Mutex // held over each close of a descriptor that was under the poller
-	closed           map[int]bool
-	closedBeforeWake map[int]bool // closed before the wake-up that is on its way
-	waiting          []*Link
-	waitingSince     time.Time // of the oldest that waits
-	wakePending      bool
-	eventFD          int        // an eventfd, by which the poller is woken
-	wakeConn         *nbio.Conn // the same, as the poller knows it
+	add    func(l *Link) // adds a link to the poller
+	onLate func(l *Link) // called for a link that had to wait, once it is added
+
+	mu               sync.Mutex   // guards the fields below; held during each close of a descriptor that was added to the poller
+	closed           map[int]bool // descriptors closed since the last wake-up was sent
+	closedBeforeWake map[int]bool // descriptors closed before the pending wake-up was sent
+	waiting          []*Link      // links that are not added yet
+	waitingSince     time.Time    // when waiting last became non-empty
+	wakePending      bool         // a wake-up was sent and not handled yet
+	eventFD          int          // eventfd that wakes the poller
+	wakeConn         *nbio.Conn   // eventFD as a connection of the poller
 }
 
-// eventConn is an eventfd in the form in which nbio takes descriptors, of which it makes a copy.
+// eventConn presents an eventfd as a net.Conn, the form in which nbio accepts descriptors. nbio duplicates the descriptor.
 type eventConn struct {
 	net.Conn
 	descriptor eventDescriptor
@@ -45,9 +45,10 @@
 func (e eventConn) RemoteAddr() net.Addr                  { return nil }
 func (e eventConn) Close() error                          { return nil }
 
+// eventDescriptor implements syscall.RawConn for an eventfd; only Control is supported.
 type eventDescriptor int
 
-// Control hands out the descriptor.
+// Control calls use with the descriptor.
 func (d eventDescriptor) Control(use func(descriptor uintptr)) error {
 	use(uintptr(d))
 	return nil
@@ -56,6 +57,7 @@
 func (d eventDescriptor) Read(func(descriptor uintptr) bool) error  { return errors.ErrUnsupported }
 func (d eventDescriptor) Write(func(descriptor uintptr) bool) error { return errors.ErrUnsupported }
 
+// newRegistry returns a registry. Its wakeConn is yet to be added to the poller.
 func newRegistry(add, onLate func(l *Link)) (*registry, error) {
 	eventFD, _, errno := syscall.Syscall(syscall.SYS_EVENTFD2, 0, syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 	if errno != 0 {
@@ -69,7 +71,7 @@
 	return &registry{add: add, onLate: onLate, closed: map[int]bool{}, closedBeforeWake: map[int]bool{}, eventFD: int(eventFD), wakeConn: conn}, nil
 }
 
-// register puts a new connection under the poller, at once or behind the batch that it is working on.
+// register adds a new connection to the poller, either at once or after the batch that the poller is handling.
 func (r *registry) register(l *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +86,7 @@
 	r.wake()
 }
 
-// addLocked puts a connection under the poller unless it was closed meanwhile. The lock is held.
+// addLocked adds a connection to the poller unless it was closed in the meantime. The caller must hold mu.
 func (r *registry) addLocked(l *Link) {
 	if !l.registered && !l.closedByFront {
 		l.registered = true
@@ -92,18 +94,18 @@
 	}
 }
 
-// wake asks for a word from the poller's next batch. The lock is held.
+// wake sends a wake-up, which the poller handles in a later batch, unless one is pending. The caller must hold mu.
 func (r *registry) wake() {
 	if r.wakePending {
 		return
 	}
-	r.closed, r.closedBeforeWake = r.closedBeforeWake, r.closed // the first is empty: no wake-up is on its way
+	r.closed, r.closedBeforeWake = r.closedBeforeWake, r.closed // closedBeforeWake is empty: no wake-up is pending
 	r.wakePending = true
 	one := [8]byte{1}
 	syscall.Write(r.eventFD, one[:])
 }
 
-// onWake is called by the poller at its event: all batches that were taken before the wake-up are done.
+// onWake is called by the poller when it handles a wake-up: all batches taken before the wake-up was sent are finished.
 func (r *registry) onWake() {
 	var count [8]byte
 	syscall.Read(r.eventFD, count[:])
@@ -120,7 +122,7 @@
 	}
 }
 
-// addReady puts those that wait under the poller for which ready holds. The lock is held.
+// addReady adds the waiting links for which ready returns true. The caller must hold mu.
 func (r *registry) addReady(ready func(l *Link) bool) {
 	still := r.waiting[:0]
 	for _, l := range r.waiting {
@@ -135,7 +137,7 @@
 	r.waiting = still
 }
 
-// addOverdue puts those under the poller that it has given no word for in time.
+// addOverdue adds all waiting links if the oldest has waited for registerTimeout.
 func (r *registry) addOverdue() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +146,8 @@
 	}
 }
 
-// close closes a connection, whether or not it is under the poller yet. True: it never was, and nobody else tells of its end.
+// close closes a connection, whether or not it was added to the poller yet. It reports true if it was never added; then the
+// poller won't report the close, and the caller has to.
 func (r *registry) close(l *Link, err error) (unregistered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,6 +1,6 @@
-// Package sock gives the core its sockets, on lesismal/nbio. The library's one poller reads into each link's
-// ring; the loop takes what is ready by Gather. A link is closed by the core or by its peer, and its
-// descriptor is given back in nbio's close alone.
+// Package sock implements the sockets of a front on top of the library lesismal/nbio. The library's single poller reads into
+// each link's ring buffer, and the front's main loop collects ready links with Net.Poll. A link is closed by the core or by its
+// peer; its descriptor is released only by nbio's close.
 package sock
 
 import (
@@ -19,61 +19,62 @@
 )
 
 const (
-	ringHeadroom        = 4 << 10               // of a ring, beside the longest message
-	acceptRetryInterval = 10 * time.Millisecond // between tries where the system has no descriptor or memory for a connection
-	maxAdoptAttempts    = 100                   // tries to take a connection over that was accepted
+	ringHeadroom        = 4 << 10               // bytes of a ring buffer beyond the longest message
+	acceptRetryInterval = 10 * time.Millisecond // delay between attempts while the system has no descriptor or memory for a connection
+	maxAdoptAttempts    = 100                   // attempts to hand an accepted connection over to nbio
 
-	ipBindAddressNoPort = 24 // IP_BIND_ADDRESS_NO_PORT
-	reservedDescriptors = 24 // descriptors that no link has: pollers, listener, discovery, log, a dial in the making
+	ipBindAddressNoPort = 24 // socket option IP_BIND_ADDRESS_NO_PORT
+	reservedDescriptors = 24 // descriptors not available to links: pollers, listener, discovery, log, a dial in progress
 )
 
-// Net holds the sockets of one front.
+// Net holds the sockets of one front. The front's main loop calls Dial, Poll and the methods of the links.
 type Net struct {
 	engine         *nbio.Engine
 	writability    *writability
 	registry       *registry
-	listener       net.Listener
-	extraListeners []net.Listener
-	mu             sync.Mutex
-	links          map[*nbio.Conn]*Link // what the library knows as connections
-	acceptedCount  int                  // of them that were accepted
-	acceptors      sync.WaitGroup       // those who accept
-	stopping       atomic.Bool
-	ready          []*Link
-	events         []front.Event
-	wake           chan struct{}
-	timer          *time.Timer
-	maxAnswer      int          // longest message of a store
-	maxLinks       int          // links past which none is accepted
-	budget         atomic.Int64 // bytes that the rings may still grow by
+	listener       net.Listener         // the address given to Open
+	extraListeners []net.Listener       // the addresses given to AddListener
+	mu             sync.Mutex           // guards links, acceptedCount, ready and Link.pending
+	links          map[*nbio.Conn]*Link // open links by their nbio connection
+	acceptedCount  int                  // links that were accepted rather than dialled
+	acceptors      sync.WaitGroup       // goroutines that accept connections
+	stopping       atomic.Bool          // StopAccepting was called
+	ready          []*Link              // links with pending events that Poll has not returned yet
+	events         []front.Event        // result of the last Poll
+	wake           chan struct{}        // makes Poll return
+	timer          *time.Timer          // bounds the wait of Poll
+	maxAnswer      int                  // bytes of the longest message from a store
+	maxLinks       int                  // number of links from which on none is accepted
+	budget         atomic.Int64         // bytes by which all ring buffers together may still grow
 }
 
-// Open listens on addr and starts the poller. All rings together grow by no more than memory bytes; the one
-// that a store fills, and the one that empties to a client, hold an answer of that many bytes.
+// Open listens on addr and starts the poller. The process may use the given number of descriptors. All ring buffers together
+// grow by at most memory bytes. The read buffer of a store connection and the write buffer of a client connection can hold an
+// answer of maxAnswer bytes.
 func Open(addr string, descriptors int, memory int64, maxAnswer int) (*Net, error) {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	logging.SetLevel(logging.LevelNone)
-	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, 2*descriptors+64) // it keeps a table of that length
-	n := &Net{listener: l, maxAnswer: maxAnswer, maxLinks: descriptors - reservedDescriptors, links: map[*nbio.Conn]*Link{},
+	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, 2*descriptors+64) // nbio allocates a table of this length
+	n := &Net{listener: listener, maxAnswer: maxAnswer, maxLinks: descriptors - reservedDescriptors, links: map[*nbio.Conn]*Link{},
 		wake: make(chan struct{}, 1), timer: time.NewTimer(time.Hour)}
 	n.budget.Store(memory)
 	n.engine = nbio.NewEngine(nbio.Config{Network: "tcp", NPoller: 1, EpollMod: nbio.EPOLLET})
 	n.engine.OnRead(func(c *nbio.Conn) {
 		if c == n.registry.wakeConn {
 			n.registry.onWake()
-		} else if l := n.linkOf(c); l != nil {
-			l.readInput()
+		} else if listener := n.linkOf(c); listener != nil {
+			listener.readInput()
 		}
 	})
 	n.engine.OnClose(func(c *nbio.Conn, _ error) {
-		if l := n.linkOf(c); l != nil {
-			l.onClosed()
+		if listener := n.linkOf(c); listener != nil {
+			listener.onClosed()
 		}
 	})
-	notify := func(l *Link) { n.report(l, 0) }
+	notify := func(listener *Link) { n.report(listener, 0) }
 	if n.writability, err = newWritability(notify); err == nil {
 		n.registry, err = newRegistry(n.addToPoller, notify)
 	}
@@ -84,14 +85,15 @@
 		_, err = n.engine.AddConn(n.registry.wakeConn)
 	}
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return nil, err
 	}
-	n.acceptors.Go(func() { n.accept(l, front.Accepted) })
+	n.acceptors.Go(func() { n.accept(listener, front.Accepted) })
 	return n, nil
 }
 
-// AddListener listens on another address; what is told of its connections beside front.Accepted.
+// AddListener listens on another address and returns the address it is bound to. The flags in what are set in the first event
+// of its connections, in addition to front.Accepted.
 func (n *Net) AddListener(addr string, what front.EventFlags) (bound string, err error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -102,23 +104,26 @@
 	return l.Addr().String(), nil
 }
 
+// linkOf returns the link of an nbio connection, or nil if it has none or is closed.
 func (n *Net) linkOf(c *nbio.Conn) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[c]
 }
 
-// Addr is where it listens.
+// Addr returns the address that Open listens on.
 func (n *Net) Addr() string { return n.listener.Addr().String() }
 
-// Clients is how many connections that were accepted are open, whether or not Gather has told of them.
+// Clients returns the number of open accepted connections, whether or not Poll has returned them. It is safe for concurrent
+// use.
 func (n *Net) Clients() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.acceptedCount
 }
 
-// StopAccepting stops listening. What has been accepted by then is among Clients.
+// StopAccepting closes all listeners and waits until no more connections are being accepted. Those accepted by then are
+// counted by Clients.
 func (n *Net) StopAccepting() {
 	defer n.acceptors.Wait()
 	n.stopping.Store(true)
@@ -128,9 +133,8 @@
 	}
 }
 
-// accept takes connections in while there is room; the backlog holds what comes meanwhile.
-// Danger: clients that connect by hundreds at once would take the descriptors that dials need before the loop
-// can turn any of them away.
+// accept accepts connections while there are fewer than maxLinks; others wait in the listen backlog. Without this limit,
+// hundreds of clients connecting at once would take the descriptors that dials need before the main loop can refuse any.
 func (n *Net) accept(listener net.Listener, what front.EventFlags) {
 	for {
 		for n.atCapacity() && !n.stopping.Load() {
@@ -146,23 +150,26 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		time.Sleep(acceptRetryInterval) // out of descriptors all the same
+		time.Sleep(acceptRetryInterval) // the process may be out of descriptors nevertheless
 	}
 }
 
+// atCapacity reports whether no further connection may be accepted.
 func (n *Net) atCapacity() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.links) >= n.maxLinks
 }
 
-// add puts a connection of the standard library under the poller, which takes its descriptor over.
-// Danger: the poller may read from it, or see it closed, before the loop has heard of it. With what set from
-// the start that news waits for queue.
+// add hands a connection of the standard library over to nbio, registers it with the poller and returns its link. in and out
+// are the sizes in bytes of the longest messages in each direction.
+//
+// The poller may read from the connection, or see it closed, before the main loop knows about it. If what
+// isn't 0, its flags are pending from the start, so that report doesn't queue the link; the caller then does so.
 func (n *Net) add(c net.Conn, what front.EventFlags, in, out int) (*Link, error) {
 	nc, err := nbio.NBConn(c)
 	for attempts := 1; err != nil && what&front.Accepted != 0 && attempts < maxAdoptAttempts && !n.stopping.Load(); attempts++ {
-		time.Sleep(acceptRetryInterval) // Danger: a client that is accepted has perhaps been read by the machine, and is owed an answer.
+		time.Sleep(acceptRetryInterval) // The system may already have received data of an accepted client, which is owed an answer.
 		nc, err = nbio.NBConn(c)
 	}
 	if err != nil {
@@ -187,13 +194,14 @@
 	return l, nil
 }
 
-// addToPoller puts a link under the poller. One that the poller does not take is closed.
+// addToPoller adds a link to the poller. If the poller rejects it, the link is closed.
 func (n *Net) addToPoller(l *Link) {
 	if _, err := n.engine.AddConn(l.conn); err != nil {
 		l.onClosed()
 	}
 }
 
+// descriptorOf returns the file descriptor of a connection.
 func descriptorOf(conn *nbio.Conn) (descriptor int, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -203,7 +211,7 @@
 	return descriptor, err
 }
 
-// report notes that a link has news and wakes the loop.
+// report adds flags to a link's pending events, and queues the link and wakes the main loop if there were none.
 func (n *Net) report(l *Link, what front.EventFlags) {
 	n.mu.Lock()
 	first := l.pending == 0
@@ -214,6 +222,7 @@
 	}
 }
 
+// enqueue makes the next Poll return the link.
 func (n *Net) enqueue(l *Link) {
 	n.mu.Lock()
 	n.ready = append(n.ready, l)
@@ -221,9 +230,10 @@
 	n.Wake()
 }
 
+// queued is set in Link.pending by report, so that an event without other flags isn't 0. Poll removes it.
 const queued front.EventFlags = 1 << 7
 
-// Wake makes Gather return.
+// Wake makes the current or next Poll return without waiting. It is safe for concurrent use.
 func (n *Net) Wake() {
 	select {
 	case n.wake <- struct{}{}:
@@ -231,7 +241,9 @@
 	}
 }
 
-// Poll waits until something is ready, for wait at most, and gives all that is.
+// Poll waits until a link has an event or Wake is called, but no longer than wait, and returns the events of all ready links.
+// The result is valid until the next call. The rings of links that the previous call returned as closed are released, and
+// the queued data of ready links is written.
 func (n *Net) Poll(wait time.Duration) []front.Event {
 	if wait > 0 {
 		n.timer.Reset(wait)
@@ -246,7 +258,7 @@
 		}
 	}
 	for _, e := range n.events {
-		if e.Flags&front.Closed != 0 { // the core has seen the last of it
+		if e.Flags&front.Closed != 0 { // the core no longer uses it
 			e.Link.(*Link).release()
 		}
 	}
@@ -261,7 +273,7 @@
 	n.ready = n.ready[:0]
 	n.mu.Unlock()
 	for _, e := range n.events {
-		e.Link.Flush() // what waited for the system to take more
+		e.Link.Flush() // data that waited until the system accepts more
 	}
 	return n.events
 }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -12,7 +12,7 @@
 	"micatrack/internal/pgwire"
 )
 
-// pollUntil gathers until a link has what is looked for.
+// pollUntil polls until the link, or any link if l is nil, has one of the events in what, and returns it.
 func pollUntil(t *testing.T, n *Net, l front.Link, what front.EventFlags) front.Link {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	t.Fatalf("no news %d", what)
+	t.Fatalf("no event %d", what)
 	return nil
 }
 
@@ -35,7 +35,8 @@
 	return n
 }
 
-// TestCrowdAtTheDoor: no more are accepted than there is room for, and the rest comes in as room is made.
+// TestAcceptsNoMoreThanMaxLinks: no more connections are accepted than maxLinks allows, and the others are accepted as links
+// are closed.
 func TestAcceptsNoMoreThanMaxLinks(t *testing.T) {
 	n, err := Open("127.0.0.1:0", reservedDescriptors+3, 1<<20, 144<<10)
 	if err != nil {
@@ -54,7 +55,7 @@
 		time.Sleep(2 * time.Millisecond)
 		n.mu.Lock()
 		if len(n.links) > 3 {
-			t.Fatalf("%d links where 3 have room", len(n.links))
+			t.Fatalf("%d links, want at most 3", len(n.links))
 		}
 		n.mu.Unlock()
 		for _, e := range n.Poll(time.Second) {
@@ -65,10 +66,11 @@
 		}
 	}
 	if time.Now().After(end) {
-		t.Error("not all came in")
+		t.Error("not all connections were accepted")
 	}
 }
 
+// TestSlowReaderReceivesAllBeforeClose: a peer that reads late receives all queued data before the connection is closed.
 func TestSlowReaderReceivesAllBeforeClose(t *testing.T) {
 	n := openNet(t)
 	c, err := net.Dial("tcp", n.Addr())
@@ -80,11 +82,11 @@
 	l.(*Link).conn.SetWriteBuffer(4 << 10)
 	text := bytes.Repeat([]byte("0123456789"), 14<<10)
 	if !l.Write(text) || l.Write(text) {
-		t.Fatal("a ring takes one message and no more")
+		t.Fatal("a ring buffer must hold one message and no second one")
 	}
 	l.CloseWrite()
 	if l.SentBytes() == int64(len(text)) {
-		t.Skip("the system took all at once")
+		t.Skip("the system accepted all data at once")
 	}
 	got := make(chan []byte)
 	go func() {
@@ -95,10 +97,11 @@
 	}()
 	pollUntil(t, n, l, front.Closed)
 	if b := <-got; !bytes.Equal(b, text) || l.SentBytes() != int64(len(text)) {
-		t.Fatalf("%d of %d bytes, %d sent", len(b), len(text), l.SentBytes())
+		t.Fatalf("received %d of %d bytes, SentBytes %d", len(b), len(text), l.SentBytes())
 	}
 }
 
+// TestClosedLinkWritesNothingMore: data that is queued when a link is closed is never sent, and SentBytes doesn't count it.
 func TestClosedLinkWritesNothingMore(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,7 +126,7 @@
 	defer c.Close()
 	got, _ := io.ReadAll(c)
 	if pollUntil(t, n, link, front.Closed); int64(len(got)) > sent || link.SentBytes() != sent || sent == int64(len(text)) {
-		t.Errorf("%d bytes came, %d were told as sent", len(got), sent)
+		t.Errorf("received %d bytes, SentBytes %d", len(got), sent)
 	}
 }
 
@@ -141,13 +144,14 @@
 	link.Write([]byte("start"))
 	link.Flush()
 	if pollUntil(t, n, link, front.Closed); link.SentBytes() != 0 {
-		t.Errorf("%d bytes told as sent", link.SentBytes())
+		t.Errorf("SentBytes is %d", link.SentBytes())
 	}
 	if _, err := n.Dial("nowhere"); err == nil {
-		t.Error("an address that is none is dialled")
+		t.Error("Dial accepts an invalid address")
 	}
 }
 
+// TestFullRingBlocksPeer: a link buffers no more than its ring holds of what a peer sends, and loses nothing.
 func TestFullRingBlocksPeer(t *testing.T) {
 	n := openNet(t)
 	c, err := net.Dial("tcp", n.Addr())
@@ -161,7 +165,7 @@
 	for at := 0; at < len(text); {
 		in := l.Peek()
 		if len(in) > pgwire.MaxQuerySize+ringHeadroom || !bytes.HasPrefix(text[at:], in) {
-			t.Fatalf("%d bytes at %d", len(in), at)
+			t.Fatalf("%d bytes in the buffer at offset %d", len(in), at)
 		}
 		at += len(in)
 		if l.Discard(len(in)); at < len(text) && len(l.Peek()) == 0 {
@@ -175,9 +179,9 @@
 	}
 }
 
-// TestDialledSocketHasANameFromTheStart: where a socket that is bound nowhere has no name, the standard library
-// refuses to take it over, and each dial failed with "getsockname: address family not supported by protocol".
-// The port is not taken until it connects.
+// TestDialBindsBeforeConnect: on systems where an unbound socket has no name, the standard library refuses to take it over, and
+// every dial failed with "getsockname: address family not supported by protocol". So Dial binds the socket, but without
+// choosing a port before it connects.
 func TestDialBindsBeforeConnect(t *testing.T) {
 	n := openNet(t)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,7 +196,7 @@
 			bound++
 		}
 		if v, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_IP, ipBindAddressNoPort); err != nil || v != 1 {
-			t.Errorf("bind takes a port of its own: %d, %v", v, err)
+			t.Errorf("bind would choose a port: option is %d, %v", v, err)
 		}
 		return syscall.Bind(fd, sa)
 	}
@@ -206,9 +210,9 @@
 	}
 }
 
-// TestLastAnswerBehindUnreadBytes: a client that has sent more than was read when its connection ends gets the whole of its
-// last answer all the same. A close over unread bytes was a reset, which took with it what the client had not read yet.
-func TestFinishSendsAllDespiteUnreadInput(t *testing.T) {
+// TestFinishSendsAllDespiteUnreadInput: a client that has sent more than was read when its connection is ended still receives
+// its whole last answer. Closing with unread bytes reset the connection, and the client lost what it had not read yet.
+func TestCloseWriteSendsAllDespiteUnreadInput(t *testing.T) {
 	n := openNet(t)
 	c, err := net.Dial("tcp", n.Addr())
 	if err != nil {
@@ -220,11 +224,11 @@
 	l.(*Link).conn.SetWriteBuffer(4 << 10)
 	text := bytes.Repeat([]byte("0123456789"), 14<<10)
 	if !l.Write(text) {
-		t.Fatal("no room")
+		t.Fatal("Write refused the answer")
 	}
 	l.Flush()
 	l.CloseWrite()
-	more := bytes.Repeat([]byte("x"), 300<<10) // past what the ring holds
+	more := bytes.Repeat([]byte("x"), 300<<10) // more than the ring buffer holds
 	go c.Write(more)
 	got := make(chan []byte)
 	go func() {
@@ -246,16 +250,17 @@
 		}
 	}
 	if !bytes.Equal(b, text) {
-		t.Fatalf("%d of %d bytes came", len(b), len(text))
+		t.Fatalf("received %d of %d bytes", len(b), len(text))
 	}
 	c.Close()
 	pollUntil(t, n, l, front.Closed)
 	if n.Poll(0); n.Clients() != 0 {
-		t.Error("it is still open")
+		t.Error("the connection is still open")
 	}
 }
 
-// TestAbortedIsNotSentOn: what the system still holds of an attempt that was given up does not reach a store that reads on.
+// TestAbortDropsBufferedOutput: after Abort, data that the system still buffers for an abandoned attempt does not reach a store
+// that continues to read.
 func TestAbortDropsBufferedOutput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -281,16 +286,16 @@
 	link.Abort()
 	got, err := io.ReadAll(c)
 	if err == nil {
-		t.Errorf("%d bytes, and an end as if nothing were wrong", len(got))
+		t.Errorf("received %d bytes and a regular end, want a reset", len(got))
 	}
 	pollUntil(t, n, link, front.Closed)
 }
 
-// TestDropsWhatEndedWithIt: the core hangs up in the middle of a message and drops that message then. The ring is empty by
-// that time; what comes later is still read and dropped, and nothing is left behind.
-func TestDiscardAfterFinish(t *testing.T) {
+// TestDiscardAfterFinish: the core ends a connection in the middle of a message and discards that message afterwards. The ring
+// buffer is already empty then. Data that arrives later is still read and dropped, and no memory or link is leaked.
+func TestDiscardAfterCloseWrite(t *testing.T) {
 	n := openNet(t)
-	for _, size := range []int{5, 60 << 10} { // one that the ring was grown for, too
+	for _, size := range []int{5, 60 << 10} { // the second makes the ring buffer grow
 		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -304,7 +309,7 @@
 		l.Discard(size)
 		l.(*Link).mu.Lock()
 		if got := l.(*Link).in.Len(); got != 0 {
-			t.Errorf("%d bytes are left", got)
+			t.Errorf("%d bytes are left in the buffer", got)
 		}
 		l.(*Link).mu.Unlock()
 		c.Write(make([]byte, 100<<10))
--- a/internal/sock/writable.go
+++ b/internal/sock/writable.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	maxWritableEvents  = 64                   // taken from the system at a time
-	writeRetryInterval = 2 * time.Millisecond // until a write is tried again where the system cannot tell when it may be
+	maxWritableEvents  = 64                   // events taken from the system per epoll_wait
+	writeRetryInterval = 2 * time.Millisecond // delay before a write is retried if epoll can't watch the socket
 )
 
-// writability tells when a socket whose buffer was full takes bytes again.
+// writability reports when a socket whose send buffer was full becomes writable again.
 //
-// Danger: nbio sends what a write left over at the next edge of writability. A write that was cut short or interrupted
-// while the buffer had room is followed by no edge, and the rest would stay there. Here each wait begins with the state
-// that the socket is in, so none is missed.
+// nbio sends the remainder of a write at the next edge of writability. After a write that was cut short or interrupted while
+// the buffer had space no edge follows, and the remainder would never be sent. Here each wait adds the socket to an epoll
+// instance of its own, which reports the current state first, so no change is missed.
 type writability struct {
-	epoll      int
-	onWritable func(l *Link)
+	epoll      int           // epoll descriptor
+	onWritable func(l *Link) // called when a link's wait has ended
 
 	mu      sync.Mutex
-	waiting map[int32]*Link // by token: a descriptor may be another socket's by the time its event is looked at
-	token   int32
+	waiting map[int32]*Link // by token; a descriptor may belong to another socket by the time its event is handled
+	token   int32           // of the last wait started
 }
 
+// newWritability starts a writability, which calls onWritable from its own goroutines.
 func newWritability(onWritable func(l *Link)) (*writability, error) {
 	epoll, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
@@ -35,7 +36,8 @@
 	return w, nil
 }
 
-// wait has a link told of once its socket takes bytes. The connection's lock is held and it is open.
+// wait arranges for onWritable to be called once the link's socket is writable. The connection must be open, and the caller
+// must hold its lock.
 func (w *writability) wait(l *Link) {
 	w.mu.Lock()
 	w.token++
@@ -49,14 +51,14 @@
 	}
 }
 
-// forget is told that a link is closed. The system has ended the wait by itself.
+// forget drops the wait of a link that was closed. The system has removed the socket from the epoll instance by itself.
 func (w *writability) forget(l *Link) {
 	w.mu.Lock()
 	delete(w.waiting, l.waitToken)
 	w.mu.Unlock()
 }
 
-// finishWait ends a wait, and tells of it.
+// finishWait ends the wait with the token, if it still exists, and calls onWritable.
 func (w *writability) finishWait(token int32) {
 	w.mu.Lock()
 	l := w.waiting[token]
@@ -74,6 +76,7 @@
 	w.onWritable(l)
 }
 
+// run handles the events of the epoll instance for the life of the process.
 func (w *writability) run() {
 	events := make([]syscall.EpollEvent, maxWritableEvents)
 	for {
--- a/internal/syscallfault/fault.go
+++ b/internal/syscallfault/fault.go
@@ -1,7 +1,8 @@
 //go:build linux && amd64
 
-// Package syscallfault runs a program under ptrace and makes system calls of its choice fail, transfer less than was asked
-// for, or return late, as Linux documents that they may. It needs no rights beyond those of a parent over its child.
+// Package syscallfault runs a program under ptrace and injects faults into its system calls: they fail, transfer fewer bytes
+// than requested, or return late, all within what Linux documents. It needs no privileges beyond those that a parent has over
+// its child.
 package syscallfault
 
 import (
@@ -11,28 +12,28 @@
 
 // Call is one system call that the program is about to make.
 type Call struct {
-	Number     uint64 // as in package syscall: SYS_WRITE and so on
-	Descriptor int
-	Size       int // third argument: bytes for read and write
-	Thread     int
+	Number     uint64 // system call number, such as syscall.SYS_WRITE
+	Descriptor int    // first argument
+	Size       int    // third argument: the byte count of read and write
+	Thread     int    // thread ID of the caller
 }
 
-// Fault is what happens to a call. The zero value: nothing.
+// Fault describes what to do to a call. The zero value leaves the call as it is.
 type Fault struct {
-	Errno syscall.Errno // the call is not made, and fails with this
-	Size  int           // over 0: it is asked for this many bytes in place of all
-	Delay time.Duration // its thread sees the result that much later, while all others go on
+	Errno syscall.Errno // if not 0, the call isn't made and fails with this error
+	Size  int           // if positive, replaces the byte count of the call
+	Delay time.Duration // how long the calling thread is held before it sees the result; other threads continue
 }
 
-// FaultFunc decides what happens to each call. It is called by one goroutine.
+// FaultFunc returns the fault to inject into a call. It is called from one goroutine only.
 type FaultFunc func(call Call) Fault
 
 const (
 	minMessageSize = 9 // bytes; shorter transfers are wake-ups between the program's own threads
-	firstSocket    = 3 // descriptors below are the standard streams
+	firstSocket    = 3 // lower descriptors are the standard streams
 )
 
-// IsTransfer tells whether a call reads or writes a message on a connection.
+// IsTransfer reports whether the call is a read or write that can carry a message on a connection.
 func (c Call) IsTransfer() bool {
 	return (c.Number == syscall.SYS_WRITE || c.Number == syscall.SYS_READ) && c.Descriptor >= firstSocket && c.Size >= minMessageSize
 }
--- a/internal/syscallfault/fault_test.go
+++ b/internal/syscallfault/fault_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// runCat runs cat over a file with these faults and gives what it wrote.
+// runCat runs cat on a file of size bytes with the faults and returns the file's content and cat's output.
 func runCat(t *testing.T, size int, faults FaultFunc) (want, got []byte) {
 	t.Helper()
 	want = bytes.Repeat([]byte("0123456789"), size/10)
--- a/internal/syscallfault/tracer.go
+++ b/internal/syscallfault/tracer.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	waitNoThread   = 0x20000000 // __WNOTHREAD: only what this thread has started or traces
+	waitNoThread   = 0x20000000 // __WNOTHREAD: wait only for children and tracees of this thread
 	optionExitKill = 0x100000   // PTRACE_O_EXITKILL
 	syscallStop    = syscall.SIGTRAP | 0x80
 	noSuchCall     = ^uint64(0)
 	pollInterval   = 200 * time.Microsecond
-	registerError  = "syscallfault: registers: %w"
+	registerError  = "syscallfault: access registers: %w"
 )
 
-// Process is a traced program.
+// Process is a program that runs under the tracer.
 type Process struct {
-	PID  int
-	done chan struct{}
-	err  error
+	PID  int           // process ID
+	done chan struct{} // closed when the program has ended and err is set
+	err  error         // what went wrong with the tracing
 }
 
-// Start starts the command under a tracer of its own. The command must not be waited for by its own methods: Wait does it.
+// Start starts the command under its own tracer. The caller must not call cmd.Wait or similar methods; Process.Wait waits for
+// the program.
 func Start(cmd *exec.Cmd, faults FaultFunc) (*Process, error) {
 	process := &Process{done: make(chan struct{})}
 	started := make(chan error)
 	go func() {
 		defer close(process.done)
-		runtime.LockOSThread() // ptrace obeys the thread that started the program, and no other; it ends with this goroutine
+		runtime.LockOSThread() // ptrace requests must come from the thread that started the program; the thread exits with this goroutine
 		attributes := syscall.SysProcAttr{}
 		if cmd.SysProcAttr != nil {
 			attributes = *cmd.SysProcAttr
@@ -53,41 +54,42 @@
 	return process, <-started
 }
 
-// Wait waits for the program's end. The error tells what went wrong with the tracing, if anything did.
+// Wait waits until the program has ended. It returns an error if the tracing failed; the exit status is not reported.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.err
 }
 
-// Done is closed at the program's end.
+// Done returns a channel that is closed when the program has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Signal sends the program a signal.
+// Signal sends a signal to the program.
 func (p *Process) Signal(signal syscall.Signal) error { return syscall.Kill(p.PID, signal) }
 
-// thread is one of the program's threads.
+// thread is the state of one thread of the program.
 type thread struct {
-	inCall    bool // it stopped at a call's entry, and stops next at its exit
-	fault     Fault
-	heldUntil time.Time // when it may go on; zero: it is running
+	inCall    bool      // its last stop was the entry of a system call; the next is the exit
+	fault     Fault     // fault of the current call
+	heldUntil time.Time // when it may resume; zero if it is running
 }
 
+// tracer follows all threads of one program. All its methods run on the thread that started the program.
 type tracer struct {
-	leader      int
-	faults      FaultFunc
-	threads     map[int]*thread
-	heldThreads int
+	leader      int             // process ID
+	faults      FaultFunc       // decides the fault of each call
+	threads     map[int]*thread // by thread ID
+	heldThreads int             // threads whose heldUntil is set
 }
 
-// run follows the program from its first stop to its end.
+// run traces the program from its first stop until its last thread has ended.
 func (t *tracer) run() error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(t.leader, &status, syscall.WALL, nil); err != nil {
-		return fmt.Errorf("syscallfault: first stop: %w", err)
+		return fmt.Errorf("syscallfault: wait for first stop: %w", err)
 	}
 	options := syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | optionExitKill
 	if err := syscall.PtraceSetOptions(t.leader, options); err != nil {
-		return fmt.Errorf("syscallfault: options: %w", err)
+		return fmt.Errorf("syscallfault: set ptrace options: %w", err)
 	}
 	t.threads[t.leader] = &thread{}
 	t.resume(t.leader, 0)
@@ -100,7 +102,7 @@
 		switch {
 		case err == syscall.EINTR:
 		case err == syscall.ECHILD:
-			return nil // the last thread has ended
+			return nil // no tracee is left
 		case err != nil:
 			return fmt.Errorf("syscallfault: wait: %w", err)
 		case id == 0:
@@ -114,7 +116,7 @@
 	}
 }
 
-// handleStop handles one stop or end of a thread.
+// handleStop handles a stop or the exit of a thread.
 func (t *tracer) handleStop(id int, status syscall.WaitStatus) error {
 	if !status.Stopped() {
 		if held := t.threads[id]; held != nil && !held.heldUntil.IsZero() {
@@ -126,12 +128,12 @@
 	signal := status.StopSignal()
 	current, known := t.threads[id]
 	switch {
-	case !known: // a new thread's first stop, with a SIGSTOP that nobody sent
+	case !known: // the first stop of a new thread, for a SIGSTOP that the kernel generates
 		t.threads[id] = &thread{}
 		t.resume(id, 0)
 	case signal == syscallStop:
 		return t.handleSyscall(id, current)
-	case signal == syscall.SIGTRAP: // an event: the new thread's own stop tells of it
+	case signal == syscall.SIGTRAP: // a clone event; the new thread is registered at its own first stop
 		t.resume(id, 0)
 	default:
 		t.resume(id, int(signal))
@@ -139,11 +141,11 @@
 	return nil
 }
 
-// handleSyscall handles the entry or the exit of a system call.
+// handleSyscall handles a stop at the entry or exit of a system call.
 func (t *tracer) handleSyscall(id int, current *thread) error {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(id, &registers); err == syscall.ESRCH {
-		return nil // killed meanwhile
+		return nil // the thread was killed in the meantime
 	} else if err != nil {
 		return fmt.Errorf(registerError, err)
 	}
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// applyAtEntry changes a call's registers at its entry; false: it is made as it is.
+// applyAtEntry changes the registers of a call at its entry as the fault requires. It reports whether it changed any.
 func (t *tracer) applyAtEntry(fault Fault, registers *syscall.PtraceRegs) bool {
 	switch {
 	case fault.Errno != 0:
@@ -183,6 +185,7 @@
 	return true
 }
 
+// setRegisters writes the registers of a stopped thread and resumes it.
 func (t *tracer) setRegisters(id int, registers *syscall.PtraceRegs) error {
 	if err := syscall.PtraceSetRegs(id, registers); err != nil && err != syscall.ESRCH {
 		return fmt.Errorf(registerError, err)
@@ -191,14 +194,15 @@
 	return nil
 }
 
-// resume lets a thread go on to its next stop, unless it is held. A thread that was killed meanwhile is told of by Wait4.
+// resume continues a thread until its next stop, unless it is held. Errors are ignored: Wait4 reports a thread that was
+// killed in the meantime.
 func (t *tracer) resume(id, signal int) {
 	if t.threads[id].heldUntil.IsZero() {
 		syscall.PtraceSyscall(id, signal)
 	}
 }
 
-// releaseHeld lets those threads go on whose time has come.
+// releaseHeld resumes the held threads whose delay has passed.
 func (t *tracer) releaseHeld() {
 	if t.heldThreads == 0 {
 		return
