--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -251,7 +251,7 @@
 	case *whole && l.Kind != balance.ListFull:
 		return errors.New("received changes where the whole list was requested")
 	case !*whole && version < w.version:
-		return fmt.Errorf("received version %d after version %d", version, w.version)
+		return fmt.Errorf("version %d after %d", version, w.version)
 	case l.Kind == balance.ListFull && version < w.newestVersion:
 		// A discovery that has gone back to an older version doesn't know of drains that it published before.
 		l.Kind = balance.ListStale
