--- a/admission/arrive.go
+++ b/admission/arrive.go
@@ -4,79 +4,79 @@
 const waitEighths = 3
 
 // Arrive takes in a request. It is let in, queued or refused before Arrive returns.
-func (d *Controller) Arrive(now Time, a Arrival) {
-	d.now = now
-	d.grow(int(a.Request) + 1)
-	class := &d.classes[a.Class]
-	again := class.tries.Observe(a.TimeLeft, 2*d.tickSpan) || a.MarkedRetry
-	place := d.names.at(a.Tenant)
-	laneIndex := d.laneAt(a.Group, class.Need)
-	l := &d.lanes[laneIndex]
-	d.tickets[a.Request] = ticket{
-		lane:      laneIndex,
-		place:     place,
+func (c *Controller) Arrive(now Time, a Arrival) {
+	c.now = now
+	c.grow(int(a.Request) + 1)
+	class := &c.classes[a.Class]
+	isRetry := class.tries.Observe(a.TimeLeft, 2*c.tickInterval) || a.MarkedRetry
+	flowIndex := c.tenants.flowIndex(a.Tenant)
+	index := c.schedulerIndex(a.Group, class.Need)
+	s := &c.schedulers[index]
+	c.requests[a.Request] = requestRecord{
+		scheduler: index,
+		flowIndex: flowIndex,
 		class:     int32(a.Class),
 		bytes:     int32(a.Bytes),
-		token:     d.names.token(a.Tenant, a.RetryKey),
+		retryHash: c.tenants.retryHash(a.Tenant, a.RetryKey),
 		work:      class.work,
 		arrivedAt: now,
 		older:     none,
 		newer:     none,
 	}
-	if l.flows == nil && l.hasRoom(d) {
-		d.totals.Passed++
-		d.letIn(a.Request)
+	if s.flows == nil && s.mayHandOff(c) {
+		c.totals.Passed++
+		c.admitNow(a.Request)
 		return
 	}
-	if l.flows == nil {
-		l.flows = d.newFlows()
+	if s.flows == nil {
+		s.flows = c.newFlows()
 	}
-	d.admit(&a, l, again)
+	c.admitOrQueue(&a, s, isRetry)
 }
 
-// admit lets a request in, has it wait, or refuses it, by its tenant's share.
-func (d *Controller) admit(a *Arrival, l *lane, again bool) {
-	t := &d.tickets[a.Request]
-	f := &l.flows[t.place]
-	f.calendar.advance(d.now / d.slot)
-	d.prioritize(t, f, again)
-	weight := d.weight(l, t.place)
-	if l.waiting == 0 && l.hasRoom(d) {
-		if t.priority == retry {
+// admitOrQueue lets a request in, has it wait, or refuses it, by its tenant's share.
+func (c *Controller) admitOrQueue(a *Arrival, s *scheduler, isRetry bool) {
+	r := &c.requests[a.Request]
+	f := &s.flows[r.flowIndex]
+	f.reservations.advance(c.now / c.slotSpan)
+	c.prioritize(r, f, isRetry)
+	weight := c.weight(s, r.flowIndex)
+	if s.waiting == 0 && s.mayHandOff(c) {
+		if r.priority == retry {
 			f.retryCredit = max(f.retryCredit-1, 0)
 		}
-		d.totals.Passed++
-		l.charge(f, weight, t.work)
-		d.letIn(a.Request)
+		c.totals.Passed++
+		s.charge(f, weight, r.work)
+		c.admitNow(a.Request)
 		return
 	}
-	if !d.mayWait(a, l) {
-		d.refuse(a.Request)
+	if !c.mayWait(a, s) {
+		c.refuse(a.Request)
 		return
 	}
-	if d.full(a.Bytes) && !d.displace(l, t.place, t) {
-		d.totals.Displaced++
-		d.refuse(a.Request)
+	if c.full(a.Bytes) && !c.displace(s, r.flowIndex, r) {
+		c.totals.Displaced++
+		c.refuse(a.Request)
 		return
 	}
-	d.totals.Queued++
-	d.enqueue(a.Request, l, a.Client)
+	c.totals.Queued++
+	c.enqueue(a.Request, s, a.Client)
 }
 
 // prioritize sets a request's priority. A retry that comes as it was told takes its promise up; a first try
 // earns its tenant credit for retries.
-func (d *Controller) prioritize(t *ticket, f *flow, again bool) {
-	t.priority = firstTry
-	if again {
-		t.priority = retry
-		d.takePromise(t)
+func (c *Controller) prioritize(r *requestRecord, f *flow, isRetry bool) {
+	r.priority = firstTry
+	if isRetry {
+		r.priority = retry
+		c.takeReservation(r)
 	}
-	switch t.priority {
+	switch r.priority {
 	case firstTry:
-		f.retryCredit = min(f.retryCredit+d.bounds.RetriesPerRequest, d.maxRetryCredit())
-		f.firstTryWork += float32(t.work)
-	case promised:
-		d.totals.Kept++
+		f.retryCredit = min(f.retryCredit+c.bounds.RetriesPerRequest, c.maxRetryCredit())
+		f.firstTryWork += float32(r.work)
+	case reserved:
+		c.totals.Kept++
 	}
 }
 
@@ -84,18 +84,18 @@
 // would be let in in time.
 //
 // Danger: tries that come again at once feed the queue that refused them.
-func (d *Controller) mayWait(a *Arrival, l *lane) bool {
-	t := &d.tickets[a.Request]
-	f := &l.flows[t.place]
-	if t.priority == retry {
+func (c *Controller) mayWait(a *Arrival, s *scheduler) bool {
+	r := &c.requests[a.Request]
+	f := &s.flows[r.flowIndex]
+	if r.priority == retry {
 		if f.retryCredit < 1 {
 			return false
 		}
 		f.retryCredit--
 	}
-	t.failsAt = d.now + d.classes[a.Class].waitLimit(t.priority, a.TimeLeft)
-	wait := Time(l.expectedWait(d, f, d.weight(l, t.place), t.priority, a.Client))
-	return d.now+wait <= t.failsAt
+	r.waitDeadline = c.now + c.classes[a.Class].waitLimit(r.priority, a.TimeLeft)
+	wait := Time(s.expectedWait(c, f, c.weight(s, r.flowIndex), r.priority, a.Client))
+	return c.now+wait <= r.waitDeadline
 }
 
 // waitLimit returns how long a request may wait: well under half its time, and not past what it needs to be
@@ -103,21 +103,21 @@
 // to come has mostly outlived that time, and is owed the place all the same.
 func (c *requestClass) waitLimit(p priority, left Time) Time {
 	limit := left * waitEighths / 8
-	if c.LateCredit == 0 && p != promised {
+	if c.LateCredit == 0 && p != reserved {
 		limit = min(limit, max(c.ExpectedTime-Time(2*c.work), c.ExpectedTime/4))
 	}
 	return limit
 }
 
-// letIn hands a request that is in no queue to the module.
-func (d *Controller) letIn(request int32) {
-	t := &d.tickets[request]
-	t.state = admitted
-	t.stateSince = d.now
-	l := &d.lanes[t.lane]
-	l.admitted++
-	d.gate.Admit(request)
-	if t.state != absent {
-		l.learnFromAdmission(d, t.state == attempting)
+// admitNow hands a request that is in no queue to the module.
+func (c *Controller) admitNow(request int32) {
+	r := &c.requests[request]
+	r.state = admitted
+	r.stateSince = c.now
+	s := &c.schedulers[r.scheduler]
+	s.admitted++
+	c.handler.Admit(request)
+	if r.state != absent {
+		s.learnFromAdmission(c, r.state == attempting)
 	}
 }
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -1,36 +1,36 @@
 package admission
 
 // workWeight is the weight of a new value in the average work of a class, as a divisor.
-const workWeight = 32
+const workSmoothing = 32
 
 // AttemptStarted takes in that an attempt of a request has started.
-func (d *Controller) AttemptStarted(now Time, request int32) {
-	d.now = now
-	if int(request) >= len(d.tickets) || d.tickets[request].state != admitted {
+func (c *Controller) AttemptStarted(now Time, request int32) {
+	c.now = now
+	if int(request) >= len(c.requests) || c.requests[request].state != admitted {
 		return
 	}
-	t := &d.tickets[request]
-	t.state = attempting
-	t.stateSince = now
-	t.attempts++
-	d.lanes[t.lane].attempting++
+	r := &c.requests[request]
+	r.state = attempting
+	r.stateSince = now
+	r.attempts++
+	c.schedulers[r.scheduler].attempting++
 }
 
 // AttemptEnded takes in that a request's attempt has ended, and no other has started so far. The time of an attempt
 // that was answered is averaged into the work of its class.
-func (d *Controller) AttemptEnded(now Time, request int32, delivered bool) {
-	d.now = now
-	if int(request) >= len(d.tickets) || d.tickets[request].state != attempting {
+func (c *Controller) AttemptEnded(now Time, request int32, delivered bool) {
+	c.now = now
+	if int(request) >= len(c.requests) || c.requests[request].state != attempting {
 		return
 	}
-	t := &d.tickets[request]
+	r := &c.requests[request]
 	if delivered {
-		class := &d.classes[t.class]
-		class.work = max(class.work+(float64(now-t.stateSince)-class.work)/workWeight, 1)
+		class := &c.classes[r.class]
+		class.work = max(class.work+(float64(now-r.stateSince)-class.work)/workSmoothing, 1)
 	}
-	t.state = admitted
-	t.stateSince = now
-	d.lanes[t.lane].attempting--
+	r.state = admitted
+	r.stateSince = now
+	c.schedulers[r.scheduler].attempting--
 }
 
 // RequestEnded takes in that a request has had its final answer, or its client is gone. It may be in any state, or
@@ -38,26 +38,26 @@
 //
 // Danger: a tenant whose attempts often fail must not pay less than what they cost. It was charged for one
 // attempt, and is charged for the others here.
-func (d *Controller) RequestEnded(now Time, request int32) {
-	d.now = now
-	if int(request) >= len(d.tickets) {
+func (c *Controller) RequestEnded(now Time, request int32) {
+	c.now = now
+	if int(request) >= len(c.requests) {
 		return
 	}
-	t := &d.tickets[request]
-	l := &d.lanes[t.lane]
-	switch t.state {
+	r := &c.requests[request]
+	s := &c.schedulers[r.scheduler]
+	switch r.state {
 	case absent:
 		return
 	case waiting:
-		d.dequeue(request)
+		c.dequeue(request)
 	case attempting, admitted:
-		if t.state == attempting {
-			l.attempting--
+		if r.state == attempting {
+			s.attempting--
 		}
-		l.admitted--
-		if l.flows != nil {
-			l.adjust(d, t.place, t.work*float64(t.attempts-1))
+		s.admitted--
+		if s.flows != nil {
+			s.adjustCharge(c, r.flowIndex, r.work*float64(r.attempts-1))
 		}
 	}
-	*t = ticket{}
+	*r = requestRecord{}
 }
--- a/admission/contention.go
+++ b/admission/contention.go
@@ -17,68 +17,68 @@
 var needNames = [...]string{"any data", "bounded age", "session", "fresh", "writes"}
 
 // logContention is called at each tick, and logs when contention begins and ends.
-func (l *lane) logContention(d *Controller) {
-	if l.waiting > 0 {
-		l.quietSince = 0
-		if l.waitingSince == 0 {
-			l.waitingSince = d.now
+func (s *scheduler) logContention(c *Controller) {
+	if s.waiting > 0 {
+		s.emptySince = 0
+		if s.waitingSince == 0 {
+			s.waitingSince = c.now
 		}
-		if !l.contended && d.now-l.waitingSince > d.quickest/contentionDivisor {
-			l.beginContention(d)
+		if !s.contended && c.now-s.waitingSince > c.minExpectedTime/contentionDivisor {
+			s.beginContention(c)
 		}
 		return
 	}
-	l.waitingSince = 0
-	if l.quietSince == 0 {
-		l.quietSince = d.now
+	s.waitingSince = 0
+	if s.emptySince == 0 {
+		s.emptySince = c.now
 	}
-	if d.now-l.quietSince > quietFactor*d.quickest {
-		l.learnedSpan = 0
+	if c.now-s.emptySince > quietFactor*c.minExpectedTime {
+		s.sampledSpan = 0
 	}
-	if l.contended && l.learnedSpan == 0 {
-		l.endContention(d)
+	if s.contended && s.sampledSpan == 0 {
+		s.endContention(c)
 	}
 }
 
-func (l *lane) beginContention(d *Controller) {
-	l.contended = true
-	l.refused = 0
-	d.totals.Contended++
-	heaviest := l.heaviest(d, func(f *flow) float64 { return f.workBefore(retry) })
-	d.gate.Log(fmt.Sprintf("door: jobs wait at group %d (%s): %d; of the work: %s",
-		l.key.group, needNames[l.key.need], l.waiting, heaviest))
-	for k := range l.flows {
-		l.flows[k].workDone = 0
+func (s *scheduler) beginContention(c *Controller) {
+	s.contended = true
+	s.refused = 0
+	c.totals.Contended++
+	heaviest := s.heaviestTenants(c, func(f *flow) float64 { return f.workBefore(retry) })
+	c.handler.Log(fmt.Sprintf("door: jobs wait at group %d (%s): %d; of the work: %s",
+		s.key.group, needNames[s.key.need], s.waiting, heaviest))
+	for k := range s.flows {
+		s.flows[k].admittedWork = 0
 	}
 }
 
-func (l *lane) endContention(d *Controller) {
-	l.contended = false
-	heaviest := l.heaviest(d, func(f *flow) float64 { return f.workDone })
-	d.gate.Log(fmt.Sprintf(
+func (s *scheduler) endContention(c *Controller) {
+	s.contended = false
+	heaviest := s.heaviestTenants(c, func(f *flow) float64 { return f.admittedWork })
+	c.handler.Log(fmt.Sprintf(
 		"door: no job waits at group %d (%s) any more; turned back meanwhile: %d; of the work let in: %s",
-		l.key.group, needNames[l.key.need], l.refused, heaviest))
+		s.key.group, needNames[s.key.need], s.refused, heaviest))
 }
 
-// heaviest names the tenants with the largest parts of a sum.
-func (l *lane) heaviest(d *Controller, valueOf func(f *flow) float64) string {
-	var places [logTenants]int32
+// heaviestTenants names the tenants with the largest parts of a sum.
+func (s *scheduler) heaviestTenants(c *Controller, valueOf func(f *flow) float64) string {
+	var flowIndexes [logTenants]int32
 	var values [logTenants]float64
 	sum := 0.0
-	for k := range l.flows {
-		place, value := int32(k), valueOf(&l.flows[k])
+	for k := range s.flows {
+		flowIndex, value := int32(k), valueOf(&s.flows[k])
 		sum += value
 		for rank := range values {
 			if value > values[rank] {
 				values[rank], value = value, values[rank]
-				places[rank], place = place, places[rank]
+				flowIndexes[rank], flowIndex = flowIndex, flowIndexes[rank]
 			}
 		}
 	}
 	var texts []string
 	for rank, value := range values {
 		if value > 0 {
-			texts = append(texts, fmt.Sprintf("%s %.0f%%", d.names.call(places[rank]), 100*value/sum))
+			texts = append(texts, fmt.Sprintf("%s %.0f%%", c.tenants.label(flowIndexes[rank]), 100*value/sum))
 		}
 	}
 	return strings.Join(texts, ", ")
--- a/admission/door.go
+++ b/admission/controller.go
@@ -34,10 +34,10 @@
 
 // Figures of the estimates that a door begins with, and of a class's rank.
 const (
-	firstWorkDivisor = 4    // the work of an attempt is taken for this part of the expected time at first
-	minRank          = 0.25 // credit counts within a tenant, but must not starve what earns little
-	maxRank          = 4.0
-	minQuotaWeight   = 1.0 / 64 // of a tenant without a quota
+	initialWorkDivisor = 4    // the work of an attempt is taken for this part of the expected time at first
+	minRank            = 0.25 // credit counts within a tenant, but must not starve what earns little
+	maxRank            = 4.0
+	minQuotaWeight     = 1.0 / 64 // of a tenant without a quota
 )
 
 var errNoClasses = errors.New("door: no profiles")
@@ -52,36 +52,36 @@
 
 // Controller is the admission control of one front. It is not safe for concurrent use.
 type Controller struct {
-	gate    Handler
+	handler Handler
 	now     Time // of the call in hand
 	bounds  Bounds
-	chance  random.Source
+	rng     random.Source
 	classes []requestClass
 
 	// Tenants (names.go).
-	names     *names
-	quotas    []float64 // weight of each tenant of the settings
-	epoch     Time      // for which tenants keep their places
-	epochEnds Time
+	tenants      *tenantTable
+	quotaWeights []float64 // weight of each tenant of the settings
+	epoch        Time      // for which tenants keep their places
+	epochEnds    Time
 
 	// Queues (lane.go, waiting.go).
-	lanes      []lane // never moved: each refers to itself
-	laneOf     map[laneKey]int32
-	tickets    []ticket // by request
-	queue      piles    // requests in the queues of their tenants
-	deadlines  piles    // all that wait, by the moment at which they are refused
-	nextToFail int32    // the request at the top of deadlines; none: nothing waits
-	waiting    int
-	bytes      int // of the requests that wait
+	schedulers       []scheduler // never moved: each refers to itself
+	schedulerIndexes map[schedulerKey]int32
+	requests         []requestRecord // by request
+	queue            pairingHeaps    // requests in the queues of their tenants
+	deadlines        pairingHeaps    // all that wait, by the moment at which they are refused
+	nextToExpire     int32           // the request at the top of deadlines; none: nothing waits
+	waiting          int
+	bytes            int // of the requests that wait
 
 	// Promises (calendar.go).
-	promises  promises
-	slot      Time // of the calendars
-	mostPause Time // longest time that may be promised; 0: none is
+	reservations reservationTable
+	slotSpan     Time // of the calendars
+	maxPause     Time // longest time that may be promised; 0: none is
 
-	tickSpan Time // between two ticks
-	quickest Time // the shortest expected time of the classes
-	totals   Totals
+	tickInterval    Time // between two ticks
+	minExpectedTime Time // the shortest expected time of the classes
+	totals          Totals
 }
 
 // Totals counts what a door has done since its start.
@@ -102,25 +102,25 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Controller{
-		gate:       gate,
-		now:        now,
-		bounds:     bounds,
-		chance:     random.New(settings.Seed + 1),
-		laneOf:     make(map[laneKey]int32, maxLanes),
-		lanes:      make([]lane, 0, maxLanes),
-		nextToFail: none,
-		slot:       max(settings.MaxRetryAfter/slots, 1),
-		mostPause:  settings.MaxRetryAfter,
-		promises:   newPromises(bounds.MaxRequests),
-		tickSpan:   max(settings.EventInterval, 1),
+	c := &Controller{
+		handler:          gate,
+		now:              now,
+		bounds:           bounds,
+		rng:              random.New(settings.Seed + 1),
+		schedulerIndexes: make(map[schedulerKey]int32, maxSchedulers),
+		schedulers:       make([]scheduler, 0, maxSchedulers),
+		nextToExpire:     none,
+		slotSpan:         max(settings.MaxRetryAfter/wheelSlots, 1),
+		maxPause:         settings.MaxRetryAfter,
+		reservations:     newReservationTable(bounds.MaxRequests),
+		tickInterval:     max(settings.EventInterval, 1),
 	}
-	d.setClasses(settings.Classes)
-	d.setTenants(&settings)
-	d.epochEnds = now + d.epoch
-	d.queue.before = d.servedBefore
-	d.deadlines.before = d.failsBefore
-	return d, nil
+	c.setClasses(settings.Classes)
+	c.setTenants(&settings)
+	c.epochEnds = now + c.epoch
+	c.queue.before = c.servedBefore
+	c.deadlines.before = c.expiresBefore
+	return c, nil
 }
 
 func checkBounds(settings *balance.Settings, b *Bounds) error {
@@ -140,44 +140,44 @@
 }
 
 // setClasses takes the classes over, and ranks each by its credit for the work.
-func (d *Controller) setClasses(classes []balance.Class) {
-	d.quickest = classes[0].ExpectedTime
-	d.epoch = classes[0].Deadline
+func (c *Controller) setClasses(classes []balance.Class) {
+	c.minExpectedTime = classes[0].ExpectedTime
+	c.epoch = classes[0].Deadline
 	sum := 0.0
 	for _, class := range classes {
-		work := float64(class.ExpectedTime) / firstWorkDivisor
-		d.classes = append(d.classes, requestClass{Class: class, work: work})
+		work := float64(class.ExpectedTime) / initialWorkDivisor
+		c.classes = append(c.classes, requestClass{Class: class, work: work})
 		sum += class.Credit / work
-		d.quickest = min(d.quickest, class.ExpectedTime)
-		d.epoch = min(d.epoch, class.Deadline)
+		c.minExpectedTime = min(c.minExpectedTime, class.ExpectedTime)
+		c.epoch = min(c.epoch, class.Deadline)
 	}
-	for k := range d.classes {
-		class := &d.classes[k]
+	for k := range c.classes {
+		class := &c.classes[k]
 		relative := class.Credit / class.work * float64(len(classes)) / max(sum, 1e-9)
 		class.rank = min(max(relative, minRank), maxRank)
 	}
 }
 
 // setTenants gives each tenant of the settings a place and a weight, by its quota over the mean.
-func (d *Controller) setTenants(settings *balance.Settings) {
+func (c *Controller) setTenants(settings *balance.Settings) {
 	mean := 0.0
-	fixed := []string{}
+	configured := []string{}
 	for _, tenant := range settings.Tenants {
 		mean += tenant.Quota / float64(len(settings.Tenants))
-		fixed = append(fixed, tenant.Name)
+		configured = append(configured, tenant.Name)
 	}
 	for _, tenant := range settings.Tenants {
 		weight := 1.0
 		if mean > 0 {
 			weight = max(tenant.Quota/mean, minQuotaWeight)
 		}
-		d.quotas = append(d.quotas, weight)
+		c.quotaWeights = append(c.quotaWeights, weight)
 	}
-	d.names = newNames(settings.Seed, fixed, d.bounds.DedicatedTenants, d.bounds.SharedQueues)
+	c.tenants = newTenantTable(settings.Seed, configured, c.bounds.DedicatedTenants, c.bounds.SharedQueues)
 }
 
 // Waiting returns how many requests wait.
-func (d *Controller) Waiting() int { return d.waiting }
+func (c *Controller) Waiting() int { return c.waiting }
 
 // Totals returns the counts so far.
-func (d *Controller) Totals() Totals { return d.totals }
+func (c *Controller) Totals() Totals { return c.totals }
--- a/admission/digest_test.go
+++ b/admission/digest_test.go
@@ -19,18 +19,18 @@
 
 const digestMillisecond = admission.Time(10)
 
-// bed is the module, the stores and the clients behind and before one door.
-type bed struct {
-	door    *admission.Controller
-	now     admission.Time
-	chance  random.Source
-	actions hash.Hash64
-	slots   [2]int // free places at each group's stores
-	held    [2][]int32
-	group   map[int32]int
-	events  []event
-	next    int32
-	back    map[int32]arrival // requests whose client may try again
+// testbed is the module, the stores and the clients behind and before one door.
+type testbed struct {
+	controller  *admission.Controller
+	now         admission.Time
+	rng         random.Source
+	actions     hash.Hash64
+	freeSlots   [2]int // free places at each group's stores
+	held        [2][]int32
+	group       map[int32]int
+	events      []event
+	nextRequest int32
+	arrivals    map[int32]arrival // requests whose client may try again
 }
 
 type event struct {
@@ -39,52 +39,52 @@
 }
 
 type arrival struct {
-	customer string
+	tenant   string
 	class    int
 	client   uint64
-	mark     []byte
-	left     admission.Time
+	retryKey []byte
+	timeLeft admission.Time
 }
 
-func (b *bed) act(format string, values ...any) {
+func (b *testbed) record(format string, values ...any) {
 	fmt.Fprintf(b.actions, "%d ", b.now)
 	fmt.Fprintf(b.actions, format+"\n", values...)
 }
 
-func (b *bed) after(span admission.Time, do func()) {
+func (b *testbed) after(span admission.Time, do func()) {
 	b.events = append(b.events, event{b.now + span, do})
 }
 
 // Admit sends the request at once if a store has a place, else holds it.
-func (b *bed) Admit(request int32) {
-	b.act("let in %d", request)
+func (b *testbed) Admit(request int32) {
+	b.record("let in %d", request)
 	group := b.group[request]
-	if b.slots[group] > 0 {
+	if b.freeSlots[group] > 0 {
 		b.send(request)
 	} else {
 		b.held[group] = append(b.held[group], request)
 	}
 }
 
-func (b *bed) send(request int32) {
+func (b *testbed) send(request int32) {
 	group := b.group[request]
-	b.slots[group]--
-	b.door.AttemptStarted(b.now, request)
-	b.after(20*digestMillisecond+b.chance.Below(120*digestMillisecond), func() {
-		b.slots[group]++
-		delivered := b.chance.Below(12) != 0
-		b.door.AttemptEnded(b.now, request, delivered)
-		if !delivered && b.chance.Below(3) != 0 {
+	b.freeSlots[group]--
+	b.controller.AttemptStarted(b.now, request)
+	b.after(20*digestMillisecond+b.rng.Below(120*digestMillisecond), func() {
+		b.freeSlots[group]++
+		delivered := b.rng.Below(12) != 0
+		b.controller.AttemptEnded(b.now, request, delivered)
+		if !delivered && b.rng.Below(3) != 0 {
 			b.send(request)
 		} else {
-			b.door.RequestEnded(b.now, request)
+			b.controller.RequestEnded(b.now, request)
 		}
-		if len(b.held[group]) > 0 && b.slots[group] > 0 {
+		if len(b.held[group]) > 0 && b.freeSlots[group] > 0 {
 			first := b.held[group][0]
 			b.held[group] = b.held[group][1:]
-			if b.chance.Below(8) == 0 { // the module turns it back
-				b.act("promise %d", b.door.RetryAfter(b.now, first, b.chance.Below(100*digestMillisecond)))
-				b.door.RequestEnded(b.now, first)
+			if b.rng.Below(8) == 0 { // the module turns it back
+				b.record("promise %d", b.controller.RetryAfter(b.now, first, b.rng.Below(100*digestMillisecond)))
+				b.controller.RequestEnded(b.now, first)
 			} else {
 				b.send(first)
 			}
@@ -93,39 +93,39 @@
 }
 
 // Reject has most clients come again, as told or earlier.
-func (b *bed) Reject(request int32, pause admission.Time) {
-	b.act("turn back %d %d", request, pause)
-	a := b.back[request]
-	a.left -= 150 * digestMillisecond
-	if b.chance.Below(4) == 0 || a.left <= 0 {
+func (b *testbed) Reject(request int32, pause admission.Time) {
+	b.record("turn back %d %d", request, pause)
+	a := b.arrivals[request]
+	a.timeLeft -= 150 * digestMillisecond
+	if b.rng.Below(4) == 0 || a.timeLeft <= 0 {
 		return
 	}
-	if pause == 0 || b.chance.Below(5) == 0 {
-		pause = b.chance.Below(80 * digestMillisecond)
+	if pause == 0 || b.rng.Below(5) == 0 {
+		pause = b.rng.Below(80 * digestMillisecond)
 	}
-	a.left -= pause
+	a.timeLeft -= pause
 	b.after(pause, func() { b.arrive(a, true) })
 }
 
-func (b *bed) Log(text string) { b.act("log %s", text) }
+func (b *testbed) Log(text string) { b.record("log %s", text) }
 
-func (b *bed) arrive(a arrival, repeated bool) {
-	if a.left <= 0 {
+func (b *testbed) arrive(a arrival, isRetry bool) {
+	if a.timeLeft <= 0 {
 		return
 	}
-	request := b.next
-	b.next++
-	b.group[request], b.back[request] = a.class%2, a
-	b.door.Arrive(b.now, admission.Arrival{Request: request, Class: a.class, Tenant: []byte(a.customer), Client: a.client,
-		RetryKey: a.mark, Group: uint64(a.class % 2), TimeLeft: a.left, MarkedRetry: repeated && b.chance.Below(2) == 0,
-		Bytes: 100 + int(b.chance.Below(400))})
-	if b.chance.Below(40) == 0 {
-		b.after(b.chance.Below(300*digestMillisecond), func() { b.door.RequestEnded(b.now, request) })
+	request := b.nextRequest
+	b.nextRequest++
+	b.group[request], b.arrivals[request] = a.class%2, a
+	b.controller.Arrive(b.now, admission.Arrival{Request: request, Class: a.class, Tenant: []byte(a.tenant), Client: a.client,
+		RetryKey: a.retryKey, Group: uint64(a.class % 2), TimeLeft: a.timeLeft, MarkedRetry: isRetry && b.rng.Below(2) == 0,
+		Bytes: 100 + int(b.rng.Below(400))})
+	if b.rng.Below(40) == 0 {
+		b.after(b.rng.Below(300*digestMillisecond), func() { b.controller.RequestEnded(b.now, request) })
 	}
 }
 
 // run plays a span with so many arrivals a millisecond.
-func (b *bed) run(span admission.Time, rate float64) {
+func (b *testbed) run(span admission.Time, rate float64) {
 	due := 0.0
 	for end := b.now + span; b.now < end; b.now += digestMillisecond {
 		sort.SliceStable(b.events, func(i, k int) bool { return b.events[i].at < b.events[k].at })
@@ -135,22 +135,22 @@
 			do()
 		}
 		for due += rate; due >= 1; due-- {
-			customer := fmt.Sprint("t", min(b.chance.Below(6), b.chance.Below(6)))
-			if b.chance.Below(5) == 0 {
-				customer = fmt.Sprint("stranger", b.chance.Below(3000))
+			tenant := fmt.Sprint("t", min(b.rng.Below(6), b.rng.Below(6)))
+			if b.rng.Below(5) == 0 {
+				tenant = fmt.Sprint("stranger", b.rng.Below(3000))
 			}
-			class := int(b.chance.Below(3))
-			left := [...]admission.Time{1200, 3000, 800}[class] * digestMillisecond
-			mark := []byte(fmt.Sprint(b.next))
-			b.arrive(arrival{customer, class, uint64(b.chance.Below(50)), mark, left}, false)
+			class := int(b.rng.Below(3))
+			timeLeft := [...]admission.Time{1200, 3000, 800}[class] * digestMillisecond
+			retryKey := []byte(fmt.Sprint(b.nextRequest))
+			b.arrive(arrival{tenant, class, uint64(b.rng.Below(50)), retryKey, timeLeft}, false)
 		}
 		if b.now/digestMillisecond%5 == 0 {
-			b.door.Tick(b.now)
+			b.controller.Tick(b.now)
 		} else {
-			b.door.AdmitWaiting(b.now)
+			b.controller.AdmitWaiting(b.now)
 		}
 	}
-	b.act("%+v %d", b.door.Totals(), b.door.Waiting())
+	b.record("%+v %d", b.controller.Totals(), b.controller.Waiting())
 }
 
 // TestPlayDigest plays one seeded day at the door (calm, a surge, stores that hang, too little room) and
@@ -165,19 +165,19 @@
 			{Name: "quick", Need: balance.Session, ExpectedTime: 100 * digestMillisecond,
 				Deadline: 800 * digestMillisecond, Credit: 2}}}
 	bounds := admission.Bounds{MaxRequests: 300, MaxBytes: 90_000, DedicatedTenants: 16, SharedQueues: 16, SharedWeight: 0.25, RetriesPerRequest: 0.5}
-	b := &bed{now: 1e12, chance: random.New(5), actions: fnv.New64a(), slots: [2]int{30, 12}, group: map[int32]int{},
-		back: map[int32]arrival{}}
-	opened, err := admission.New(b.now, settings, bounds, b)
+	b := &testbed{now: 1e12, rng: random.New(5), actions: fnv.New64a(), freeSlots: [2]int{30, 12}, group: map[int32]int{},
+		arrivals: map[int32]arrival{}}
+	controller, err := admission.New(b.now, settings, bounds, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.door = opened
+	b.controller = controller
 	b.run(4000*digestMillisecond, 0.3)
 	b.run(6000*digestMillisecond, 1.2)
 	b.run(4000*digestMillisecond, 0.1)
-	b.slots = [2]int{-200, -200} // they hang: what is out comes back, and nothing more is sent
+	b.freeSlots = [2]int{-200, -200} // they hang: what is out comes back, and nothing more is sent
 	b.run(1500*digestMillisecond, 0.5)
-	b.slots = [2]int{20, 12}
+	b.freeSlots = [2]int{20, 12}
 	b.run(3000*digestMillisecond, 4)
 	b.run(9000*digestMillisecond, 0.05)
 	if got := fmt.Sprintf("%016x", b.actions.Sum64()); got != playDigest {
--- a/admission/refuse.go
+++ b/admission/refuse.go
@@ -1,74 +1,74 @@
 package admission
 
 // refuse refuses a request that is in no queue.
-func (d *Controller) refuse(request int32) {
-	t := &d.tickets[request]
-	pause := d.promise(t)
-	*t = ticket{}
-	d.totals.Back++
-	d.gate.Reject(request, pause)
+func (c *Controller) refuse(request int32) {
+	r := &c.requests[request]
+	pause := c.reserve(r)
+	*r = requestRecord{}
+	c.totals.Back++
+	c.handler.Reject(request, pause)
 }
 
 // RetryAfter returns when the client of a request that the module has refused should come back. Otherwise is the
 // module's own answer, which is returned where this package has none.
-func (d *Controller) RetryAfter(now Time, request int32, otherwise Time) Time {
-	d.now = now
-	if int(request) >= len(d.tickets) || otherwise <= 0 {
+func (c *Controller) RetryAfter(now Time, request int32, otherwise Time) Time {
+	c.now = now
+	if int(request) >= len(c.requests) || otherwise <= 0 {
 		return otherwise
 	}
-	t := &d.tickets[request]
-	if t.state == absent || d.lanes[t.lane].waiting == 0 {
+	r := &c.requests[request]
+	if r.state == absent || c.schedulers[r.scheduler].waiting == 0 {
 		return otherwise
 	}
-	pause := d.promise(t)
+	pause := c.reserve(r)
 	if pause > 0 {
 		return pause
 	}
 	return otherwise
 }
 
-// promise books a request's work against its tenant's future share and returns when its client should come
+// reserve books a request's work against its tenant's future share and returns when its client should come
 // back. It returns 0 if the settings allow no time, or none within the longest allowed could be kept.
-func (d *Controller) promise(t *ticket) Time {
-	l := &d.lanes[t.lane]
-	l.refused++
-	if d.mostPause <= 0 || l.flows == nil || !l.learned(d) {
+func (c *Controller) reserve(r *requestRecord) Time {
+	s := &c.schedulers[r.scheduler]
+	s.refused++
+	if c.maxPause <= 0 || s.flows == nil || !s.rateKnown(c) {
 		return 0
 	}
-	f := &l.flows[t.place]
-	f.calendar.advance(d.now / d.slot)
-	weight := d.weight(l, t.place)
-	share := l.pace * weight
+	f := &s.flows[r.flowIndex]
+	f.reservations.advance(c.now / c.slotSpan)
+	weight := c.weight(s, r.flowIndex)
+	share := s.virtualRate * weight
 	// First tries have the rest of the share, but must not take all of it from those who come back when told.
-	room := max(share-float64(f.firstTryRate), share/4) * float64(d.slot)
-	carried := max(f.start-l.virtualTime, 0)*weight + f.workBefore(retry)
-	entry := d.promises.free(t.token, f.calendar.at)
-	if entry == nil || t.token == 0 {
+	capacity := max(share-float64(f.firstTryRate), share/4) * float64(c.slotSpan)
+	backlog := max(f.startTag-s.virtualTime, 0)*weight + f.workBefore(retry)
+	entry := c.reservations.entryFor(r.retryHash, f.reservations.current)
+	if entry == nil || r.retryHash == 0 {
 		return 0
 	}
-	ahead := f.calendar.book(float32(t.work), float32(carried), float32(room))
+	ahead := f.reservations.reserve(float32(r.work), float32(backlog), float32(capacity))
 	if ahead == 0 {
 		return 0
 	}
-	d.totals.Promised++
-	slot := f.calendar.at + int64(ahead)
-	*entry = promise{token: t.token, slot: slot, work: float32(t.work), lane: t.lane, place: t.place}
+	c.totals.Promised++
+	slot := f.reservations.current + int64(ahead)
+	*entry = reservation{retryHash: r.retryHash, slot: slot, work: float32(r.work), scheduler: r.scheduler, flowIndex: r.flowIndex}
 	// Clients that are told alike come spread over the slot.
-	return min(max(slot*d.slot+d.chance.Below(d.slot)-d.now, 1), d.mostPause)
+	return min(max(slot*c.slotSpan+c.rng.Below(c.slotSpan)-c.now, 1), c.maxPause)
 }
 
-// takePromise has a retry take up the promise that was made to it, if that is due.
-func (d *Controller) takePromise(t *ticket) {
-	taken, due := d.promises.take(t.token, d.now/d.slot)
+// takeReservation has a retry take up the promise that was made to it, if that is due.
+func (c *Controller) takeReservation(r *requestRecord) {
+	taken, due := c.reservations.take(r.retryHash, c.now/c.slotSpan)
 	if !due {
 		return
 	}
-	t.priority = promised
-	flows := d.lanes[taken.lane].flows
+	r.priority = reserved
+	flows := c.schedulers[taken.scheduler].flows
 	if flows == nil {
 		return
 	}
-	booked := &flows[taken.place].calendar
-	booked.advance(d.now / d.slot)
-	booked.strike(taken.slot, taken.work)
+	wheel := &flows[taken.flowIndex].reservations
+	wheel.advance(c.now / c.slotSpan)
+	wheel.release(taken.slot, taken.work)
 }
--- a/admission/request.go
+++ b/admission/request.go
@@ -30,51 +30,51 @@
 type priority uint8
 
 const (
-	promised priority = iota // it was told to come now
+	reserved priority = iota // it was told to come now
 	firstTry
 	retry
 	priorities
 )
 
-// ticket is what is kept of one request.
-type ticket struct {
-	state      state
-	priority   priority
-	place      int32 // of its tenant
-	lane       int32
-	class      int32
-	attempts   int32
-	bytes      int32
-	older      int32 // the request of its tenant that arrived before it, of those that wait
-	newer      int32
-	token      uint64  // by which its retries are known; 0: by nothing
-	key        float64 // order within its priority
-	work       float64 // that its tenant is charged
-	arrivedAt  Time
-	failsAt    Time // it is refused unless it was let in
-	stateSince Time // of admitted and attempting
+// requestRecord is what is kept of one request.
+type requestRecord struct {
+	state        state
+	priority     priority
+	flowIndex    int32 // of its tenant
+	scheduler    int32
+	class        int32
+	attempts     int32
+	bytes        int32
+	older        int32 // the request of its tenant that arrived before it, of those that wait
+	newer        int32
+	retryHash    uint64  // by which its retries are known; 0: by nothing
+	finishTag    float64 // order within its priority
+	work         float64 // that its tenant is charged
+	arrivedAt    Time
+	waitDeadline Time // it is refused unless it was let in
+	stateSince   Time // of admitted and attempting
 }
 
 // servedBefore orders the requests of one tenant.
-func (d *Controller) servedBefore(a, b int32) bool {
-	x, y := &d.tickets[a], &d.tickets[b]
+func (c *Controller) servedBefore(a, b int32) bool {
+	x, y := &c.requests[a], &c.requests[b]
 	if x.priority != y.priority {
 		return x.priority < y.priority
 	}
-	return x.key < y.key || x.key == y.key && a < b
+	return x.finishTag < y.finishTag || x.finishTag == y.finishTag && a < b
 }
 
-// failsBefore orders all requests that wait by when they are refused.
-func (d *Controller) failsBefore(a, b int32) bool {
-	x, y := d.tickets[a].failsAt, d.tickets[b].failsAt
+// expiresBefore orders all requests that wait by when they are refused.
+func (c *Controller) expiresBefore(a, b int32) bool {
+	x, y := c.requests[a].waitDeadline, c.requests[b].waitDeadline
 	return x < y || x == y && a < b
 }
 
 // grow makes room for so many requests.
-func (d *Controller) grow(count int) {
-	for len(d.tickets) < count {
-		d.tickets = append(d.tickets, ticket{})
+func (c *Controller) grow(count int) {
+	for len(c.requests) < count {
+		c.requests = append(c.requests, requestRecord{})
 	}
-	d.queue.grow(count)
-	d.deadlines.grow(count)
+	c.queue.grow(count)
+	c.deadlines.grow(count)
 }
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -17,33 +17,33 @@
 // classes of the same name is kept, and the counts are; places, promises and credit of tenants begin anew, and
 // requests that were let in before are the module's alone. It returns an error for settings or bounds out of
 // range. The requests that wait here have to arrive there.
-func (d *Controller) Successor(now Time, settings balance.Settings, bounds Bounds) (*Controller, error) {
-	next, err := New(now, settings, bounds, d.gate)
+func (c *Controller) Successor(now Time, settings balance.Settings, bounds Bounds) (*Controller, error) {
+	next, err := New(now, settings, bounds, c.handler)
 	if err != nil {
 		return nil, err
 	}
-	next.totals = d.totals
+	next.totals = c.totals
 	for k := range next.classes {
 		class := &next.classes[k]
-		before := slices.IndexFunc(d.classes, func(c requestClass) bool { return c.Name == class.Name })
+		before := slices.IndexFunc(c.classes, func(c requestClass) bool { return c.Name == class.Name })
 		if before >= 0 {
-			class.work = d.classes[before].work
-			class.tries = d.classes[before].tries
+			class.work = c.classes[before].work
+			class.tries = c.classes[before].tries
 		}
 	}
 	return next, nil
 }
 
 // WaitingRequests returns the requests that wait, the oldest first.
-func (d *Controller) WaitingRequests() []int32 {
+func (c *Controller) WaitingRequests() []int32 {
 	var list []int32
-	for k := range d.tickets {
-		if d.tickets[k].state == waiting {
+	for k := range c.requests {
+		if c.requests[k].state == waiting {
 			list = append(list, int32(k))
 		}
 	}
 	slices.SortStableFunc(list, func(a, b int32) int {
-		return cmp.Compare(d.tickets[a].arrivedAt, d.tickets[b].arrivedAt)
+		return cmp.Compare(c.requests[a].arrivedAt, c.requests[b].arrivedAt)
 	})
 	return list
 }
--- a/admission/tick.go
+++ b/admission/tick.go
@@ -2,63 +2,63 @@
 
 // Tick is called once in a round of the settings or more often: it refuses what has waited too long, learns
 // from what has passed, and lets in what there is room for.
-func (d *Controller) Tick(now Time) {
-	d.now = now
-	for d.nextToFail >= 0 && d.tickets[d.nextToFail].failsAt <= now {
-		request := d.nextToFail
-		d.dequeue(request)
-		d.refuse(request)
+func (c *Controller) Tick(now Time) {
+	c.now = now
+	for c.nextToExpire >= 0 && c.requests[c.nextToExpire].waitDeadline <= now {
+		request := c.nextToExpire
+		c.dequeue(request)
+		c.refuse(request)
 	}
-	for k := range d.lanes {
-		d.lanes[k].learn(d)
+	for k := range c.schedulers {
+		c.schedulers[k].update(c)
 	}
-	if now >= d.epochEnds {
-		d.epochEnds = now + d.epoch
-		d.names.turn(d.releasePlace)
+	if now >= c.epochEnds {
+		c.epochEnds = now + c.epoch
+		c.tenants.endEpoch(c.releaseFlow)
 	}
-	d.AdmitWaiting(now)
+	c.AdmitWaiting(now)
 }
 
-// releasePlace has a place forget the tenant that had it, and returns false if requests of it still wait.
-func (d *Controller) releasePlace(place int32) bool {
-	for k := range d.lanes {
-		l := &d.lanes[k]
-		if l.flows != nil && l.flows[place].waiting > 0 {
+// releaseFlow has a place forget the tenant that had it, and returns false if requests of it still wait.
+func (c *Controller) releaseFlow(flowIndex int32) bool {
+	for k := range c.schedulers {
+		s := &c.schedulers[k]
+		if s.flows != nil && s.flows[flowIndex].waiting > 0 {
 			return false
 		}
 	}
-	for k := range d.lanes {
-		l := &d.lanes[k]
-		if l.flows != nil {
-			l.flows[place] = d.newFlow()
+	for k := range c.schedulers {
+		s := &c.schedulers[k]
+		if s.flows != nil {
+			s.flows[flowIndex] = c.newFlow()
 		}
 	}
 	return true
 }
 
 // AdmitWaiting lets in what there is room for. It is called when attempts have ended.
-func (d *Controller) AdmitWaiting(now Time) {
-	d.now = now
-	if d.waiting == 0 {
+func (c *Controller) AdmitWaiting(now Time) {
+	c.now = now
+	if c.waiting == 0 {
 		return
 	}
-	for k := range d.lanes {
-		l := &d.lanes[k]
-		for l.waiting > 0 && l.hasRoom(d) {
-			d.letNextIn(l)
+	for k := range c.schedulers {
+		s := &c.schedulers[k]
+		for s.waiting > 0 && s.mayHandOff(c) {
+			c.admitNext(s)
 		}
 	}
 }
 
-// letNextIn lets in the next request of the tenant whose turn it is.
-func (d *Controller) letNextIn(l *lane) {
-	place := l.next
-	f := &l.flows[place]
+// admitNext lets in the next request of the tenant whose turn it is.
+func (c *Controller) admitNext(s *scheduler) {
+	flowIndex := s.next
+	f := &s.flows[flowIndex]
 	request := f.next
-	d.dequeue(request)
-	t := &d.tickets[request]
-	f.serve(t.key)
-	l.charge(f, d.weight(l, place), t.work)
-	l.reorder(place)
-	d.letIn(request)
+	c.dequeue(request)
+	r := &c.requests[request]
+	f.advance(r.finishTag)
+	s.charge(f, c.weight(s, flowIndex), r.work)
+	s.reorder(flowIndex)
+	c.admitNow(request)
 }
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -1,10 +1,10 @@
 package admission
 
 // learnedDivisor gives the part of the shortest expected time after which the pace counts as learned.
-const learnedDivisor = 4
+const rateKnownDivisor = 4
 
 // averageFactor is the span of averages, in shortest expected times.
-const averageFactor = 2
+const averagingFactor = 2
 
 // workBefore returns the work that waits and goes before a request of that priority.
 func (f *flow) workBefore(p priority) (work float64) {
@@ -20,53 +20,55 @@
 // Danger: by the whole queue, one client that keeps it full would have the others refused.
 func (f *flow) workBeforeClient(client uint64) float64 {
 	clients := 0.0
-	for _, turn := range f.clientTurns {
-		if turn > f.virtualTime {
+	for _, tag := range f.clientFinishTags {
+		if tag > f.virtualTime {
 			clients++
 		}
 	}
-	return max(f.clientTurns[client%clientPlaces]-f.virtualTime, 0) * clients
+	return max(f.clientFinishTags[client%clientBuckets]-f.virtualTime, 0) * clients
 }
 
-// learned reports whether the pace of this contention is known.
-func (l *lane) learned(d *Controller) bool { return l.learnedSpan >= d.quickest/learnedDivisor }
+// rateKnown reports whether the pace of this contention is known.
+func (s *scheduler) rateKnown(c *Controller) bool {
+	return s.sampledSpan >= c.minExpectedTime/rateKnownDivisor
+}
 
 // expectedWait returns how long a request of the tenant would wait, in Time, by what is ahead of it at its
 // tenant's share. Until the pace is known that is 0, and the request may wait.
-func (l *lane) expectedWait(d *Controller, f *flow, weight float64, p priority, client uint64) float64 {
-	if !l.learned(d) || l.pace <= 0 {
+func (s *scheduler) expectedWait(c *Controller, f *flow, weight float64, p priority, client uint64) float64 {
+	if !s.rateKnown(c) || s.virtualRate <= 0 {
 		return 0
 	}
 	ahead := min(f.workBefore(p), f.workBeforeClient(client))
-	if p != promised { // what was booked is ahead of all that was not
-		ahead += float64(f.calendar.due())
+	if p != reserved { // what was booked is ahead of all that was not
+		ahead += float64(f.reservations.dueWork())
 	}
-	return (max(f.start-l.virtualTime, 0) + ahead/weight) / l.pace
+	return (max(f.startTag-s.virtualTime, 0) + ahead/weight) / s.virtualRate
 }
 
-// learn is called at each tick.
-func (l *lane) learn(d *Controller) {
-	span := max(d.now-l.learnedAt, 1)
-	if l.waiting > 0 {
-		l.learnPace(d, span)
+// update is called at each tick.
+func (s *scheduler) update(c *Controller) {
+	span := max(c.now-s.sampledAt, 1)
+	if s.waiting > 0 {
+		s.updateRate(c, span)
 	}
-	l.learnedAt = d.now
-	l.learnedAtVirtual = l.virtualTime
-	part := float32(min(float64(span)/(float64(d.quickest)*averageFactor), 1))
-	for k := range l.flows {
-		f := &l.flows[k]
+	s.sampledAt = c.now
+	s.sampledVirtualTime = s.virtualTime
+	part := float32(min(float64(span)/(float64(c.minExpectedTime)*averagingFactor), 1))
+	for k := range s.flows {
+		f := &s.flows[k]
 		f.firstTryRate += (f.firstTryWork/float32(span) - f.firstTryRate) * part
 		f.firstTryWork = 0
 	}
-	l.learnRoom(d)
-	l.logContention(d)
+	s.updateHandoffLimit(c)
+	s.logContention(c)
 }
 
-// learnPace averages how fast virtual time passes: as fast as a tenant of weight 1 is served that always has
+// updateRate averages how fast virtual time passes: as fast as a tenant of weight 1 is served that always has
 // more to ask for. Tenants that ask for less than their share leave it to the others, and that is in it. The
 // first values count for more.
-func (l *lane) learnPace(d *Controller, span Time) {
-	l.learnedSpan = min(l.learnedSpan+span, averageFactor*d.quickest)
-	pace := (l.virtualTime - l.learnedAtVirtual) / float64(span)
-	l.pace += (pace - l.pace) * float64(span) / float64(l.learnedSpan)
+func (s *scheduler) updateRate(c *Controller, span Time) {
+	s.sampledSpan = min(s.sampledSpan+span, averagingFactor*c.minExpectedTime)
+	rate := (s.virtualTime - s.sampledVirtualTime) / float64(span)
+	s.virtualRate += (rate - s.virtualRate) * float64(span) / float64(s.sampledSpan)
 }
--- a/internal/tenantsim/events.go
+++ b/internal/tenantsim/events.go
@@ -32,8 +32,8 @@
 	return last
 }
 
-// after plans an event.
-func (w *Simulation) after(span Time, do func()) {
-	w.events.last++
-	heap.Push(&w.events, event{w.Now + max(span, 0), w.events.last, do})
+// schedule plans an event.
+func (s *Simulation) schedule(span Time, do func()) {
+	s.events.last++
+	heap.Push(&s.events, event{s.Now + max(span, 0), s.events.last, do})
 }
--- a/internal/tenantsim/module.go
+++ b/internal/tenantsim/module.go
@@ -6,123 +6,123 @@
 const workDivisor = 8
 
 // Admit takes in a request that the door lets in.
-func (w *Simulation) Admit(index int32) {
-	try := &w.tries[index]
+func (s *Simulation) Admit(index int32) {
+	try := &s.tries[index]
 	if try.state != Arrived {
-		w.violated("job %d is let in when it is %s", index, try.state)
+		s.reportViolation("job %d is let in when it is %s", index, try.state)
 	}
 	try.state = Held
-	w.held = append(w.held, index)
-	w.sendHeld()
+	s.held = append(s.held, index)
+	s.sendHeld()
 }
 
 // Reject takes in a request that the door refuses.
-func (w *Simulation) Reject(index int32, pause Time) {
-	try := &w.tries[index]
+func (s *Simulation) Reject(index int32, pause Time) {
+	try := &s.tries[index]
 	if try.state != Arrived {
-		w.violated("job %d is turned back when it is %s", index, try.state)
+		s.reportViolation("job %d is turned back when it is %s", index, try.state)
 	}
-	waited := w.Now - try.arrivedAt
-	if 2*waited > try.left {
-		w.violated("turned back after %d of %d", waited, try.left)
+	waited := s.Now - try.arrivedAt
+	if 2*waited > try.timeLeft {
+		s.reportViolation("turned back after %d of %d", waited, try.timeLeft)
 	}
-	if w.OverridePause != nil {
-		pause = w.OverridePause(try.Tenant, try.client, pause)
+	if s.OverridePause != nil {
+		pause = s.OverridePause(try.Tenant, try.client, pause)
 	}
-	w.refuse(index, pause)
+	s.refuse(index, pause)
 }
 
 // rank is the module's: by powers of two of the credit for the time.
-func (w *Simulation) rank(index int32) int {
-	class := &w.Settings.Classes[w.tries[index].class]
+func (s *Simulation) rank(index int32) int {
+	class := &s.Settings.Classes[s.tries[index].class]
 	return math.Ilogb(class.Credit / float64(class.ExpectedTime))
 }
 
 // precedes reports whether the module sends one held request before another that was held before it.
-func (w *Simulation) precedes(index, other int32) bool {
-	if w.FIFO {
+func (s *Simulation) precedes(index, other int32) bool {
+	if s.FIFO {
 		return false
 	}
-	rank, otherRank := w.rank(index), w.rank(other)
-	return rank > otherRank || rank == otherRank && w.tries[index].arrivedAt >= w.tries[other].arrivedAt
+	rank, otherRank := s.rank(index), s.rank(other)
+	return rank > otherRank || rank == otherRank && s.tries[index].arrivedAt >= s.tries[other].arrivedAt
 }
 
 // sendHeld sends held requests while the stores have places.
-func (w *Simulation) sendHeld() {
-	for w.busy < w.places && len(w.held) > 0 {
+func (s *Simulation) sendHeld() {
+	for s.busy < s.slots && len(s.held) > 0 {
 		best := 0
-		for k, index := range w.held {
-			if w.precedes(index, w.held[best]) {
+		for k, index := range s.held {
+			if s.precedes(index, s.held[best]) {
 				best = k
 			}
 		}
-		index := w.held[best]
-		w.held = append(w.held[:best], w.held[best+1:]...)
-		w.send(index)
+		index := s.held[best]
+		s.held = append(s.held[:best], s.held[best+1:]...)
+		s.send(index)
 	}
 }
 
-func (w *Simulation) send(index int32) {
-	w.busy++
-	try := &w.tries[index]
+func (s *Simulation) send(index int32) {
+	s.busy++
+	try := &s.tries[index]
 	try.state = Sent
-	if try.told > 0 {
+	if try.reservedPause > 0 {
 		try.Tenant.ReservationsKept++
-		off := math.Abs(float64(w.Now-try.toldAt-try.told)) / float64(try.told)
-		try.Tenant.PauseErrors = append(try.Tenant.PauseErrors, off)
+		pauseError := math.Abs(float64(s.Now-try.refusedAt-try.reservedPause)) / float64(try.reservedPause)
+		try.Tenant.PauseErrors = append(try.Tenant.PauseErrors, pauseError)
 	}
-	if w.Admission != nil {
-		w.Admission.AttemptStarted(w.Now, index)
+	if s.Admission != nil {
+		s.Admission.AttemptStarted(s.Now, index)
 	}
-	expected := float64(w.Settings.Classes[try.class].ExpectedTime)
-	work := Time(expected / workDivisor / w.Speed * (0.75 + float64(w.random.Below(1000))/2000))
-	w.after(work, func() { w.deliver(index) })
+	expected := float64(s.Settings.Classes[try.class].ExpectedTime)
+	work := Time(expected / workDivisor / s.Speed * (0.75 + float64(s.random.Below(1000))/2000))
+	s.schedule(work, func() { s.deliver(index) })
 }
 
 // deliver ends an attempt with an answer.
-func (w *Simulation) deliver(index int32) {
-	try := &w.tries[index]
-	w.busy--
-	if w.Admission != nil {
-		w.Admission.AttemptEnded(w.Now, index, true)
+func (s *Simulation) deliver(index int32) {
+	try := &s.tries[index]
+	s.busy--
+	if s.Admission != nil {
+		s.Admission.AttemptEnded(s.Now, index, true)
 	}
-	expected := w.Settings.Classes[try.class].ExpectedTime
-	if w.Now-try.born <= expected {
+	expected := s.Settings.Classes[try.class].ExpectedTime
+	if s.Now-try.firstArrivedAt <= expected {
 		try.Tenant.InTime++
 	}
-	if try.number == 0 && w.Now-try.arrivedAt <= expected {
+	if try.number == 0 && s.Now-try.arrivedAt <= expected {
 		try.Tenant.FirstTriesInTime++
 	}
-	w.end(index, Delivered)
-	w.sendHeld()
+	s.end(index, Delivered)
+	s.sendHeld()
 }
 
 // refuseLate refuses held requests that cannot be delivered in time any more.
-func (w *Simulation) refuseLate() {
+func (s *Simulation) refuseLate() {
 	var late []int32
-	keep := w.held[:0]
-	for _, index := range w.held {
-		if w.tooLate(&w.tries[index]) {
+	keep := s.held[:0]
+	for _, index := range s.held {
+		if s.tooLate(&s.tries[index]) {
 			late = append(late, index)
 		} else {
 			keep = append(keep, index)
 		}
 	}
-	w.held = keep
+	s.held = keep
 	for _, index := range late {
-		pause := w.Pause(w)
-		if w.Admission != nil {
-			pause = w.Admission.RetryAfter(w.Now, index, pause)
+		pause := s.Pause(s)
+		if s.Admission != nil {
+			pause = s.Admission.RetryAfter(s.Now, index, pause)
 		}
-		w.refuse(index, pause)
+		s.refuse(index, pause)
 	}
 }
 
-func (w *Simulation) tooLate(try *Try) bool {
-	class := &w.Settings.Classes[try.class]
-	doneAt := w.Now + class.ExpectedTime/workDivisor
+func (s *Simulation) tooLate(try *Try) bool {
+	class := &s.Settings.Classes[try.class]
+	doneAt := s.Now + class.ExpectedTime/workDivisor
 	if class.LateCredit == 0 && doneAt > try.arrivedAt+class.ExpectedTime {
 		return true
 	}
-	return doneAt > try.arrivedAt+try.left
+	return doneAt > try.arrivedAt+try.timeLeft
 }
--- a/internal/tenantsim/tenant.go
+++ b/internal/tenantsim/tenant.go
@@ -69,19 +69,19 @@
 }
 
 // startArrivals plans a tenant's requests, one after the other.
-func (w *Simulation) startArrivals(t *Tenant) {
-	at := float64(w.Now) // gaps may be shorter than a Time
+func (s *Simulation) startArrivals(t *Tenant) {
+	at := float64(s.Now) // gaps may be shorter than a Time
 	var plan func()
 	plan = func() {
-		gap := w.drawGap(t)
+		gap := s.drawGap(t)
 		at += gap
-		wait := Time(at) - w.Now
+		wait := Time(at) - s.Now
 		if gap >= float64(maxGap) {
-			w.after(wait, plan)
+			s.schedule(wait, plan)
 			return
 		}
-		w.after(wait, func() {
-			w.arrive(t, retryOf{born: w.Now})
+		s.schedule(wait, func() {
+			s.arrive(t, retryHistory{firstArrivedAt: s.Now})
 			plan()
 		})
 	}
@@ -89,11 +89,11 @@
 }
 
 // drawGap draws the time until a tenant's next request from an exponential distribution, maxGap at most.
-func (w *Simulation) drawGap(t *Tenant) float64 {
-	rate := t.Rate(w.Now)
+func (s *Simulation) drawGap(t *Tenant) float64 {
+	rate := t.Rate(s.Now)
 	if rate <= 0 {
 		return float64(maxGap)
 	}
-	uniform := (float64(w.random.Uint32()) + 1) / (1<<32 + 1)
+	uniform := (float64(s.random.Uint32()) + 1) / (1<<32 + 1)
 	return min(float64(maxGap), -math.Log(uniform)*timesPerSecond/rate)
 }
--- a/internal/tenantsim/try.go
+++ b/internal/tenantsim/try.go
@@ -20,10 +20,10 @@
 
 // Figures of a client's retries.
 const (
-	impatientPause  = 10 * millisecond
-	promiseJitter   = 5 * millisecond // by which a client comes later than it was told
-	unpromisedPause = 200 * millisecond
-	unpromisedRange = 800 * millisecond // on top of it
+	impatientPause    = 10 * millisecond
+	reservationJitter = 5 * millisecond // by which a client comes later than it was told
+	defaultPause      = 200 * millisecond
+	defaultPauseRange = 800 * millisecond // on top of it
 )
 
 // statementBytes is the size of each request's statement.
@@ -38,104 +38,104 @@
 	class     int
 	client    uint64
 	arrivedAt Time
-	left      Time
+	timeLeft  Time
 	state     State
-	retryOf
+	retryHistory
 }
 
-// retryOf is what a try has from those before it; all but born is zero for a first try.
-type retryOf struct {
-	id     uint64 // the same for all tries of a request
-	number int    // of tries before
-	born   Time   // when the first try arrived
-	told   Time   // the pause that it was told; 0: none
-	toldAt Time
+// retryHistory is what a try has from those before it; all but born is zero for a first try.
+type retryHistory struct {
+	id             uint64 // the same for all tries of a request
+	number         int    // of tries before
+	firstArrivedAt Time   // when the first try arrived
+	reservedPause  Time   // the pause that it was told; 0: none
+	refusedAt      Time
 }
 
 // arrive brings one try in.
-func (w *Simulation) arrive(t *Tenant, previous retryOf) {
-	index := w.allocateTry()
+func (s *Simulation) arrive(t *Tenant, previous retryHistory) {
+	index := s.allocateTry()
 	if previous.number == 0 {
-		w.lastID++
-		previous.id = w.lastID
+		s.lastID++
+		previous.id = s.lastID
 		t.Requests++
 		t.FirstTries++
 	}
 	client := t.Client
 	if client == 0 {
-		client = uint64(w.random.Below(int64(max(t.Clients, 1))))
+		client = uint64(s.random.Below(int64(max(t.Clients, 1))))
 	}
-	left := w.Settings.Classes[t.Class].Deadline
-	w.tries[index] = Try{Tenant: t, class: t.Class, client: client, arrivedAt: w.Now, left: left, state: Arrived,
-		retryOf: previous}
+	timeLeft := s.Settings.Classes[t.Class].Deadline
+	s.tries[index] = Try{Tenant: t, class: t.Class, client: client, arrivedAt: s.Now, timeLeft: timeLeft, state: Arrived,
+		retryHistory: previous}
 	name := t.nextName()
-	if w.Admission == nil {
-		w.Admit(index)
+	if s.Admission == nil {
+		s.Admit(index)
 		return
 	}
-	w.Admission.Arrive(w.Now, admission.Arrival{
+	s.Admission.Arrive(s.Now, admission.Arrival{
 		Request:     index,
 		Class:       t.Class,
 		Tenant:      name,
 		Client:      client,
 		RetryKey:    binary.BigEndian.AppendUint64(nil, previous.id),
 		Group:       group,
-		TimeLeft:    left,
+		TimeLeft:    timeLeft,
 		MarkedRetry: previous.number > 0 && t.Marked,
 		Bytes:       statementBytes,
 	})
 }
 
 // allocateTry returns the index of a free place for a try.
-func (w *Simulation) allocateTry() int32 {
-	if len(w.free) == 0 {
-		w.free = append(w.free, int32(len(w.tries)))
-		w.tries = append(w.tries, Try{})
+func (s *Simulation) allocateTry() int32 {
+	if len(s.free) == 0 {
+		s.free = append(s.free, int32(len(s.tries)))
+		s.tries = append(s.tries, Try{})
 	}
-	index := w.free[len(w.free)-1]
-	w.free = w.free[:len(w.free)-1]
+	index := s.free[len(s.free)-1]
+	s.free = s.free[:len(s.free)-1]
 	return index
 }
 
 // end ends a try.
-func (w *Simulation) end(index int32, how State) {
-	if w.OnEnd != nil {
-		w.OnEnd(w, &w.tries[index], string(how))
+func (s *Simulation) end(index int32, how State) {
+	if s.OnEnd != nil {
+		s.OnEnd(s, &s.tries[index], string(how))
 	}
-	w.tries[index].state = how
-	w.free = append(w.free, index)
-	if w.Admission != nil {
-		w.Admission.RequestEnded(w.Now, index)
-		w.sendHeld() // the module's turn comes first
-		w.Admission.AdmitWaiting(w.Now)
+	s.tries[index].state = how
+	s.free = append(s.free, index)
+	if s.Admission != nil {
+		s.Admission.RequestEnded(s.Now, index)
+		s.sendHeld() // the module's turn comes first
+		s.Admission.AdmitWaiting(s.Now)
 	}
 }
 
 // refuse ends a try that was refused, by the door or by the module, and plans the client's next one.
-func (w *Simulation) refuse(index int32, pause Time) {
-	ended := w.tries[index]
+func (s *Simulation) refuse(index int32, pause Time) {
+	ended := s.tries[index]
 	t := ended.Tenant
 	t.Refused++
-	if pause > w.Settings.MaxRetryAfter {
-		w.violated("pause %d", pause)
+	if pause > s.Settings.MaxRetryAfter {
+		s.reportViolation("pause %d", pause)
 	}
-	if ended.told > 0 {
+	if ended.reservedPause > 0 {
 		t.ReservationsMissed++
 	}
-	w.end(index, Refused)
+	s.end(index, Refused)
 	if ended.number >= t.Retries {
 		return
 	}
-	next := retryOf{id: ended.id, number: ended.number + 1, born: ended.born}
+	next := retryHistory{id: ended.id, number: ended.number + 1, firstArrivedAt: ended.firstArrivedAt}
 	switch {
 	case t.IgnoresPause:
-		w.after(impatientPause, func() { w.arrive(t, next) })
+		s.schedule(impatientPause, func() { s.arrive(t, next) })
 	case pause > 0:
 		t.Reserved++
-		next.told = pause
-		next.toldAt = w.Now
-		w.after(pause+w.random.Below(promiseJitter), func() { w.arrive(t, next) })
+		next.reservedPause = pause
+		next.refusedAt = s.Now
+		s.schedule(pause+s.random.Below(reservationJitter), func() { s.arrive(t, next) })
 	default:
-		w.after(unpromisedPause+w.random.Below(unpromisedRange), func() { w.arrive(t, next) })
+		s.schedule(defaultPause+s.random.Below(defaultPauseRange), func() { s.arrive(t, next) })
 	}
 }
--- a/internal/tenantsim/world.go
+++ b/internal/tenantsim/world.go
@@ -45,7 +45,7 @@
 
 	random  random.Source
 	events  events
-	places  int // of the stores
+	slots   int // of the stores
 	busy    int // of them
 	held    []int32
 	tries   []Try
@@ -71,57 +71,57 @@
 
 // New returns a world whose stores have so many places, with a door in front of them, or without one if
 // bounds is nil. It returns an error for bounds out of range.
-func New(places int, bounds *admission.Bounds, tenants ...*Tenant) (*Simulation, error) {
-	w := &Simulation{
+func New(slots int, bounds *admission.Bounds, tenants ...*Tenant) (*Simulation, error) {
+	s := &Simulation{
 		Now:      Start,
 		Settings: Settings(),
 		Speed:    1,
 		random:   random.New(seed),
-		places:   places,
+		slots:    slots,
 		tenants:  tenants,
 	}
-	w.Pause = func(w *Simulation) Time {
-		half := w.Settings.MaxRetryAfter / 2
-		return half + w.random.Below(half)
+	s.Pause = func(s *Simulation) Time {
+		half := s.Settings.MaxRetryAfter / 2
+		return half + s.random.Below(half)
 	}
 	if bounds == nil {
-		return w, nil
+		return s, nil
 	}
 	var err error
-	w.Admission, err = admission.New(w.Now, w.Settings, *bounds, w)
-	return w, err
+	s.Admission, err = admission.New(s.Now, s.Settings, *bounds, s)
+	return s, err
 }
 
 // Run lets a span pass, with arrivals drawn as a Poisson process.
-func (w *Simulation) Run(span Time) {
-	end := w.Now + span
-	if w.events.last == 0 {
-		for _, t := range w.tenants {
-			w.startArrivals(t)
+func (s *Simulation) Run(span Time) {
+	end := s.Now + span
+	if s.events.last == 0 {
+		for _, t := range s.tenants {
+			s.startArrivals(t)
 		}
-		w.tick()
+		s.tick()
 	}
-	for len(w.events.list) > 0 && w.events.list[0].at <= end {
-		next := heap.Pop(&w.events).(event)
-		w.Now = next.at
+	for len(s.events.list) > 0 && s.events.list[0].at <= end {
+		next := heap.Pop(&s.events).(event)
+		s.Now = next.at
 		next.do()
 	}
-	w.Now = end
+	s.Now = end
 }
 
 // tick has the module and the door do what is due.
-func (w *Simulation) tick() {
-	w.refuseLate()
-	if w.Admission != nil {
-		w.Admission.Tick(w.Now)
+func (s *Simulation) tick() {
+	s.refuseLate()
+	if s.Admission != nil {
+		s.Admission.Tick(s.Now)
 	}
-	w.sendHeld()
-	w.after(tickSpan, w.tick)
+	s.sendHeld()
+	s.schedule(tickSpan, s.tick)
 }
 
-func (w *Simulation) violated(format string, values ...any) {
-	w.Violations = append(w.Violations, fmt.Sprintf(format, values...))
+func (s *Simulation) reportViolation(format string, values ...any) {
+	s.Violations = append(s.Violations, fmt.Sprintf(format, values...))
 }
 
 // Log keeps a line of the door's log.
-func (w *Simulation) Log(text string) { w.Logs = append(w.Logs, text) }
+func (s *Simulation) Log(text string) { s.Logs = append(s.Logs, text) }
