--- a/admission/arrive.go
+++ b/admission/arrive.go
@@ -1,9 +1,10 @@
 package admission
 
-// waitEighths is how many eighths of its time a request may wait.
+// waitEighths is how many eighths of its remaining time a request may wait.
 const waitEighths = 3
 
-// Arrive takes in a request. It is let in, queued or refused before Arrive returns.
+// Arrive processes the arrival of a request. The request is admitted, queued or refused before Arrive
+// returns.
 func (c *Controller) Arrive(now Time, a Arrival) {
 	c.now = now
 	c.grow(int(a.Request) + 1)
@@ -34,7 +35,7 @@
 	c.admitOrQueue(&a, s, isRetry)
 }
 
-// admitOrQueue lets a request in, has it wait, or refuses it, by its tenant's share.
+// admitOrQueue admits, queues or refuses a request, depending on its tenant's share.
 func (c *Controller) admitOrQueue(a *Arrival, s *scheduler, isRetry bool) {
 	r := &c.requests[a.Request]
 	f := &s.flows[r.flowIndex]
@@ -63,8 +64,8 @@
 	c.enqueue(a.Request, s, a.Client)
 }
 
-// prioritize sets a request's priority. A retry that comes as it was told takes its promise up; a first try
-// earns its tenant credit for retries.
+// prioritize sets the priority of a request. A retry that arrives at its reserved time uses up its
+// reservation. A first try earns retry credit for its tenant.
 func (c *Controller) prioritize(r *requestRecord, f *flow, isRetry bool) {
 	r.priority = firstTry
 	if isRetry {
@@ -80,10 +81,10 @@
 	}
 }
 
-// mayWait reports whether a request may wait: a retry as far as its tenant has credit, and any request that
-// would be let in in time.
+// mayWait reports whether a request may wait. A retry may wait only while its tenant has retry credit, and
+// any request only if it is expected to be admitted before its wait deadline.
 //
-// Danger: tries that come again at once feed the queue that refused them.
+// Without the credit, clients that retry at once would keep filling the queue that refused them.
 func (c *Controller) mayWait(a *Arrival, s *scheduler) bool {
 	r := &c.requests[a.Request]
 	f := &s.flows[r.flowIndex]
@@ -98,9 +99,10 @@
 	return c.now+wait <= r.waitDeadline
 }
 
-// waitLimit returns how long a request may wait: well under half its time, and not past what it needs to be
-// answered within its expected time where nothing is left of its credit after that. A request that was told
-// to come has mostly outlived that time, and is owed the place all the same.
+// waitLimit returns how long a request may wait: well under half of its remaining time. If the class gives no
+// credit for late answers, the limit also leaves enough time to answer within the expected time. That does
+// not apply to a request with a reservation: it has usually exceeded its expected time already, and it must
+// be served all the same.
 func (c *requestClass) waitLimit(p priority, left Time) Time {
 	limit := left * waitEighths / 8
 	if c.LateCredit == 0 && p != reserved {
@@ -109,7 +111,7 @@
 	return limit
 }
 
-// admitNow hands a request that is in no queue to the module.
+// admitNow hands a request that is not queued to the decision module.
 func (c *Controller) admitNow(request int32) {
 	r := &c.requests[request]
 	r.state = admitted
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -1,9 +1,9 @@
 package admission
 
-// workWeight is the weight of a new value in the average work of a class, as a divisor.
+// workSmoothing is the divisor that gives the weight of a new sample in the average work of a class.
 const workSmoothing = 32
 
-// AttemptStarted takes in that an attempt of a request has started.
+// AttemptStarted records that an attempt of a request has started.
 func (c *Controller) AttemptStarted(now Time, request int32) {
 	c.now = now
 	if int(request) >= len(c.requests) || c.requests[request].state != admitted {
@@ -16,8 +16,8 @@
 	c.schedulers[r.scheduler].attempting++
 }
 
-// AttemptEnded takes in that a request's attempt has ended, and no other has started so far. The time of an attempt
-// that was answered is averaged into the work of its class.
+// AttemptEnded records that the attempt of a request has ended and that no other one has started so far. If
+// the attempt was answered, its duration is averaged into the work of the request's class.
 func (c *Controller) AttemptEnded(now Time, request int32, delivered bool) {
 	c.now = now
 	if int(request) >= len(c.requests) || c.requests[request].state != attempting {
@@ -33,11 +33,11 @@
 	c.schedulers[r.scheduler].attempting--
 }
 
-// RequestEnded takes in that a request has had its final answer, or its client is gone. It may be in any state, or
-// not be held any more.
+// RequestEnded records that a request has had its final answer or that its client is gone. The request may be
+// in any state, and may already have been forgotten.
 //
-// Danger: a tenant whose attempts often fail must not pay less than what they cost. It was charged for one
-// attempt, and is charged for the others here.
+// The tenant was charged for one attempt and is charged for the others here. Without this, a tenant whose
+// attempts often fail would pay less than they cost.
 func (c *Controller) RequestEnded(now Time, request int32) {
 	c.now = now
 	if int(request) >= len(c.requests) {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -11,7 +11,8 @@
 	"micatrack/internal/random"
 )
 
-// passThrough is a gate to a module that sends at once, or never.
+// passThrough is a Handler in front of a decision module that sends each request at once, or never if it is
+// stalled.
 type passThrough struct {
 	controller *Controller
 	now        Time
@@ -43,13 +44,14 @@
 	return names
 }
 
-// serveRequest takes one job through the door while nothing waits.
+// serveRequest takes one request through admission and an attempt while no request waits.
 func (g *passThrough) serveRequest(name []byte, client uint64) {
 	g.controller.Arrive(g.now, Arrival{Request: 0, Tenant: name, Client: client, Group: 1, TimeLeft: 1200 * ms, RetryKey: name, Bytes: 200})
 	g.controller.AttemptEnded(g.now, 0, true)
 	g.controller.RequestEnded(g.now, 0)
 }
 
+// TestUncontendedPathDoesNotAllocate checks that a request that does not wait causes no memory allocation.
 func TestUncontendedPathDoesNotAllocate(t *testing.T) {
 	g := newPassThrough(t, false)
 	names := tenantNames(1000)
@@ -65,24 +67,25 @@
 		pass()
 	}
 	if n := testing.AllocsPerRun(10000, pass); n > 0 {
-		t.Errorf("%v allocations a job", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
+// BenchmarkPass measures a request that does not wait, by the number of tenant names in use.
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		b.Run(fmt.Sprintf("names=%d", n), func(b *testing.B) {
 			g, rng, name := newPassThrough(b, false), random.New(1), []byte("customer--------")
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				binary.BigEndian.PutUint64(name[8:], uint64(rng.Below(int64(n)))) // a list of them would measure the cache
+				binary.BigEndian.PutUint64(name[8:], uint64(rng.Below(int64(n)))) // reading prepared names from a list would measure CPU cache misses
 				g.serveRequest(name, uint64(i))
 			}
 		})
 	}
 }
 
-// BenchmarkContended is a job that waits behind a hundred others, is let in and ends.
+// BenchmarkContended measures a request that waits behind a hundred others, is admitted and ends.
 func BenchmarkContended(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		b.Run(fmt.Sprintf("names=%d", n), func(b *testing.B) {
@@ -94,13 +97,13 @@
 				c.Arrive(g.now, Arrival{Request: int32(i % 256), Class: 1, Tenant: name, Client: uint64(i), Group: 1,
 					TimeLeft: 3 * second, Bytes: 200})
 			}
-			for i := range 116 { // the module is full, and a hundred wait
+			for i := range 116 { // fills the decision module, with a hundred more requests waiting
 				arrive(i)
 			}
 			next := 116
 			b.ReportAllocs()
 			for b.Loop() {
-				for c.requests[next%256].state != absent { // let in long ago: it ends, and the next is let in
+				for c.requests[next%256].state != absent { // admitted earlier; its end lets the next one be admitted
 					c.RequestEnded(g.now, int32(next%256))
 				}
 				arrive(next)
@@ -111,10 +114,11 @@
 	}
 }
 
-// TestMemoryOfAMillionNames: what the door keeps does not grow with the names that it has seen.
+// TestMemoryBoundedForMillionTenantNames checks that the memory of a Controller does not grow with the number
+// of tenant names that it has seen.
 func TestMemoryBoundedForMillionTenantNames(t *testing.T) {
 	g := newPassThrough(t, true)
-	for i := range 116 { // it is contended from the start
+	for i := range 116 { // requests wait from the start
 		g.controller.Arrive(g.now, Arrival{Request: int32(i), Class: 1, Tenant: []byte("c"), Client: uint64(i), Group: 1, TimeLeft: 3 * second, Bytes: 200})
 	}
 	before := HeapBytes()
@@ -129,12 +133,13 @@
 		}
 	}
 	grown := int64(HeapBytes()) - int64(before)
-	t.Logf("grown by %d KiB", grown>>10)
+	t.Logf("heap grew by %d KiB", grown>>10)
 	if grown > 8<<20 {
-		t.Errorf("grown by %d bytes", grown)
+		t.Errorf("heap grew by %d bytes", grown)
 	}
 }
 
+// plainHeap is a binary heap of items with keys, for container/heap.
 type plainHeap struct {
 	keys []float64
 	list []int32
@@ -150,8 +155,8 @@
 	return last
 }
 
-// BenchmarkPairingHeaps compares the pile with plain structures at what the door does: put one in, and take one out, every
-// second time from the top and else from anywhere.
+// BenchmarkPairingHeaps compares pairing heaps with a binary heap and a sorted slice under the load of
+// admission control: insert one item and remove one, alternately the top and any other.
 func BenchmarkPairingHeaps(b *testing.B) {
 	const n = 4096
 	keys := make([]float64, n)
@@ -163,11 +168,11 @@
 			}
 			return rng
 		}
-		b.Run(fmt.Sprintf("pile/%d", size), func(b *testing.B) {
+		b.Run(fmt.Sprintf("pairing/%d", size), func(b *testing.B) {
 			rng := setup()
 			p := pairingHeaps{before: func(a, b int32) bool { return keys[a] < keys[b] }}
 			p.grow(n)
-			top, in := int32(-1), make([]int32, 0, n) // in: to find one that is there, for all alike
+			top, in := int32(-1), make([]int32, 0, n) // in holds the queued items, so that each variant can pick one
 			for i := range size {
 				top, in = p.insert(top, int32(i)), append(in, int32(i))
 			}
@@ -195,7 +200,7 @@
 			for i := 0; b.Loop(); i++ {
 				heap.Push(h, spare)
 				k := 0
-				if i%2 == 1 { // one known by its number has to be looked for
+				if i%2 == 1 { // a binary heap has to search for the position of an item
 					k = slices.Index(h.list, h.list[rng.Below(int64(len(h.list)))])
 				}
 				spare = heap.Remove(h, k).(int32)
@@ -225,10 +230,10 @@
 	}
 }
 
-// BenchmarkTenantTable compares the shelves with a map that keeps every name ever seen.
+// BenchmarkTenantTable compares the table of bounded size with a map that keeps every name.
 func BenchmarkTenantTable(b *testing.B) {
 	names := tenantNames(1_000_000)
-	b.Run("shelves", func(b *testing.B) {
+	b.Run("buckets", func(b *testing.B) {
 		n, rng := newTenantTable(7, nil, 128, 64), random.New(1)
 		b.ReportAllocs()
 		for b.Loop() {
--- a/admission/contention.go
+++ b/admission/contention.go
@@ -5,18 +5,21 @@
 	"strings"
 )
 
-// Times of contention, in shortest expected times.
+// When contention begins and ends, relative to the shortest expected time of all classes.
 const (
-	contentionDivisor = 4 // after that part with requests waiting it is logged
-	quietFactor       = 2 // after so many without any it has ended
+	// contentionDivisor gives the part of that time for which requests have to wait before contention is logged.
+	contentionDivisor = 4
+	// quietFactor is the multiple of that time without waiting requests after which contention has ended.
+	quietFactor = 2
 )
 
-// logTenants is how many tenants a log line names.
+// logTenants is the number of tenants that a log line names.
 const logTenants = 3
 
+// needNames are the names of balance.Need values in log lines.
 var needNames = [...]string{"any data", "bounded age", "session", "fresh", "writes"}
 
-// logContention is called at each tick, and logs when contention begins and ends.
+// logContention logs the beginning and the end of contention. It is called at each tick.
 func (s *scheduler) logContention(c *Controller) {
 	if s.waiting > 0 {
 		s.emptySince = 0
@@ -60,7 +63,8 @@
 		s.key.group, needNames[s.key.need], s.refused, heaviest))
 }
 
-// heaviestTenants names the tenants with the largest parts of a sum.
+// heaviestTenants returns the names of the tenants with the largest parts of the sum of valueOf over all
+// flows, with their percentages.
 func (s *scheduler) heaviestTenants(c *Controller, valueOf func(f *flow) float64) string {
 	var flowIndexes [logTenants]int32
 	var values [logTenants]float64
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,95 +8,109 @@
 	"micatrack/internal/random"
 )
 
-// Time is a moment or a span in whole tenths of a millisecond.
+// Time is a moment or a duration in tenths of a millisecond.
 type Time = balance.Time
 
-// Handler carries out the actions of a door. Each request that arrives is let in or refused, once.
+// Handler carries out the decisions of a Controller. Each request that arrives is either admitted or
+// rejected, exactly once.
 type Handler interface {
-	// LetIn hands a request to the decision module. Door.Sent may be called before it returns.
+	// Admit hands a request to the decision module. Controller.AttemptStarted may be called before Admit
+	// returns.
 	Admit(request int32)
-	// TurnBack refuses a request, which was never sent, so trying again is harmless. Pause is when the client
-	// should come back; 0 says nothing of that.
+	// Reject refuses a request. The request was never sent to a store, so it is safe to retry. Pause is the
+	// time after which the client should retry; 0 leaves that to the client.
 	Reject(request int32, pause Time)
-	// Log writes one line of the front's log.
+	// Log writes one line to the log of the front.
 	Log(text string)
 }
 
-// Bounds is how much a door may hold.
+// Bounds limits what a Controller may hold, and sets the shares of tenants that the settings do not name.
 type Bounds struct {
-	MaxRequests       int     // requests that wait at once; at least 1
-	MaxBytes          int     // of their statements; at least 1
-	DedicatedTenants  int     // tenants with places of their own, besides those that the settings name; at least 1
-	SharedQueues      int     // places shared by all other tenants; at least 1
-	SharedWeight      float64 // weight of those together, as a part of that of the tenants with own places; more than 0
-	RetriesPerRequest float64 // retries let in for each first try; not negative
+	// MaxRequests is the number of requests that may wait at once, at least 1.
+	MaxRequests int
+	// MaxBytes is the total size of the statements of waiting requests, at least 1.
+	MaxBytes int
+	// DedicatedTenants is the number of tenants that may have queues of their own in addition to those that the
+	// settings name, at least 1.
+	DedicatedTenants int
+	// SharedQueues is the number of queues that all other tenants share, at least 1.
+	SharedQueues int
+	// SharedWeight is the total weight of the shared queues as a fraction of the weight of the tenants with
+	// queues of their own, more than 0.
+	SharedWeight float64
+	// RetriesPerRequest is the number of retries that are admitted for each first try, not negative.
+	RetriesPerRequest float64
 }
 
-// Figures of the estimates that a door begins with, and of a class's rank.
+// Initial estimates, and limits of ranks and weights.
 const (
-	initialWorkDivisor = 4    // the work of an attempt is taken for this part of the expected time at first
-	minRank            = 0.25 // credit counts within a tenant, but must not starve what earns little
-	maxRank            = 4.0
-	minQuotaWeight     = 1.0 / 64 // of a tenant without a quota
+	// initialWorkDivisor gives the initial estimate of the work of an attempt, as a part of the expected time.
+	initialWorkDivisor = 4
+	// minRank and maxRank limit how far the credit of a class influences the order of service within a tenant.
+	// Without them, classes with little credit would starve.
+	minRank = 0.25
+	maxRank = 4.0
+	// minQuotaWeight is the smallest weight of a configured tenant, including one without a quota.
+	minQuotaWeight = 1.0 / 64
 )
 
-var errNoClasses = errors.New("door: no profiles")
+var errNoClasses = errors.New("admission control: no request classes")
 
-// requestClass is what is kept of one class of requests.
+// requestClass holds the settings and estimates of one class of requests.
 type requestClass struct {
 	balance.Class
-	work  float64 // of an attempt, averaged; tenths of a millisecond
-	rank  float64 // credit for the work, as a part of the mean over all classes
+	work  float64 // average work of an attempt, in tenths of a millisecond
+	rank  float64 // credit per work, relative to the mean over all classes
 	tries balance.RetryDetector
 }
 
 // Controller is the admission control of one front. It is not safe for concurrent use.
 type Controller struct {
 	handler Handler
-	now     Time // of the call in hand
+	now     Time // the time of the current call
 	bounds  Bounds
 	rng     random.Source
 	classes []requestClass
 
-	// Tenants (names.go).
+	// Tenants (tenants.go).
 	tenants      *tenantTable
-	quotaWeights []float64 // weight of each tenant of the settings
-	epoch        Time      // for which tenants keep their places
+	quotaWeights []float64 // weight of each tenant that the settings name
+	epoch        Time      // duration for which the assignment of tenants to flows is fixed
 	epochEnds    Time
 
-	// Queues (lane.go, waiting.go).
-	schedulers       []scheduler // never moved: each refers to itself
+	// Queues (scheduler.go, waiting.go).
+	schedulers       []scheduler // never reallocated, because each scheduler holds a pointer to itself
 	schedulerIndexes map[schedulerKey]int32
-	requests         []requestRecord // by request
-	queue            pairingHeaps    // requests in the queues of their tenants
-	deadlines        pairingHeaps    // all that wait, by the moment at which they are refused
-	nextToExpire     int32           // the request at the top of deadlines; none: nothing waits
-	waiting          int
-	bytes            int // of the requests that wait
-
-	// Promises (calendar.go).
+	requests         []requestRecord // indexed by request number
+	queue            pairingHeaps    // waiting requests, one heap for each flow
+	deadlines        pairingHeaps    // all waiting requests, by their wait deadlines
+	nextToExpire     int32           // the request at the top of deadlines, or none
+	waiting          int             // number of waiting requests
+	bytes            int             // total size of the statements of waiting requests
+
+	// Reservations (reservations.go).
 	reservations reservationTable
-	slotSpan     Time // of the calendars
-	maxPause     Time // longest time that may be promised; 0: none is
+	slotSpan     Time // duration of a slot of a reservation wheel
+	maxPause     Time // longest pause that may be reserved; 0 disables reservations
 
-	tickInterval    Time // between two ticks
+	tickInterval    Time // time between two ticks
 	minExpectedTime Time // the shortest expected time of the classes
 	totals          Totals
 }
 
-// Totals counts what a door has done since its start.
+// Totals counts what a Controller has done since its start.
 type Totals struct {
-	Passed    int64 // let in at once
-	Queued    int64 // had to wait
-	Back      int64 // refused at the door
-	Displaced int64 // of them, for want of room here
-	Promised  int64 // of them, told when to come back
-	Kept      int64 // came back as told, and were let in as told
+	Passed    int64 // requests admitted at once
+	Queued    int64 // requests that had to wait
+	Back      int64 // requests refused by admission control
+	Displaced int64 // refused requests for which Bounds left no room
+	Promised  int64 // refused requests for which a time to retry was reserved
+	Kept      int64 // retries that arrived at their reserved time
 	Contended int64 // times that contention began
 }
 
-// New returns a door. The settings give the classes, the tenants and their quotas, the time between ticks and
-// the longest pause. It returns an error for settings or bounds out of range.
+// New returns a Controller. The settings give the classes, the tenants and their quotas, the time between
+// ticks and the longest pause. New returns an error if settings or bounds are out of range.
 func New(now Time, settings balance.Settings, bounds Bounds, gate Handler) (*Controller, error) {
 	err := checkBounds(&settings, &bounds)
 	if err != nil {
@@ -123,23 +137,24 @@
 	return c, nil
 }
 
+// checkBounds returns an error if settings or bounds are out of range.
 func checkBounds(settings *balance.Settings, b *Bounds) error {
 	if len(settings.Classes) == 0 {
 		return errNoClasses
 	}
 	if b.MaxRequests < 1 || b.MaxBytes < 1 || b.DedicatedTenants < 1 || b.SharedQueues < 1 || b.SharedWeight <= 0 || b.RetriesPerRequest < 0 {
-		return fmt.Errorf("door: bounds out of range: %+v", *b)
+		return fmt.Errorf("admission control: bounds out of range: %+v", *b)
 	}
 	for k := range settings.Classes {
 		class := &settings.Classes[k]
 		if class.ExpectedTime <= 0 || class.Deadline <= 0 {
-			return fmt.Errorf("door: profile %q: times out of range", class.Name)
+			return fmt.Errorf("admission control: class %q: expected time or deadline out of range", class.Name)
 		}
 	}
 	return nil
 }
 
-// setClasses takes the classes over, and ranks each by its credit for the work.
+// setClasses sets the classes, and ranks each one by its credit per work.
 func (c *Controller) setClasses(classes []balance.Class) {
 	c.minExpectedTime = classes[0].ExpectedTime
 	c.epoch = classes[0].Deadline
@@ -158,7 +173,8 @@
 	}
 }
 
-// setTenants gives each tenant of the settings a place and a weight, by its quota over the mean.
+// setTenants gives each tenant that the settings name a flow of its own, and a weight: its quota relative to
+// the mean quota.
 func (c *Controller) setTenants(settings *balance.Settings) {
 	mean := 0.0
 	configured := []string{}
@@ -176,7 +192,7 @@
 	c.tenants = newTenantTable(settings.Seed, configured, c.bounds.DedicatedTenants, c.bounds.SharedQueues)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of requests that wait.
 func (c *Controller) Waiting() int { return c.waiting }
 
 // Totals returns the counts so far.
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -13,7 +13,7 @@
 	"micatrack/internal/random"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same verdict every time
+func init() { flag.Set("rapid.seed", "20261201") } // makes the generated cases the same in each run
 
 const (
 	ms     = 10
@@ -30,8 +30,8 @@
 	return Bounds{MaxRequests: 4096, MaxBytes: 16 << 20, DedicatedTenants: 128, SharedQueues: 64, SharedWeight: 0.25, RetriesPerRequest: 0.5}
 }
 
-// TestBounds: what waits is bounded in number and bytes; when it is full the customer with most waiting for its
-// weight makes room.
+// TestBounds checks that the number and the bytes of waiting requests are bounded, and that the tenant with
+// the most waiting work relative to its weight makes room when the queues are full.
 func TestBounds(t *testing.T) {
 	r := &rejections{t: t, now: 1e12, rejected: map[int32]bool{}}
 	b := testBounds()
@@ -48,32 +48,33 @@
 			request++
 		}
 	}
-	arrive("a", idleHandoffLimit, 10) // they fill the module
+	arrive("a", idleHandoffLimit, 10) // these fill the decision module
 	arrive("a", 30, 10)
 	if c.Waiting() != 20 || len(r.rejected) != 10 {
-		t.Errorf("%d wait, %d are turned back", c.Waiting(), len(r.rejected))
+		t.Errorf("%d requests wait, %d are refused", c.Waiting(), len(r.rejected))
 	}
 	arrive("b", 5, 10)
 	if c.Waiting() != 20 || r.rejected[idleHandoffLimit+30] || r.rejected[idleHandoffLimit+34] || !r.rejected[idleHandoffLimit+19] {
-		t.Errorf("%d wait, of those turned back: %v", c.Waiting(), r.rejected)
+		t.Errorf("%d requests wait, refused ones: %v", c.Waiting(), r.rejected)
 	}
 	arrive("b", 1, 9_900)
 	if c.Waiting() > 20 || c.bytes > b.MaxBytes || r.rejected[idleHandoffLimit+35] {
-		t.Errorf("%d wait with %d bytes", c.Waiting(), c.bytes)
+		t.Errorf("%d requests wait with %d bytes", c.Waiting(), c.bytes)
 	}
 	r.now += 2 * second
 	c.Tick(r.now)
 	if c.Waiting() != 0 || c.bytes != 0 || c.nextToExpire != -1 {
-		t.Errorf("%d wait with %d bytes after all their time", c.Waiting(), c.bytes)
+		t.Errorf("%d requests wait with %d bytes after all deadlines", c.Waiting(), c.bytes)
 	}
 	for _, bad := range []Bounds{{}, {MaxRequests: 1, MaxBytes: 1, DedicatedTenants: 1, SharedQueues: 1}, {MaxRequests: 1, MaxBytes: 1, DedicatedTenants: 1, SharedQueues: 1, SharedWeight: 1, RetriesPerRequest: -1}} {
 		if _, err := New(0, settings, bad, r); err == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("New accepts bounds %+v", bad)
 		}
 	}
 }
 
-// rejections is a gate to a module that never sends, and that notes who is turned back.
+// rejections is a Handler in front of a decision module that never sends a request. It records which requests
+// are refused.
 type rejections struct {
 	t        interface{ Fatalf(string, ...any) }
 	now      Time
@@ -84,12 +85,13 @@
 func (r *rejections) Log(string)  {}
 func (r *rejections) Reject(request int32, _ Time) {
 	if r.rejected[request] {
-		r.t.Fatalf("job %d is turned back twice", request)
+		r.t.Fatalf("request %d is refused twice", request)
 	}
 	r.rejected[request] = true
 }
 
-// TestAnyOrder: calls in any order that a front could make leave nothing behind and answer no job twice.
+// TestCallsInAnyOrder checks that after calls in any order that a front could make, nothing is left queued or
+// counted and no request is refused twice.
 func TestCallsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &rejections{t: t, now: 1e12, rejected: map[int32]bool{}}
@@ -130,17 +132,17 @@
 			c.RequestEnded(r.now, i)
 		}
 		if c.waiting != 0 || c.bytes != 0 || c.nextToExpire != -1 {
-			t.Fatalf("%d wait, %d bytes", c.waiting, c.bytes)
+			t.Fatalf("%d requests wait with %d bytes", c.waiting, c.bytes)
 		}
 		for i := range c.schedulers {
 			if s := &c.schedulers[i]; s.admitted != 0 || s.attempting != 0 || s.waiting != 0 || s.next != -1 || s.dedicatedWeight != 0 || s.sharedFlowsWaiting != 0 {
-				t.Fatalf("lane %d: %+v", i, *s)
+				t.Fatalf("scheduler %d: %+v", i, *s)
 			}
 		}
 	})
 }
 
-// TestPairingHeaps holds the heap against a plain sorted slice.
+// TestPairingHeaps compares the heap with the minimum of an unordered slice.
 func TestPairingHeaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 60).Draw(t, "keys")
@@ -156,7 +158,7 @@
 				plain = append(plain, i)
 			} else {
 				if op&1024 != 0 {
-					i = top // from the top, else from anywhere
+					i = top // removes the top, else any item
 					k = slices.Index(plain, i)
 				}
 				top = p.remove(top, i)
@@ -174,13 +176,13 @@
 			top = p.remove(top, top)
 		}
 		if top != -1 || slices.ContainsFunc(p.nodes, func(k node) bool { return k != detached }) {
-			t.Fatalf("not all is given back: %d %v", top, p.nodes)
+			t.Fatalf("items are left after all were removed: top %d, %v", top, p.nodes)
 		}
 	})
 }
 
-// TestShelvesFindTheHeavy: against exact counts, no customer's jobs are counted too low, and none that came often is
-// left without a place, though strangers come by the hundred thousand.
+// TestFrequentTenantsGetDedicatedFlows checks that no tenant's requests are counted too low: every tenant
+// that sends requests often gets a dedicated flow, even among about 60,000 names that are seen only once.
 func TestFrequentTenantsGetDedicatedFlows(t *testing.T) {
 	tenants := newTenantTable(7, nil, 64, 16)
 	rng := random.New(3)
@@ -199,11 +201,11 @@
 	}
 	for i := range 40 {
 		if flowIndex := tenants.flowIndex([]byte(fmt.Sprintf("heavy %d", i))); !tenants.isDedicated(flowIndex) {
-			t.Errorf("heavy %d, with %d jobs, has no place of its own", i, exact[fmt.Sprintf("heavy %d", i)])
+			t.Errorf("heavy %d, with %d requests, has no dedicated flow", i, exact[fmt.Sprintf("heavy %d", i)])
 		}
 	}
 	if got := len(tenants.dedicatedByHash); got != 40 {
-		t.Errorf("%d have places of their own", got)
+		t.Errorf("%d tenants have dedicated flows, want 40", got)
 	}
 	bytes := len(tenants.buckets)*bucketSize*24 + len(tenants.dedicated)*40
 	t.Logf("%d names seen; %d bytes kept, a map of all would keep about %d", len(exact), bytes, len(exact)*48)
--- a/admission/digest_test.go
+++ b/admission/digest_test.go
@@ -12,25 +12,25 @@
 	"micatrack/internal/random"
 )
 
-// playDigest is the FNV-1a hash of every action of the play below: who is let in and who is turned back when,
-// with what pause, log lines and counts. It was recorded before door.go was split into files by job. A change
-// that is meant to change actions records it anew and says so.
+// playDigest is the FNV-1a hash of all actions in TestPlayDigest: when each request is admitted or refused
+// and with which pause, log lines and counts. It was recorded before controller.go was split into several
+// files. A change that is meant to change actions has to record a new hash and say so.
 const playDigest = "44653aafa528a8bc"
 
 const digestMillisecond = admission.Time(10)
 
-// testbed is the module, the stores and the clients behind and before one door.
+// testbed simulates the decision module, the stores and the clients around one Controller.
 type testbed struct {
 	controller  *admission.Controller
 	now         admission.Time
 	rng         random.Source
 	actions     hash.Hash64
-	freeSlots   [2]int // free places at each group's stores
+	freeSlots   [2]int // number of free slots at the stores of each group
 	held        [2][]int32
 	group       map[int32]int
 	events      []event
 	nextRequest int32
-	arrivals    map[int32]arrival // requests whose client may try again
+	arrivals    map[int32]arrival // by request, for clients that retry
 }
 
 type event struct {
@@ -55,7 +55,7 @@
 	b.events = append(b.events, event{b.now + span, do})
 }
 
-// Admit sends the request at once if a store has a place, else holds it.
+// Admit sends the request at once if a store has a free slot, and holds it otherwise.
 func (b *testbed) Admit(request int32) {
 	b.record("let in %d", request)
 	group := b.group[request]
@@ -82,7 +82,7 @@
 		if len(b.held[group]) > 0 && b.freeSlots[group] > 0 {
 			first := b.held[group][0]
 			b.held[group] = b.held[group][1:]
-			if b.rng.Below(8) == 0 { // the module turns it back
+			if b.rng.Below(8) == 0 { // the decision module refuses the request
 				b.record("promise %d", b.controller.RetryAfter(b.now, first, b.rng.Below(100*digestMillisecond)))
 				b.controller.RequestEnded(b.now, first)
 			} else {
@@ -92,7 +92,7 @@
 	})
 }
 
-// Reject has most clients come again, as told or earlier.
+// Reject has most clients retry, after the given pause or earlier.
 func (b *testbed) Reject(request int32, pause admission.Time) {
 	b.record("turn back %d %d", request, pause)
 	a := b.arrivals[request]
@@ -124,7 +124,7 @@
 	}
 }
 
-// run plays a span with so many arrivals a millisecond.
+// run simulates a span with rate arrivals per millisecond.
 func (b *testbed) run(span admission.Time, rate float64) {
 	due := 0.0
 	for end := b.now + span; b.now < end; b.now += digestMillisecond {
@@ -153,8 +153,8 @@
 	b.record("%+v %d", b.controller.Totals(), b.controller.Waiting())
 }
 
-// TestPlayDigest plays one seeded day at the door (calm, a surge, stores that hang, too little room) and
-// compares the hash of all actions.
+// TestPlayDigest simulates one seeded run (low load, a surge, stores that hang, too little room) and compares
+// the hash of all actions with the recorded one.
 func TestPlayDigest(t *testing.T) {
 	settings := balance.Settings{Seed: 7, EventInterval: 5 * digestMillisecond, MaxRetryAfter: 1000 * digestMillisecond,
 		Tenants: []balance.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 300}, {Name: "t2"}},
@@ -175,12 +175,12 @@
 	b.run(4000*digestMillisecond, 0.3)
 	b.run(6000*digestMillisecond, 1.2)
 	b.run(4000*digestMillisecond, 0.1)
-	b.freeSlots = [2]int{-200, -200} // they hang: what is out comes back, and nothing more is sent
+	b.freeSlots = [2]int{-200, -200} // the stores hang: attempts under way end, and no more are sent
 	b.run(1500*digestMillisecond, 0.5)
 	b.freeSlots = [2]int{20, 12}
 	b.run(3000*digestMillisecond, 4)
 	b.run(9000*digestMillisecond, 0.05)
 	if got := fmt.Sprintf("%016x", b.actions.Sum64()); got != playDigest {
-		t.Errorf("the actions hash to %s, recorded is %s", got, playDigest)
+		t.Errorf("hash of the actions is %s, want %s", got, playDigest)
 	}
 }
--- a/admission/export_test.go
+++ b/admission/export_test.go
@@ -2,15 +2,16 @@
 
 import "runtime"
 
-// What tests outside the package look at.
+// This file exports internals for the tests in package admission_test.
 
+// IdleHandoffLimit is the handoff limit while no request waits.
 const IdleHandoffLimit = idleHandoffLimit
 
-// Epoch is how long places are spread alike.
+// Epoch returns the duration for which the assignment of tenants to flows is fixed.
 func Epoch(c *Controller) Time { return c.epoch }
 
-// ShareFlow has two customers share a place, with no place of their own to be had; changed tells whether they were spread
-// anew since.
+// ShareFlow makes two tenants share a flow and leaves no dedicated flow free. The function changed reports
+// whether the tenants have been distributed anew since.
 func ShareFlow(c *Controller, first, second string) (changed func() bool) {
 	tenants := c.tenants
 	tenants.unassigned = nil
@@ -20,7 +21,8 @@
 	return func() bool { return tenants.salt != salt }
 }
 
-// ExpectedRetryWait is how long a further try would wait by what waits in the first lane now; otherwise where none ever did.
+// ExpectedRetryWait returns how long a retry would wait behind the requests that now wait in the first
+// scheduler, or otherwise if none has ever waited there.
 func ExpectedRetryWait(c *Controller, tenant string, client uint64, otherwise Time) Time {
 	s := &c.schedulers[0]
 	if s.flows == nil {
@@ -30,7 +32,7 @@
 	return Time(s.expectedWait(c, &s.flows[flowIndex], c.weight(s, flowIndex), retry, client))
 }
 
-// HeapBytes is how many bytes are in use after a collection.
+// HeapBytes returns the number of heap bytes in use after a garbage collection.
 func HeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -18,7 +18,8 @@
 	second = 1000 * ms
 )
 
-// newSimulation makes a world with a door or without one; at the end of the test it says what must not have happened.
+// newSimulation returns a simulation with or without admission control. At the end of the test, violated
+// invariants are reported as errors.
 func newSimulation(t *testing.T, places int, withAdmission bool, tenants ...*tenantsim.Tenant) *tenantsim.Simulation {
 	var b *admission.Bounds
 	if withAdmission {
@@ -37,7 +38,7 @@
 	return w
 }
 
-// crowd is twenty steady customers of 10 jobs a second each.
+// steadyTenants returns n tenants with a constant rate of requests per second each.
 func steadyTenants(n int, rate float64) []*tenantsim.Tenant {
 	var tenants []*tenantsim.Tenant
 	for i := range n {
@@ -46,17 +47,18 @@
 	return tenants
 }
 
-// TestSurgeOfOneCustomer: one customer at ten times its share against twenty steady ones: without the door in the
-// order of arrival and of credit, and with it. 10 places of 37.5 ms are 267 jobs a second.
+// TestSurgeOfOneTenant compares 20 tenants with constant rates during a surge of another one, to about ten
+// times its share: without admission control, with the decision module sending in order of arrival or of
+// credit, and with admission control. 10 slots of 37.5 ms serve 267 requests per second.
 func TestSurgeOfOneTenant(t *testing.T) {
 	type row struct {
-		name       string
-		fifo, door bool
-		surge      bool
+		name            string
+		fifo, admission bool
+		surge           bool
 	}
 	calm := 0.0
-	for _, r := range []row{{"door, no surge", false, true, false}, {"arrival", true, false, true},
-		{"credit, newest first", false, false, true}, {"door", false, true, true}} {
+	for _, r := range []row{{"admission, no surge", false, true, false}, {"arrival", true, false, true},
+		{"credit, newest first", false, false, true}, {"admission", false, true, true}} {
 		tenants := steadyTenants(20, 10)
 		surging := &tenantsim.Tenant{Name: "surge", Rate: tenantsim.ConstantRate(10), Clients: 8, Retries: 2, Marked: true}
 		if r.surge {
@@ -67,7 +69,7 @@
 				return 10
 			}
 		}
-		w := newSimulation(t, 10, r.door, append(tenants, surging)...)
+		w := newSimulation(t, 10, r.admission, append(tenants, surging)...)
 		w.FIFO = r.fifo
 		w.Run(30 * 1000 * ms)
 		var shares []float64
@@ -79,25 +81,26 @@
 		if r.surge == false {
 			calm = sum
 		}
-		// Jain's index of what each got of what it would get if work could be cut as fine as one likes.
+		// Jain's index of the requests answered in time, relative to max-min fair sharing of infinitely
+		// divisible work.
 		ideal := maxMinShares(tenants, surging, 267*30)
 		for i := range shares {
 			shares[i] = float64(tenants[i].InTime) / ideal[i]
 		}
 		shares = append(shares, float64(surging.InTime)/ideal[20])
 		t.Logf("%-22s Jain %.4f, worst %.3f, mean %.3f; %v", r.name, tenantsim.Jain(shares), worst, sum, surging)
-		if r.door && (sum < calm-0.02 || worst < calm-0.05) {
-			t.Errorf("%s: mean %.3f and worst %.3f of the steady ones, %.3f without the surge", r.name, sum, worst, calm)
+		if r.admission && (sum < calm-0.02 || worst < calm-0.05) {
+			t.Errorf("%s: steady tenants have mean %.3f and worst %.3f, %.3f without the surge", r.name, sum, worst, calm)
 		}
-		if r.door && r.surge {
+		if r.admission && r.surge {
 			if len(w.Logs) == 0 || !strings.Contains(w.Logs[len(w.Logs)-1], `"surge"`) {
-				t.Errorf("the log names no surge: %v", w.Logs)
+				t.Errorf("the log does not name the surging tenant: %v", w.Logs)
 			}
 		}
 	}
 }
 
-// maxMinShares gives each customer's jobs at max-min fair sharing of that many.
+// maxMinShares returns each tenant's share of a number of requests under max-min fair sharing.
 func maxMinShares(tenants []*tenantsim.Tenant, extra *tenantsim.Tenant, requests float64) []float64 {
 	m := &tenantsim.FluidModel{}
 	for _, p := range append(slices.Clone(tenants), extra) {
@@ -107,7 +110,8 @@
 	return m.Served
 }
 
-// TestRetriesChargedToTheirTenant (hard case 2): a customer whose further tries come to ten times its first ones.
+// TestRetriesChargedToTheirTenant simulates a tenant with about ten times as many retries as first tries. The
+// retries must not affect the other tenants, nor prevent the tenant's own first tries from being served.
 func TestRetriesChargedToTheirTenant(t *testing.T) {
 	tenants := steadyTenants(20, 10)
 	impatient := &tenantsim.Tenant{Name: "hasty", Rate: tenantsim.ConstantRate(100), Clients: 8, Retries: 40, IgnoresPause: true, Marked: true}
@@ -120,30 +124,32 @@
 		}
 	}
 	if impatient.Refused < 10*impatient.FirstTries/2 {
-		t.Errorf("only %d turned back of %d", impatient.Refused, impatient.FirstTries)
+		t.Errorf("only %d tries refused, of %d requests", impatient.Refused, impatient.FirstTries)
 	}
 	if float64(impatient.FirstTriesInTime) < 0.5*float64(impatient.FirstTries) {
 		t.Errorf("of %d first tries %d were in time", impatient.FirstTries, impatient.FirstTriesInTime)
 	}
 }
 
-// TestReservationsAreKept (hard case 4): over a surge, its end, and a drain rate that halves meanwhile.
+// TestReservationsAreKept checks that clients that retry at their reserved times are served then, during and
+// after a surge, and while the service rate drops to half. It compares this with other ways of choosing the
+// pause.
 func TestReservationsAreKept(t *testing.T) {
 	for _, r := range []struct {
-		name string
-		door bool
-		set  func(w *tenantsim.Simulation)
+		name      string
+		admission bool
+		set       func(w *tenantsim.Simulation)
 	}{
 		{"a constant time", false, func(w *tenantsim.Simulation) {
 			w.Pause = func(w *tenantsim.Simulation) balance.Time { return w.Settings.MaxRetryAfter / 2 }
 		}},
-		{"drawn, as the module does", false, func(w *tenantsim.Simulation) {}},
-		{"by what waits, not booked", true, func(w *tenantsim.Simulation) {
+		{"random, as the module does", false, func(w *tenantsim.Simulation) {}},
+		{"expected wait, not reserved", true, func(w *tenantsim.Simulation) {
 			w.OverridePause = func(p *tenantsim.Tenant, client uint64, pause balance.Time) balance.Time {
 				return min(admission.ExpectedRetryWait(w.Admission, p.Name, client, pause), w.Settings.MaxRetryAfter)
 			}
 		}},
-		{"booked", true, func(w *tenantsim.Simulation) {}},
+		{"reserved", true, func(w *tenantsim.Simulation) {}},
 	} {
 		tenants := steadyTenants(20, 8)
 		for i := range 4 {
@@ -154,7 +160,7 @@
 				return 8
 			}})
 		}
-		w := newSimulation(t, 10, r.door, tenants...)
+		w := newSimulation(t, 10, r.admission, tenants...)
 		r.set(w)
 		w.Run(15 * 1000 * ms)
 		w.Speed = 0.5
@@ -170,18 +176,18 @@
 		if len(pauseErrors) > 0 {
 			median = pauseErrors[len(pauseErrors)/2]
 		}
-		t.Logf("%-26s told %d, let in %.3f, median error %.3f", r.name, reserved, keptShare, median)
-		if r.name == "booked" {
+		t.Logf("%-26s reserved %d, kept %.3f, median error %.3f", r.name, reserved, keptShare, median)
+		if r.name == "reserved" {
 			t.Log(w.Admission.Totals())
 			if keptShare < 0.9 || median > 0.2 || reserved < 300 {
-				t.Errorf("told %d: %.3f let in, median error %.3f", reserved, keptShare, median)
+				t.Errorf("reserved %d: kept %.3f, median error %.3f", reserved, keptShare, median)
 			}
 		}
 	}
 }
 
-// TestBurstOfNewTenants (hard case 1): 200,000 customers that come once, in one second, and then ever new ones for a
-// minute, beside twenty steady customers.
+// TestBurstOfNewTenants simulates 200,000 tenants that send one request each within one second, and then ever
+// new ones for a minute, beside 20 tenants with constant rates.
 func TestBurstOfNewTenants(t *testing.T) {
 	tenants := steadyTenants(20, 8)
 	flood := &tenantsim.Tenant{Name: "crowd", UniqueNames: true, Rate: func(now balance.Time) float64 {
@@ -201,10 +207,10 @@
 	grown := int64(admission.HeapBytes()) - int64(before)
 	w.Run(68 * 1000 * ms)
 	more := int64(admission.HeapBytes()) - int64(before)
-	t.Logf("%d strangers in the burst, %d in all, %d served; heap grown by %d KiB after the burst, %d at the end", burst, flood.Requests,
+	t.Logf("%d new tenants in the burst, %d in all, %d served in time; heap grew by %d KiB after the burst, %d at the end", burst, flood.Requests,
 		flood.InTime, grown>>10, more>>10)
 	if burst < 200_000 || grown > 8<<20 || more > 8<<20 {
-		t.Errorf("%d in the burst, heap grown by %d and %d", burst, grown, more)
+		t.Errorf("%d new tenants in the burst, heap grew by %d and %d bytes", burst, grown, more)
 	}
 	for _, p := range tenants {
 		if p.Share() < 0.97 {
@@ -212,12 +218,13 @@
 		}
 	}
 	if flood.InTime < 60*20 {
-		t.Errorf("of the strangers only %d were served", flood.InTime)
+		t.Errorf("only %d requests of new tenants were answered in time", flood.InTime)
 	}
 }
 
-// TestSharedFlow (hard case 5): two customers without places of their own, the small one hashed to the heavy one's
-// place. The small one is served again after one change of the seed at the latest.
+// TestSharedFlow simulates two tenants without dedicated flows, where the name of the small one hashes to the
+// flow of the heavy one. The small one must be served again after the tenants have been distributed anew
+// once.
 func TestSharedFlow(t *testing.T) {
 	small := &tenantsim.Tenant{Name: "small", Rate: tenantsim.ConstantRate(4), Clients: 2}
 	heavy := &tenantsim.Tenant{Name: "heavy", Rate: tenantsim.ConstantRate(900), Clients: 64}
@@ -232,14 +239,14 @@
 	for w.Now-tenantsim.Start < 20*second {
 		w.Run(100 * ms)
 	}
-	t.Logf("%v; longest without: %d ms; an epoch is %d ms", small, worst/ms, admission.Epoch(w.Admission)/ms)
+	t.Logf("%v; longest time without an answer: %d ms; an epoch is %d ms", small, worst/ms, admission.Epoch(w.Admission)/ms)
 	if !changed() || worst > admission.Epoch(w.Admission)+600*ms || small.Share() < 0.5 {
-		t.Errorf("%v: longest without %d ms", small, worst/ms)
+		t.Errorf("%v: longest time without an answer is %d ms", small, worst/ms)
 	}
 }
 
-// TestClientsOfOneCustomer: one client of a customer that asks thirty times as much as each of its others does not keep
-// them from their part.
+// TestClientsOfOneTenant checks that one client that sends thirty times as many requests as each other client
+// of its tenant does not take their share.
 func TestClientsOfOneTenant(t *testing.T) {
 	greedy := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(300), Client: 1000}
 	modest := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(100), Clients: 10}
@@ -247,11 +254,12 @@
 	w.Run(10 * second)
 	t.Log(greedy, modest)
 	if modest.Share() < 2*greedy.Share() {
-		t.Errorf("%.3f of the modest clients' jobs are in time, %.3f of the greedy one's", modest.Share(), greedy.Share())
+		t.Errorf("%.3f of the modest clients' requests are in time, %.3f of the greedy one's", modest.Share(), greedy.Share())
 	}
 }
 
-// storeQueue is a gate to stores with a few places, behind a module that holds in order of arrival.
+// storeQueue is a Handler in front of stores with a number of slots and a decision module that sends requests
+// in order of arrival.
 type storeQueue struct {
 	t          interface{ Fatalf(string, ...any) }
 	controller *admission.Controller
@@ -270,7 +278,7 @@
 	l.send()
 }
 func (l *storeQueue) Reject(request int32, _ balance.Time) {
-	l.t.Fatalf("job %d is turned back", request)
+	l.t.Fatalf("request %d is refused", request)
 }
 func (l *storeQueue) Log(string) {}
 func (l *storeQueue) send() {
@@ -283,15 +291,16 @@
 	}
 }
 
-// TestIdealSharing: on generated arrivals no customer falls behind its ideal share by more than a job of its own, its
-// part of one of each other's, and what is with the stores and in the module already.
+// TestFluidModelSharing checks with generated arrivals that no tenant falls behind its share in the fluid
+// model by more than one request of its own, its part of one request of each other tenant, and the requests
+// that are already at the stores and in the decision module.
 func TestFluidModelSharing(t *testing.T) {
 	worst := 0.0
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(2, 6).Draw(t, "customers")
+		n := rapid.IntRange(2, 6).Draw(t, "tenants")
 		settings := tenantsim.Settings()
 		settings.Classes = []balance.Class{{Name: "p", ExpectedTime: 200 * ms, Deadline: 1 << 30, Credit: 1, LateCredit: 1}}
-		l := &storeQueue{t: t, now: 1e12, slots: rapid.IntRange(1, 4).Draw(t, "places"), owner: map[int32]int{}, served: make([]float64, n),
+		l := &storeQueue{t: t, now: 1e12, slots: rapid.IntRange(1, 4).Draw(t, "slots"), owner: map[int32]int{}, served: make([]float64, n),
 			work: 50 * ms}
 		model := &tenantsim.FluidModel{Weights: make([]float64, n), Queued: make([]float64, n), Served: make([]float64, n)}
 		for i := range n {
@@ -309,9 +318,9 @@
 			model.Weights[i] = settings.Tenants[i].Quota / mean
 			all += model.Weights[i]
 		}
-		type burst struct{ at, customer, jobs int }
+		type burst struct{ at, tenant, requests int }
 		bursts := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) burst {
-			return burst{rapid.IntRange(0, 200).Draw(t, "at"), rapid.IntRange(0, n-1).Draw(t, "customer"), rapid.IntRange(1, 40).Draw(t, "jobs")}
+			return burst{rapid.IntRange(0, 200).Draw(t, "at"), rapid.IntRange(0, n-1).Draw(t, "tenant"), rapid.IntRange(1, 40).Draw(t, "requests")}
 		}), 1, 30).Draw(t, "bursts")
 		request := int32(0)
 		for step := range 400 {
@@ -319,10 +328,10 @@
 				if b.at != step {
 					continue
 				}
-				for range b.jobs {
-					l.owner[request] = b.customer
-					model.Queued[b.customer] += l.work
-					l.controller.Arrive(l.now, admission.Arrival{Request: request, Tenant: []byte(settings.Tenants[b.customer].Name), Client: uint64(request), TimeLeft: 1 << 30,
+				for range b.requests {
+					l.owner[request] = b.tenant
+					model.Queued[b.tenant] += l.work
+					l.controller.Arrive(l.now, admission.Arrival{Request: request, Tenant: []byte(settings.Tenants[b.tenant].Name), Client: uint64(request), TimeLeft: 1 << 30,
 						Bytes: 1})
 					request++
 				}
@@ -331,7 +340,7 @@
 			for i := range n {
 				bound := l.work * (2 + float64(n)*model.Weights[i]/all + float64(l.slots) + admission.IdleHandoffLimit)
 				if lag := model.Served[i] - l.served[i]; lag > bound {
-					t.Fatalf("step %d: customer %d is %.0f behind, bound %.0f", step, i, lag, bound)
+					t.Fatalf("step %d: tenant %d is %.0f behind, bound %.0f", step, i, lag, bound)
 				} else {
 					worst = max(worst, lag/l.work)
 				}
@@ -350,5 +359,5 @@
 			}
 		}
 	})
-	t.Logf("furthest behind: %.1f jobs", worst)
+	t.Logf("furthest behind: %.1f requests", worst)
 }
--- a/admission/handoff.go
+++ b/admission/handoff.go
@@ -1,24 +1,30 @@
 package admission
 
-// Figures of the room in the decision module.
+// Limits on the requests without an attempt that the decision module may hold.
 const (
-	idleHandoffLimit = 4       // requests without an attempt that it may hold where nothing waits
-	maxHandoffLimit  = 1 << 20 // the largest that the room grows to
-	idleDivisor      = 8       // part of the shortest expected time without an attempt after which the room grows
+	// idleHandoffLimit is the limit while no request waits in the scheduler.
+	idleHandoffLimit = 4
+	// maxHandoffLimit is the value up to which the limit grows while no attempt is under way.
+	maxHandoffLimit = 1 << 20
+	// idleDivisor gives the time without an attempt after which the limit grows, as a part of the shortest
+	// expected time.
+	idleDivisor = 8
 )
 
-// mayHandOff reports whether the module is handed one more request. What it has no attempt for would only wait
-// there, where tenants have no shares: the one with most credit goes first and of these the newest, whoever
-// sent it, and the oldest waits until it is too late. While requests wait here one is enough: as its attempt
-// starts the next follows in the same turn.
+// mayHandOff reports whether one more request may be handed to the decision module.
+//
+// A request for which the module has no attempt would only wait there, where tenants have no shares: the
+// module serves requests with the most credit first, and the newest of these, whoever sent them, so the
+// oldest waits until it is too late. While requests wait in the scheduler, one request without an attempt is
+// enough: once its attempt starts, the next one is admitted in the same call of AdmitWaiting.
 func (s *scheduler) mayHandOff(c *Controller) bool {
 	held := float64(s.admitted - s.attempting)
 	return held < s.handoffLimit || s.waiting > 0 && (s.attempting < s.attemptsAtHold || c.now >= s.probeAt)
 }
 
-// updateHandoffLimit is called at each tick. Where no attempt is under way at all, what the module holds waits for no
-// store, and that wait is none of this package's: the module is handed ever more, and refuses what is in
-// vain.
+// updateHandoffLimit adapts the handoff limit. It is called at each tick. If no attempt is under way at all,
+// the requests in the module do not wait for a busy store, and admission control cannot shorten their wait.
+// The limit then grows, and the module refuses the requests that cannot be served.
 func (s *scheduler) updateHandoffLimit(c *Controller) {
 	if s.attempting > 0 || s.admitted == 0 {
 		s.idleSince = c.now
@@ -33,10 +39,11 @@
 	}
 }
 
-// learnFromAdmission learns from a request that was just let in. One whose attempt starts at once shows that
-// the stores have room; one that is held, that as many attempts as are under way now is all that the module
-// allows, or that this very request waits for something else. So another one is tried as soon as fewer are
-// under way, and from time to time: ever more seldom while that is in vain, and more often while it is not.
+// learnFromAdmission updates the estimate of available capacity after a request has been admitted. If its
+// attempt started at once, the stores have capacity. If the module holds it, either the attempts under way
+// are all that the module allows, or this particular request waits for something else. So another request is
+// handed over as soon as fewer attempts are under way, and also at intervals, which grow while these probes
+// fail and shrink while they succeed.
 func (s *scheduler) learnFromAdmission(c *Controller, started bool) {
 	if started {
 		s.probeInterval = max(s.probeInterval/2, c.tickInterval)
--- a/admission/order.go
+++ b/admission/order.go
@@ -1,12 +1,12 @@
 package admission
 
-// startsBefore orders tenants by their tags.
+// startsBefore reports whether flow a is served before flow b.
 func (s *scheduler) startsBefore(a, b int32) bool {
 	x, y := s.flows[a].startTag, s.flows[b].startTag
 	return x < y || x == y && a < b
 }
 
-// activate puts a tenant whose first request waits into the order of service.
+// activate adds a flow to the order of service when its first request starts to wait.
 func (s *scheduler) activate(c *Controller, flowIndex int32) {
 	if s.order.before == nil {
 		s.order.before = s.startsBefore
@@ -22,7 +22,7 @@
 	s.next = s.order.insert(s.next, flowIndex)
 }
 
-// deactivate takes a tenant out of the order of service.
+// deactivate removes a flow from the order of service.
 func (s *scheduler) deactivate(c *Controller, flowIndex int32) {
 	s.next = s.order.remove(s.next, flowIndex)
 	if c.tenants.isDedicated(flowIndex) {
@@ -31,11 +31,11 @@
 		s.sharedFlowsWaiting--
 	}
 	if s.next < 0 {
-		s.dedicatedWeight = 0 // no remainder of rounding stays
+		s.dedicatedWeight = 0 // discards rounding errors
 	}
 }
 
-// charge moves a tenant's tag on by a request that is let in.
+// charge advances the start tag of a flow by the work of a request that is admitted.
 func (s *scheduler) charge(f *flow, weight, work float64) {
 	start := max(f.startTag, s.virtualTime)
 	s.virtualTime = start
@@ -43,7 +43,7 @@
 	f.admittedWork += work
 }
 
-// reorder gives a tenant that is still in the order its new place there.
+// reorder moves a flow with waiting requests to its new position in the order of service.
 func (s *scheduler) reorder(flowIndex int32) {
 	if s.flows[flowIndex].waiting > 0 {
 		s.next = s.order.remove(s.next, flowIndex)
@@ -51,8 +51,8 @@
 	}
 }
 
-// adjustCharge charges a tenant for work afterwards, or gives some back, but no more than what was not yet made use
-// of.
+// adjustCharge charges a flow for additional work after the fact. Negative work is refunded, but at most as
+// much as keeps the start tag from falling behind the virtual time.
 func (s *scheduler) adjustCharge(c *Controller, flowIndex int32, work float64) {
 	f := &s.flows[flowIndex]
 	if work == 0 || f.startTag <= s.virtualTime && work < 0 {
@@ -67,17 +67,17 @@
 	}
 }
 
-// clientFinishTag returns a request's turn among those of its tenant's other clients: when its work would be done
-// if each client had an equal part. It starts no sooner than what is served now.
+// clientFinishTag returns the finish tag of a client's next request: the virtual time in the flow at which
+// its work would be done if all clients of the tenant had equal shares. The request starts no earlier than
+// the current virtual time of the flow.
 func (f *flow) clientFinishTag(client uint64, work float64) float64 {
 	tag := &f.clientFinishTags[client%clientBuckets]
 	*tag = max(*tag, f.virtualTime) + work
 	return *tag
 }
 
-// advance moves the tenant's own virtual time on.
-//
-// Danger: a number that only grows loses its low digits. It starts anew whenever nothing waits.
+// advance advances the virtual time within the flow, and resets it whenever the flow becomes empty. Without
+// the reset, the ever-growing number would lose its low digits.
 func (f *flow) advance(finishTag float64) {
 	f.virtualTime = max(f.virtualTime, finishTag)
 	if f.waiting == 0 {
--- a/admission/pairing_heaps.go
+++ b/admission/pairing_heaps.go
@@ -1,34 +1,38 @@
 package admission
 
-// pairingHeaps keeps any number of pairing heaps over one slab of numbered things (Fredman, Sedgewick, Sleator and
-// Tarjan 1986). A thing is in one heap at most, and a heap is known by the thing on top of it, -1 if it is
-// empty. Nothing is allocated but when the slab grows, and a thing can be taken out from anywhere, which is
-// why this is no slice: half of what is queued leaves from the middle.
+// pairingHeaps holds any number of pairing heaps (Fredman, Sedgewick, Sleator and Tarjan, 1986) over one
+// slice of numbered items. An item is in at most one heap. A heap is identified by its top item, or -1 if it
+// is empty. Memory is allocated only when the slice grows. An item can be removed from any position, which
+// rules out a sorted slice or a binary heap: half of the queued items leave from the middle.
 type pairingHeaps struct {
-	nodes  []node
-	before func(a, b int32) bool // a comes out first; a strict order
+	nodes  []node                // indexed by item
+	before func(a, b int32) bool // reports whether item a precedes item b; a strict order
 }
 
-// node is one thing's place: its first child, its next sibling, and its parent if it is a first child, else
-// the sibling before it.
-type node struct{ child, next, prev int32 }
+// node holds the links of one item, each of which is -1 if there is none.
+type node struct {
+	child int32 // first child
+	next  int32 // next sibling
+	prev  int32 // the parent of a first child, else the previous sibling
+}
 
+// detached is the node of an item that is in no heap.
 var detached = node{-1, -1, -1}
 
-// grow makes room for things numbered below n.
+// grow makes room for items below n.
 func (h *pairingHeaps) grow(n int) {
 	for len(h.nodes) < n {
 		h.nodes = append(h.nodes, detached)
 	}
 }
 
-// insert adds thing i to the heap with that top and gives the new top.
+// insert adds item i to the heap with that top and returns the new top.
 func (h *pairingHeaps) insert(top, i int32) int32 {
 	h.nodes[i] = detached
 	return h.meld(top, i)
 }
 
-// remove takes thing i out of the heap with that top and gives the new top, -1 if none is left.
+// remove removes item i from the heap with that top and returns the new top, or -1 if the heap is empty.
 func (h *pairingHeaps) remove(top, i int32) int32 {
 	k := h.nodes[i]
 	rest := h.mergeSiblings(k.child)
@@ -47,6 +51,7 @@
 	return h.meld(top, rest)
 }
 
+// meld merges two heaps and returns the top of the result.
 func (h *pairingHeaps) meld(a, b int32) int32 {
 	if a < 0 || b < 0 {
 		return max(a, b)
@@ -63,7 +68,8 @@
 	return a
 }
 
-// mergeSiblings melds siblings, from the first on, into one heap: in pairs one way, then all on the way back.
+// mergeSiblings merges a list of siblings into one heap and returns its top. It merges neighbours in pairs
+// from first to last, then the pairs from last to first.
 func (h *pairingHeaps) mergeSiblings(first int32) int32 {
 	pairs := int32(-1)
 	for a := first; a >= 0; {
--- a/admission/refuse.go
+++ b/admission/refuse.go
@@ -1,6 +1,6 @@
 package admission
 
-// refuse refuses a request that is in no queue.
+// refuse refuses a request that is not queued.
 func (c *Controller) refuse(request int32) {
 	r := &c.requests[request]
 	pause := c.reserve(r)
@@ -9,8 +9,8 @@
 	c.handler.Reject(request, pause)
 }
 
-// RetryAfter returns when the client of a request that the module has refused should come back. Otherwise is the
-// module's own answer, which is returned where this package has none.
+// RetryAfter returns the pause after which the client of a request that the decision module has refused
+// should retry. It returns otherwise, which is the pause that the module chose, if no time can be reserved.
 func (c *Controller) RetryAfter(now Time, request int32, otherwise Time) Time {
 	c.now = now
 	if int(request) >= len(c.requests) || otherwise <= 0 {
@@ -27,8 +27,9 @@
 	return otherwise
 }
 
-// reserve books a request's work against its tenant's future share and returns when its client should come
-// back. It returns 0 if the settings allow no time, or none within the longest allowed could be kept.
+// reserve reserves part of the future share of a request's tenant for a retry and returns the pause after
+// which the client should retry. It returns 0 if the settings allow no pause, or if no time within the
+// longest allowed pause has enough capacity.
 func (c *Controller) reserve(r *requestRecord) Time {
 	s := &c.schedulers[r.scheduler]
 	s.refused++
@@ -39,7 +40,8 @@
 	f.reservations.advance(c.now / c.slotSpan)
 	weight := c.weight(s, r.flowIndex)
 	share := s.virtualRate * weight
-	// First tries have the rest of the share, but must not take all of it from those who come back when told.
+	// First tries come before reservations in the share, but must not take all of it from clients that retry
+	// at their reserved times.
 	capacity := max(share-float64(f.firstTryRate), share/4) * float64(c.slotSpan)
 	backlog := max(f.startTag-s.virtualTime, 0)*weight + f.workBefore(retry)
 	entry := c.reservations.entryFor(r.retryHash, f.reservations.current)
@@ -53,11 +55,12 @@
 	c.totals.Promised++
 	slot := f.reservations.current + int64(ahead)
 	*entry = reservation{retryHash: r.retryHash, slot: slot, work: float32(r.work), scheduler: r.scheduler, flowIndex: r.flowIndex}
-	// Clients that are told alike come spread over the slot.
+	// Distributes the clients that are given the same slot over its duration.
 	return min(max(slot*c.slotSpan+c.rng.Below(c.slotSpan)-c.now, 1), c.maxPause)
 }
 
-// takeReservation has a retry take up the promise that was made to it, if that is due.
+// takeReservation gives a retry its reserved priority and uses up its reservation, if there is one and it is
+// due.
 func (c *Controller) takeReservation(r *requestRecord) {
 	taken, due := c.reservations.take(r.retryHash, c.now/c.slotSpan)
 	if !due {
--- a/admission/reservations.go
+++ b/admission/reservations.go
@@ -1,19 +1,22 @@
 package admission
 
 const (
-	wheelSlots = 32 // of the calendar: the longest time that may be named, divided
-	graceSlots = 8  // slots after which a promise that was not taken up is void
+	// wheelSlots is the number of slots in a reservationWheel. Together they span the longest allowed pause.
+	wheelSlots = 32
+	// graceSlots is the number of slots after which a reservation that was not used lapses.
+	graceSlots = 8
 )
 
-// reservationWheel holds the work that was promised to one customer, by when it was told to come back. It is a wheel:
-// the slot that has just passed is the one furthest ahead.
+// reservationWheel holds the work that is reserved for the retries of one tenant, by the slot in which they
+// are due. It is a ring: the slot that has just passed becomes the one furthest ahead.
 type reservationWheel struct {
-	reserved [wheelSlots]float32
-	overdue  float32 // of slots that have passed, not taken up so far
-	current  int64   // slots since the beginning of time, up to the present one
+	reserved [wheelSlots]float32 // work reserved in each slot
+	overdue  float32             // work reserved in past slots and not used so far
+	current  int64               // number of the current slot, counted from time 0
 }
 
-// advance lets slots pass until the present one is at. What has not been taken up by and by lapses.
+// advance makes slot the current one. Reserved work that is not used decays gradually once its slot has
+// passed.
 func (w *reservationWheel) advance(slot int64) {
 	if slot-w.current >= wheelSlots+4*graceSlots {
 		*w = reservationWheel{current: slot}
@@ -26,13 +29,13 @@
 	}
 }
 
-// dueWork is the work that may be taken up now: of slots that have passed, of this one and of the next, since
-// whoever comes back is early or late by a little.
+// dueWork returns the reserved work that may be used now: that of past slots, of the current slot and of the
+// next one, because clients return a little early or late.
 func (w *reservationWheel) dueWork() float32 {
 	return w.overdue + w.reserved[w.current%wheelSlots] + w.reserved[(w.current+1)%wheelSlots]
 }
 
-// release takes work off that was booked for a slot.
+// release removes work that was reserved in a slot.
 func (w *reservationWheel) release(slot int64, work float32) {
 	slotWork := &w.overdue
 	if slot >= w.current && slot < w.current+wheelSlots {
@@ -41,10 +44,12 @@
 	*slotWork = max(*slotWork-work, 0)
 }
 
-// reserve finds the first slot in which that much work fits, and gives how many slots ahead it is; 0: there is
-// none. Before promises comes what is queued already, carried; each slot takes room. Where the drain has
-// slowed, what was promised for a slot runs over into those behind it, and new promises are pushed back by as
-// much.
+// reserve reserves work in the first slot with enough free capacity and returns how many slots ahead that is,
+// or 0 if there is none. Each slot has the given capacity. The backlog of work that is already queued is
+// served before any reservation.
+//
+// If the service rate has dropped, work reserved in a slot carries over into the following ones, and new
+// reservations are pushed back accordingly.
 func (w *reservationWheel) reserve(work, backlog, capacity float32) int {
 	if capacity <= 0 {
 		return 0
@@ -61,27 +66,31 @@
 	return 0
 }
 
-// reservation is one time that was told: to whom, for which slot, and in which customer's calendar it stands.
+// reservation is the reserved time of one retry, and where its work is recorded.
 type reservation struct {
-	retryHash            uint64
-	slot                 int64
-	work                 float32
-	scheduler, flowIndex int32
+	retryHash uint64  // identifies the request; 0 in an unused entry
+	slot      int64   // the slot in which the retry is due
+	work      float32 // the reserved work
+	scheduler int32   // index of the scheduler that holds the work
+	flowIndex int32   // index of the flow whose wheel holds the work
 }
 
-// reservationTable remembers who was told when to come, on shelves of a few by the token's hash. Danger: where
-// anybody could take a promise up, those that come back unasked would use up the places of those that do as
-// they were told.
+// reservationTable finds reservations by retry hash, in buckets of bucketSize entries. If any request could
+// use a reservation, clients that return at other times than they were told to would use up the capacity
+// reserved for those that comply.
 type reservationTable [][bucketSize]reservation
 
+// newReservationTable returns a table of about n entries.
 func newReservationTable(n int) reservationTable { return make(reservationTable, max(n/bucketSize, 1)) }
 
+// bucket returns the bucket for a retry hash.
 func (t reservationTable) bucket(retryHash uint64) *[bucketSize]reservation {
 	return &t[(retryHash*hashFactor>>32)%uint64(len(t))]
 }
 
-// entryFor gives a place for a promise to token: one that has lapsed by the slot at, or that token's own; nil:
-// there is none, and no promise can be made.
+// entryFor returns the entry in which to store a reservation for a retry hash: the existing one for that
+// hash, or one that is unused or has lapsed by the current slot. It returns nil if there is none, in which
+// case no reservation can be made.
 func (t reservationTable) entryFor(retryHash uint64, current int64) (entry *reservation) {
 	bucket := t.bucket(retryHash)
 	for i := range bucket {
@@ -94,7 +103,7 @@
 	return entry
 }
 
-// take gives the promise to token if it has come due by the slot at, and forgets it.
+// take removes and returns the reservation for a retry hash if it is due in the current slot.
 func (t reservationTable) take(retryHash uint64, current int64) (q reservation, ok bool) {
 	bucket := t.bucket(retryHash)
 	for i := range bucket {
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -7,16 +7,17 @@
 	"micatrack/balance"
 )
 
-// SameSettings reports whether two settings give the same door.
+// SameSettings reports whether two settings lead to the same behaviour of a Controller.
 func SameSettings(a, b *balance.Settings) bool {
 	return a.MaxRetryAfter == b.MaxRetryAfter && a.EventInterval == b.EventInterval && a.Seed == b.Seed &&
 		slices.Equal(a.Classes, b.Classes) && slices.Equal(a.Tenants, b.Tenants)
 }
 
-// Successor returns a door with other settings or bounds, which takes the place of this one. What was learned of
-// classes of the same name is kept, and the counts are; places, promises and credit of tenants begin anew, and
-// requests that were let in before are the module's alone. It returns an error for settings or bounds out of
-// range. The requests that wait here have to arrive there.
+// Successor returns a Controller with other settings or bounds that replaces this one. It takes over the
+// counts, and the estimates for classes of the same name. Flows, reservations and retry credit of tenants are
+// reset. Requests that were admitted before are tracked by the decision module alone. The caller has to pass
+// the requests that wait here to Arrive of the successor. Successor returns an error if settings or bounds
+// are out of range.
 func (c *Controller) Successor(now Time, settings balance.Settings, bounds Bounds) (*Controller, error) {
 	next, err := New(now, settings, bounds, c.handler)
 	if err != nil {
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -9,47 +9,59 @@
 )
 
 const (
-	bucketSize       = 8  // entries of a shelf
-	minEpochRequests = 2  // jobs in an epoch, surely its own, from which on a customer counts as steady there
-	minBusyEpochs    = 2  // epochs in a row that make it steady
-	maxIdleEpochs    = 16 // epochs without a job after which a steady one gives its place up
-	maxLabelBytes    = 48 // bytes of a name that are kept for the log
+	// bucketSize is the number of entries in a bucket of a hash table.
+	bucketSize = 8
+	// minEpochRequests is the number of requests, not counting the possible error, that make an epoch a busy one
+	// for a tenant.
+	minEpochRequests = 2
+	// minBusyEpochs is the number of successive busy epochs after which a tenant gets a dedicated flow.
+	minBusyEpochs = 2
+	// maxIdleEpochs is the number of epochs without a request after which a tenant loses its dedicated flow.
+	maxIdleEpochs = 16
+	// maxLabelBytes is the length to which tenant names are truncated for the log.
+	maxLabelBytes = 48
 )
 
-// tenantTable tells which place a customer has: one of its own, or one that it shares with all that hash to it. The
-// settings' customers have their own from the start; of the others those get one that come steadily, as long
-// as there are any. What is kept does not grow with the names ever seen.
+// tenantTable maps tenants to flow indexes. Each tenant has either a dedicated flow or one that it shares
+// with all tenants of the same hash. The tenants that the settings name have dedicated flows from the start.
+// Of the others, those that send requests steadily get one, as long as any is free. The size of the table
+// does not depend on how many names it has seen.
 //
-// Places are numbered: the settings' customers, then the steady ones, then the shared ones.
+// Flow indexes are assigned first to the tenants that the settings name, then to the other dedicated flows,
+// then to the shared ones.
 type tenantTable struct {
 	rng             random.Source
 	digest          xxhash.Digest
-	hashSeed        uint64 // of the hash: a name must not choose its place
-	configured      map[string]int32
-	dedicatedByHash map[uint64]int32 // steady ones by hash, bounded as steady is
-	dedicated       []dedicatedTenant
-	unassigned      []int32 // places in steady that nobody has
-	buckets         [][bucketSize]requestCount
-	salt            uint64 // that spreads the others over the shared places in this epoch
-	shared          int
-	epoch           uint32
+	hashSeed        uint64                     // secret seed of the hash, so that a client cannot choose its flow by its name
+	configured      map[string]int32           // flow indexes of the tenants that the settings name
+	dedicatedByHash map[uint64]int32           // indexes into dedicated, by the hash of the name
+	dedicated       []dedicatedTenant          // the other dedicated flows, of fixed number
+	unassigned      []int32                    // indexes of the entries of dedicated without a tenant
+	buckets         [][bucketSize]requestCount // request counts of tenants that share flows
+	salt            uint64                     // distributes tenants over the shared flows; drawn anew each epoch
+	shared          int                        // number of shared flows
+	epoch           uint32                     // number of the current epoch
 }
 
-// dedicatedTenant is one customer with a place that it has earned.
+// dedicatedTenant is a dedicated flow of a tenant that the settings do not name.
 type dedicatedTenant struct {
-	hash     uint64
-	name     string // empty until it is seen next
-	lastSeen uint32 // epoch of its last job
-	assigned bool
+	hash     uint64 // hash of the name
+	name     string // name for the log; empty until the next request of the tenant
+	lastSeen uint32 // epoch of the last request
+	assigned bool   // whether the flow is assigned to a tenant
 }
 
-// requestCount counts one customer's jobs, on a shelf of a few (space-saving, Metwally et al. 2005, on each shelf).
+// requestCount counts the requests of one tenant. Each bucket implements the space-saving algorithm (Metwally
+// et al., 2005).
 type requestCount struct {
-	hash               uint64
-	requests, maxError float32 // this epoch and half of what was before; how much of it may be another's
-	busyEpochs         uint8   // epochs in a row in which it came often
+	hash       uint64  // hash of the name
+	requests   float32 // requests in this epoch, plus half of the count before it
+	maxError   float32 // how much of requests may be those of other tenants
+	busyEpochs uint8   // number of successive busy epochs
 }
 
+// newTenantTable returns a table with the given configured tenants and numbers of other dedicated and of
+// shared flows.
 func newTenantTable(seed uint64, configured []string, dedicated, shared int) *tenantTable {
 	t := &tenantTable{rng: random.New(seed), configured: map[string]int32{}, dedicatedByHash: make(map[uint64]int32, dedicated),
 		dedicated: make([]dedicatedTenant, dedicated), shared: shared, buckets: make([][bucketSize]requestCount, max(8*dedicated/bucketSize, 1))}
@@ -63,17 +75,18 @@
 	return t
 }
 
+// drawUint64 returns a pseudo-random number.
 func (t *tenantTable) drawUint64() uint64 { return uint64(t.rng.Uint32())<<32 | uint64(t.rng.Uint32()) }
 
-// flowCount is how many there are.
+// flowCount returns the number of flow indexes.
 func (t *tenantTable) flowCount() int { return len(t.configured) + len(t.dedicated) + t.shared }
 
-// isDedicated tells whether a place is one customer's alone.
+// isDedicated reports whether a flow belongs to one tenant alone.
 func (t *tenantTable) isDedicated(flowIndex int32) bool {
 	return int(flowIndex) < len(t.configured)+len(t.dedicated)
 }
 
-// flowIndex counts a job of that customer and gives its place.
+// flowIndex counts a request of a tenant and returns the index of its flow.
 func (t *tenantTable) flowIndex(name []byte) int32 {
 	if index, ok := t.configured[string(name)]; ok {
 		return index
@@ -94,7 +107,8 @@
 	return int32(len(t.configured)+len(t.dedicated)) + int32(hash%uint64(t.shared))
 }
 
-// retryHash is what a customer's job is known by over its tries; 0: by nothing.
+// retryHash returns the hash that identifies a request of a tenant across its tries, or 0 if there is no
+// retry key.
 func (t *tenantTable) retryHash(tenant, retryKey []byte) uint64 {
 	if len(retryKey) == 0 {
 		return 0
@@ -105,8 +119,9 @@
 	return max(t.digest.Sum64(), 1)
 }
 
-// countRequest finds the customer on its shelf, or gives it the entry with the fewest jobs there, whose count it
-// takes over as slack: no count is ever too low.
+// countRequest counts a request of the tenant with that hash. If the tenant has no entry in its bucket, it
+// takes over the one with the fewest requests, whose count it keeps as its possible error; so no count is
+// ever too low.
 func (t *tenantTable) countRequest(hash uint64) {
 	bucket := &t.buckets[(hash>>32)%uint64(len(t.buckets))]
 	least := 0
@@ -123,9 +138,9 @@
 	*entry = requestCount{hash: hash, requests: entry.requests + 1, maxError: entry.requests}
 }
 
-// endEpoch ends an epoch: customers that came often in one after the other get places of their own, all at once;
-// steady ones that have long been away lose theirs if free says that nothing hangs on it; and the others are
-// spread anew, so that whoever shares a place with a heavy one does so for one epoch.
+// endEpoch ends an epoch. All tenants with enough successive busy epochs get dedicated flows. Tenants that
+// have been idle for long lose theirs if release returns true for the flow. The other tenants are distributed
+// over the shared flows anew, so that a tenant shares a flow with a heavy one for one epoch only.
 func (t *tenantTable) endEpoch(release func(flowIndex int32) bool) {
 	t.epoch++
 	for i := range t.dedicated {
@@ -158,9 +173,9 @@
 	t.salt = t.drawUint64()
 }
 
-// label names the customer at a place, for the log.
+// label returns the name of the tenant of a flow, for the log.
 func (t *tenantTable) label(flowIndex int32) string {
-	for name, i := range t.configured { // in any order: one matches at most
+	for name, i := range t.configured { // the order is irrelevant, because at most one matches
 		if i == flowIndex {
 			return strconv.Quote(name[:min(len(name), maxLabelBytes)])
 		}
--- a/admission/tick.go
+++ b/admission/tick.go
@@ -1,7 +1,7 @@
 package admission
 
-// Tick is called once in a round of the settings or more often: it refuses what has waited too long, learns
-// from what has passed, and lets in what there is room for.
+// Tick refuses the requests that have waited too long, updates the estimates, and admits waiting requests as
+// far as there is room. It has to be called at least once in the interval that the settings give.
 func (c *Controller) Tick(now Time) {
 	c.now = now
 	for c.nextToExpire >= 0 && c.requests[c.nextToExpire].waitDeadline <= now {
@@ -19,7 +19,8 @@
 	c.AdmitWaiting(now)
 }
 
-// releaseFlow has a place forget the tenant that had it, and returns false if requests of it still wait.
+// releaseFlow resets a dedicated flow so that it can be assigned to another tenant. It returns false if
+// requests of the flow still wait.
 func (c *Controller) releaseFlow(flowIndex int32) bool {
 	for k := range c.schedulers {
 		s := &c.schedulers[k]
@@ -36,7 +37,8 @@
 	return true
 }
 
-// AdmitWaiting lets in what there is room for. It is called when attempts have ended.
+// AdmitWaiting admits waiting requests as far as there is room. It has to be called after attempts have
+// ended.
 func (c *Controller) AdmitWaiting(now Time) {
 	c.now = now
 	if c.waiting == 0 {
@@ -50,7 +52,7 @@
 	}
 }
 
-// admitNext lets in the next request of the tenant whose turn it is.
+// admitNext admits the next request in the order of service.
 func (c *Controller) admitNext(s *scheduler) {
 	flowIndex := s.next
 	f := &s.flows[flowIndex]
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -1,12 +1,13 @@
 package admission
 
-// learnedDivisor gives the part of the shortest expected time after which the pace counts as learned.
+// rateKnownDivisor gives the duration of sampling after which the virtual rate counts as known, as a part of
+// the shortest expected time.
 const rateKnownDivisor = 4
 
-// averageFactor is the span of averages, in shortest expected times.
+// averagingFactor is the duration over which rates are averaged, in multiples of the shortest expected time.
 const averagingFactor = 2
 
-// workBefore returns the work that waits and goes before a request of that priority.
+// workBefore returns the waiting work that is served before a new request of that priority.
 func (f *flow) workBefore(p priority) (work float64) {
 	for _, part := range f.work[:p+1] {
 		work += part
@@ -14,10 +15,11 @@
 	return work
 }
 
-// workBeforeClient returns the work that is served before a client's next request if each of those that wait
-// has an equal part.
+// workBeforeClient returns the work that is served before the next request of a client if all clients with
+// waiting requests have equal shares.
 //
-// Danger: by the whole queue, one client that keeps it full would have the others refused.
+// If the wait were estimated from the whole queue, one client that keeps the queue full would cause the
+// requests of the others to be refused.
 func (f *flow) workBeforeClient(client uint64) float64 {
 	clients := 0.0
 	for _, tag := range f.clientFinishTags {
@@ -28,25 +30,25 @@
 	return max(f.clientFinishTags[client%clientBuckets]-f.virtualTime, 0) * clients
 }
 
-// rateKnown reports whether the pace of this contention is known.
+// rateKnown reports whether the virtual rate of the current contention is known.
 func (s *scheduler) rateKnown(c *Controller) bool {
 	return s.sampledSpan >= c.minExpectedTime/rateKnownDivisor
 }
 
-// expectedWait returns how long a request of the tenant would wait, in Time, by what is ahead of it at its
-// tenant's share. Until the pace is known that is 0, and the request may wait.
+// expectedWait returns how long a request in a flow is expected to wait, in Time units, given the work ahead
+// of it and the flow's share. It returns 0 while the virtual rate is unknown, so that the request may wait.
 func (s *scheduler) expectedWait(c *Controller, f *flow, weight float64, p priority, client uint64) float64 {
 	if !s.rateKnown(c) || s.virtualRate <= 0 {
 		return 0
 	}
 	ahead := min(f.workBefore(p), f.workBeforeClient(client))
-	if p != reserved { // what was booked is ahead of all that was not
+	if p != reserved { // reserved work is served before all other work
 		ahead += float64(f.reservations.dueWork())
 	}
 	return (max(f.startTag-s.virtualTime, 0) + ahead/weight) / s.virtualRate
 }
 
-// update is called at each tick.
+// update updates the rates, the handoff limit and the state of contention. It is called at each tick.
 func (s *scheduler) update(c *Controller) {
 	span := max(c.now-s.sampledAt, 1)
 	if s.waiting > 0 {
@@ -64,9 +66,9 @@
 	s.logContention(c)
 }
 
-// updateRate averages how fast virtual time passes: as fast as a tenant of weight 1 is served that always has
-// more to ask for. Tenants that ask for less than their share leave it to the others, and that is in it. The
-// first values count for more.
+// updateRate updates the average rate at which virtual time passes. That is the rate at which a tenant of
+// weight 1 is served if it always has requests waiting. It includes what tenants that request less than their
+// shares leave to the others. The first samples of a contention have more weight.
 func (s *scheduler) updateRate(c *Controller, span Time) {
 	s.sampledSpan = min(s.sampledSpan+span, averagingFactor*c.minExpectedTime)
 	rate := (s.virtualTime - s.sampledVirtualTime) / float64(span)
--- a/admission/waiting.go
+++ b/admission/waiting.go
@@ -1,11 +1,11 @@
 package admission
 
-// full reports whether so many more bytes, or one more request, would exceed the bounds.
+// full reports whether one more request with a statement of that many bytes would exceed the bounds.
 func (c *Controller) full(bytes int) bool {
 	return c.waiting >= c.bounds.MaxRequests || c.bytes+bytes > c.bounds.MaxBytes
 }
 
-// enqueue has a request wait in its tenant's queue.
+// enqueue adds a request to its flow.
 func (c *Controller) enqueue(request int32, s *scheduler, client uint64) {
 	r := &c.requests[request]
 	f := &s.flows[r.flowIndex]
@@ -29,7 +29,7 @@
 	c.bytes += int(r.bytes)
 }
 
-// dequeue takes a request out of its queue, and is the only function that does.
+// dequeue removes a request from its flow. No other function removes requests from flows.
 func (c *Controller) dequeue(request int32) {
 	r := &c.requests[request]
 	s := &c.schedulers[r.scheduler]
@@ -44,7 +44,7 @@
 	c.waiting--
 	c.bytes -= int(r.bytes)
 	if f.waiting == 0 {
-		f.work = [priorities]float64{} // no remainder of rounding stays
+		f.work = [priorities]float64{} // discards rounding errors
 		s.deactivate(c, r.flowIndex)
 	}
 	if s.waiting == 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// unlink takes a request out of its tenant's list by arrival.
+// unlink removes a request from the list of its flow's requests by arrival.
 func (c *Controller) unlink(r *requestRecord, f *flow) {
 	if r.newer >= 0 {
 		c.requests[r.newer].older = r.older
@@ -66,10 +66,11 @@
 	r.newer = none
 }
 
-// displace makes room for a request by refusing the newest ones of the tenant that has most work waiting for
-// its weight. It returns false if that tenant is the request's own, or there is not enough room then.
+// displace makes room for a request by refusing the newest requests of another flow: in the scheduler with
+// the most waiting work, the flow with the most waiting work relative to its weight. It returns false if that
+// is the request's own flow, or if there is still not enough room.
 //
-// Danger: refusing whatever comes last lets one tenant hold all the room that there is.
+// If the newest request were refused instead, one tenant could occupy all the room in the queues.
 func (c *Controller) displace(own *scheduler, flowIndex int32, r *requestRecord) bool {
 	longest := own
 	for k := range c.schedulers {
@@ -91,7 +92,7 @@
 	return !c.full(int(r.bytes))
 }
 
-// heaviestFlow returns the place with most work waiting for its weight, or none.
+// heaviestFlow returns the index of the flow with the most waiting work relative to its weight, or none.
 func (c *Controller) heaviestFlow(s *scheduler) int32 {
 	heaviest, most := none, 0.0
 	for k := range s.flows {
--- a/internal/tenantsim/events.go
+++ b/internal/tenantsim/events.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// event is something that is to happen.
+// event is an action that happens at a given time.
 type event struct {
 	at     Time
-	number int // events of one moment happen in the order in which they were planned
+	number int // order in which events were scheduled; decides between events at the same time
 	do     func()
 }
 
-// events is a heap of events, the next first.
+// events is a heap of events, the earliest first.
 type events struct {
 	list []event
-	last int // number of the event that was planned last
+	last int // number of the event that was scheduled last
 }
 
 func (e *events) Len() int { return len(e.list) }
@@ -32,7 +32,7 @@
 	return last
 }
 
-// schedule plans an event.
+// schedule schedules an action after a span.
 func (s *Simulation) schedule(span Time, do func()) {
 	s.events.last++
 	heap.Push(&s.events, event{s.Now + max(span, 0), s.events.last, do})
--- a/internal/tenantsim/ideal.go
+++ b/internal/tenantsim/fluid.go
@@ -2,14 +2,16 @@
 
 import "math"
 
-// negligible is the work below which nothing is left to serve.
+// negligible is the amount of queued work that counts as none.
 const negligible = 1e-9
 
-// FluidModel shares the stores' time as if work could be divided without limit: whoever has work gets time by
-// weight. It is the slow, plain model that admission control is compared with. The slices have one element
-// for each tenant.
+// FluidModel divides the capacity of the stores as if work were infinitely divisible: all tenants with queued
+// work are served in proportion to their weights. It is the slow but simple model that admission control is
+// compared with. Each slice has one element for each tenant.
 type FluidModel struct {
-	Weights, Queued, Served []float64
+	Weights []float64 // weights of the tenants
+	Queued  []float64 // work that still has to be served
+	Served  []float64 // work that was served
 }
 
 // Serve serves that much work.
@@ -30,8 +32,8 @@
 	}
 }
 
-// backlog returns the weight of the tenants that have work, and how much for a weight of 1 may be served
-// until the first of them has none.
+// backlog returns the total weight of the tenants with queued work, and how much work per unit of weight can
+// be served until the first of them has none left.
 func (m *FluidModel) backlog() (weight, least float64) {
 	least = math.Inf(1)
 	for k, queued := range m.Queued {
--- a/internal/tenantsim/module.go
+++ b/internal/tenantsim/module.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// workDivisor gives the mean work of an attempt as a part of the class's expected time.
+// workDivisor gives the mean work of an attempt, as a part of the expected time of its class.
 const workDivisor = 8
 
-// Admit takes in a request that the door lets in.
+// Admit takes over a request that admission control has admitted.
 func (s *Simulation) Admit(index int32) {
 	try := &s.tries[index]
 	if try.state != Arrived {
-		s.reportViolation("job %d is let in when it is %s", index, try.state)
+		s.reportViolation("request %d is admitted in state %q", index, try.state)
 	}
 	try.state = Held
 	s.held = append(s.held, index)
 	s.sendHeld()
 }
 
-// Reject takes in a request that the door refuses.
+// Reject processes the refusal of a request by admission control.
 func (s *Simulation) Reject(index int32, pause Time) {
 	try := &s.tries[index]
 	if try.state != Arrived {
-		s.reportViolation("job %d is turned back when it is %s", index, try.state)
+		s.reportViolation("request %d is refused in state %q", index, try.state)
 	}
 	waited := s.Now - try.arrivedAt
 	if 2*waited > try.timeLeft {
-		s.reportViolation("turned back after %d of %d", waited, try.timeLeft)
+		s.reportViolation("refused after waiting for %d of %d", waited, try.timeLeft)
 	}
 	if s.OverridePause != nil {
 		pause = s.OverridePause(try.Tenant, try.client, pause)
@@ -32,13 +32,15 @@
 	s.refuse(index, pause)
 }
 
-// rank is the module's: by powers of two of the credit for the time.
+// rank returns the priority of a request in the decision module: the exponent of its credit per time, as a
+// power of two.
 func (s *Simulation) rank(index int32) int {
 	class := &s.Settings.Classes[s.tries[index].class]
 	return math.Ilogb(class.Credit / float64(class.ExpectedTime))
 }
 
-// precedes reports whether the module sends one held request before another that was held before it.
+// precedes reports whether the module sends the held request index before other, which it has held for
+// longer.
 func (s *Simulation) precedes(index, other int32) bool {
 	if s.FIFO {
 		return false
@@ -47,7 +49,7 @@
 	return rank > otherRank || rank == otherRank && s.tries[index].arrivedAt >= s.tries[other].arrivedAt
 }
 
-// sendHeld sends held requests while the stores have places.
+// sendHeld sends held requests while the stores have free slots.
 func (s *Simulation) sendHeld() {
 	for s.busy < s.slots && len(s.held) > 0 {
 		best := 0
@@ -62,6 +64,7 @@
 	}
 }
 
+// send starts an attempt of a request, and schedules its end.
 func (s *Simulation) send(index int32) {
 	s.busy++
 	try := &s.tries[index]
@@ -97,7 +100,7 @@
 	s.sendHeld()
 }
 
-// refuseLate refuses held requests that cannot be delivered in time any more.
+// refuseLate refuses held requests that can no longer be answered in time.
 func (s *Simulation) refuseLate() {
 	var late []int32
 	keep := s.held[:0]
@@ -118,6 +121,7 @@
 	}
 }
 
+// tooLate reports whether a held request can no longer be answered in time.
 func (s *Simulation) tooLate(try *Try) bool {
 	class := &s.Settings.Classes[try.class]
 	doneAt := s.Now + class.ExpectedTime/workDivisor
--- a/internal/tenantsim/tenant.go
+++ b/internal/tenantsim/tenant.go
@@ -6,49 +6,50 @@
 	"math"
 )
 
-// maxGap is the longest time until a tenant's rate is looked at again.
+// maxGap is the longest time until the rate of a tenant is evaluated again.
 const maxGap = 100 * millisecond
 
-// timesPerSecond is the number of Times in a second.
+// timesPerSecond is the number of Time units in a second.
 const timesPerSecond = 10000
 
-// Tenant is one tenant, or many that come under ever new names. The first fields configure it, the others are
-// counted.
+// Tenant is one tenant, or many tenants of which each sends one request. The fields in the first block are
+// its configuration, the others are counts.
 type Tenant struct {
 	Name         string
-	UniqueNames  bool                   // each request comes under a name of its own
-	Rate         func(now Time) float64 // requests a second
-	Class        int                    // of its requests, as the settings number them
-	Clients      int                    // among which each request's is drawn
-	Client       uint64                 // of all requests; 0: it is drawn
-	Retries      int                    // of a request, at most
-	IgnoresPause bool                   // it retries at once, whatever it was told
-	Marked       bool                   // retries are marked as such
+	UniqueNames  bool                   // whether each request comes from a tenant with a name of its own
+	Rate         func(now Time) float64 // requests per second
+	Class        int                    // class of the requests, as an index in the settings
+	Clients      int                    // number of clients, one of which is drawn for each request
+	Client       uint64                 // client of all requests; 0 draws one for each request
+	Retries      int                    // maximum number of retries of a request
+	IgnoresPause bool                   // whether clients retry at once, whatever pause they are given
+	Marked       bool                   // whether retries are marked as such
 
-	Requests                             int
-	InTime                               int       // requests delivered in their expected time, counted from the first try
-	FirstTries                           int       // the same as Requests, for FirstsInTime
-	FirstTriesInTime                     int       // first tries delivered in their expected time
-	Refused                              int       // tries
-	Reserved                             int       // refused tries that were told when to come back
-	ReservationsKept, ReservationsMissed int       // of these, tries that were sent, and that were refused again
-	PauseErrors                          []float64 // how far the moment of being sent was from what was told, as a part of it
-	lastNameNumber                       int
+	Requests           int       // requests sent, not counting retries
+	InTime             int       // requests answered within their expected time, counted from the first try
+	FirstTries         int       // equal to Requests; FirstTriesInTime is a part of it
+	FirstTriesInTime   int       // first tries answered within their expected time
+	Refused            int       // tries refused
+	Reserved           int       // refused tries whose clients were given a pause
+	ReservationsKept   int       // retries after such a pause that were sent to a store
+	ReservationsMissed int       // retries after such a pause that were refused again
+	PauseErrors        []float64 // deviations of the time of sending from the given pause, relative to the pause
+	lastNameNumber     int       // number in the last unique name
 }
 
-// ConstantRate returns a rate that does not change, in requests a second.
+// ConstantRate returns a constant rate, in requests per second.
 func ConstantRate(rate float64) func(Time) float64 { return func(Time) float64 { return rate } }
 
-// Share returns the part of the requests that were delivered in their expected time.
+// Share returns the fraction of the requests that were answered within their expected time.
 func (t *Tenant) Share() float64 { return float64(t.InTime) / float64(max(t.Requests, 1)) }
 
-// String returns the counts for a test's log.
+// String returns the counts for the log of a test.
 func (t *Tenant) String() string {
-	return fmt.Sprintf("%s: asked %d, in time %.3f, turned back %d, told %d kept %d missed %d",
+	return fmt.Sprintf("%s: %d requests, in time %.3f, refused %d, reserved %d, kept %d, missed %d",
 		t.Name, t.Requests, t.Share(), t.Refused, t.Reserved, t.ReservationsKept, t.ReservationsMissed)
 }
 
-// Jain returns Jain's index of fairness: 1 where all values are equal, 1/n where one has all.
+// Jain returns Jain's index of fairness of n values: 1 if all are equal, 1/n if all but one are 0.
 func Jain(values []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, value := range values {
@@ -58,7 +59,7 @@
 	return sum * sum / (float64(len(values)) * squares)
 }
 
-// nextName returns the name of the tenant's next request.
+// nextName returns the tenant name for the next request.
 func (t *Tenant) nextName() []byte {
 	name := []byte(t.Name)
 	if !t.UniqueNames {
@@ -68,9 +69,9 @@
 	return binary.BigEndian.AppendUint64(name, uint64(t.lastNameNumber))
 }
 
-// startArrivals plans a tenant's requests, one after the other.
+// startArrivals schedules the requests of a tenant, one after the other.
 func (s *Simulation) startArrivals(t *Tenant) {
-	at := float64(s.Now) // gaps may be shorter than a Time
+	at := float64(s.Now) // a float, because gaps may be shorter than one Time unit
 	var plan func()
 	plan = func() {
 		gap := s.drawGap(t)
@@ -88,7 +89,7 @@
 	plan()
 }
 
-// drawGap draws the time until a tenant's next request from an exponential distribution, maxGap at most.
+// drawGap draws the time until a tenant's next request from an exponential distribution, limited to maxGap.
 func (s *Simulation) drawGap(t *Tenant) float64 {
 	rate := t.Rate(s.Now)
 	if rate <= 0 {
--- a/internal/tenantsim/try.go
+++ b/internal/tenantsim/try.go
@@ -6,53 +6,58 @@
 	"micatrack/admission"
 )
 
-// State is that of a try.
+// State is the state of a try.
 type State string
 
-// The states.
+// States of a try.
 const (
-	Arrived   State = "came"
-	Held      State = "held" // in the module
-	Sent      State = "out"
-	Delivered State = "delivered"
-	Refused   State = "turned back"
+	Arrived   State = "came"        // arrived, and not decided yet or waiting in admission control
+	Held      State = "held"        // admitted, and held by the decision module
+	Sent      State = "out"         // sent to a store
+	Delivered State = "delivered"   // answered
+	Refused   State = "turned back" // refused by admission control or by the decision module
 )
 
-// Figures of a client's retries.
+// Pauses before a client retries.
 const (
-	impatientPause    = 10 * millisecond
-	reservationJitter = 5 * millisecond // by which a client comes later than it was told
-	defaultPause      = 200 * millisecond
-	defaultPauseRange = 800 * millisecond // on top of it
+	// impatientPause is the pause of a client that ignores the one it is given.
+	impatientPause = 10 * millisecond
+	// reservationJitter limits by how much a client retries later than it was told to.
+	reservationJitter = 5 * millisecond
+	// defaultPause is the shortest pause of a client that is given none.
+	defaultPause = 200 * millisecond
+	// defaultPauseRange limits the random time that is added to defaultPause.
+	defaultPauseRange = 800 * millisecond
 )
 
-// statementBytes is the size of each request's statement.
+// statementBytes is the size of the statement of each request.
 const statementBytes = 200
 
-// group is that of all requests.
+// group is the group of all requests.
 const group = 1
 
 // Try is one try of a request.
 type Try struct {
-	Tenant    *Tenant
-	class     int
-	client    uint64
-	arrivedAt Time
-	timeLeft  Time
+	Tenant    *Tenant // the tenant that sent it
+	class     int     // its class, as an index in the settings
+	client    uint64  // the client that sent it
+	arrivedAt Time    // when it arrived
+	timeLeft  Time    // time from its arrival until the client gives it up
 	state     State
 	retryHistory
 }
 
-// retryHistory is what a try has from those before it; all but born is zero for a first try.
+// retryHistory is what a try takes over from the tries before it. It is given to arrive with all fields but
+// firstArrivedAt 0 for a first try.
 type retryHistory struct {
-	id             uint64 // the same for all tries of a request
-	number         int    // of tries before
+	id             uint64 // equal for all tries of a request
+	number         int    // number of tries before this one
 	firstArrivedAt Time   // when the first try arrived
-	reservedPause  Time   // the pause that it was told; 0: none
-	refusedAt      Time
+	reservedPause  Time   // the pause that the client was given, or 0
+	refusedAt      Time   // when the client was given reservedPause
 }
 
-// arrive brings one try in.
+// arrive simulates the arrival of one try.
 func (s *Simulation) arrive(t *Tenant, previous retryHistory) {
 	index := s.allocateTry()
 	if previous.number == 0 {
@@ -86,7 +91,7 @@
 	})
 }
 
-// allocateTry returns the index of a free place for a try.
+// allocateTry returns the index of a free element of tries.
 func (s *Simulation) allocateTry() int32 {
 	if len(s.free) == 0 {
 		s.free = append(s.free, int32(len(s.tries)))
@@ -106,12 +111,13 @@
 	s.free = append(s.free, index)
 	if s.Admission != nil {
 		s.Admission.RequestEnded(s.Now, index)
-		s.sendHeld() // the module's turn comes first
+		s.sendHeld() // the decision module sends its held requests first
 		s.Admission.AdmitWaiting(s.Now)
 	}
 }
 
-// refuse ends a try that was refused, by the door or by the module, and plans the client's next one.
+// refuse ends a try that was refused, by admission control or by the decision module, and schedules the
+// client's next one.
 func (s *Simulation) refuse(index int32, pause Time) {
 	ended := s.tries[index]
 	t := ended.Tenant
