--- a/admission/arrive.go
+++ b/admission/arrive.go
@@ -103,8 +103,8 @@
 // credit for late answers, the limit also leaves enough time to answer within the expected time. That does
 // not apply to a request with a reservation: it has usually exceeded its expected time already, and it must
 // be served all the same.
-func (c *requestClass) waitLimit(p priority, left Time) Time {
-	limit := left * waitEighths / 8
+func (c *requestClass) waitLimit(p priority, timeLeft Time) Time {
+	limit := timeLeft * waitEighths / 8
 	if c.LateCredit == 0 && p != reserved {
 		limit = min(limit, max(c.ExpectedTime-Time(2*c.work), c.ExpectedTime/4))
 	}
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -170,15 +170,15 @@
 		}
 		b.Run(fmt.Sprintf("pairing/%d", size), func(b *testing.B) {
 			rng := setup()
-			p := pairingHeaps{before: func(a, b int32) bool { return keys[a] < keys[b] }}
-			p.grow(n)
+			heaps := pairingHeaps{before: func(a, b int32) bool { return keys[a] < keys[b] }}
+			heaps.grow(n)
 			top, in := int32(-1), make([]int32, 0, n) // in holds the queued items, so that each variant can pick one
 			for i := range size {
-				top, in = p.insert(top, int32(i)), append(in, int32(i))
+				top, in = heaps.insert(top, int32(i)), append(in, int32(i))
 			}
 			spare := int32(size)
 			for i := 0; b.Loop(); i++ {
-				top = p.insert(top, spare)
+				top = heaps.insert(top, spare)
 				in = append(in, spare)
 				k := int(rng.Below(int64(len(in))))
 				if i%2 == 0 {
@@ -187,7 +187,7 @@
 				spare = in[k]
 				in[k] = in[len(in)-1]
 				in = in[:len(in)-1]
-				top = p.remove(top, spare)
+				top = heaps.remove(top, spare)
 			}
 		})
 		b.Run(fmt.Sprintf("heap/%d", size), func(b *testing.B) {
--- a/admission/contention.go
+++ b/admission/contention.go
@@ -10,11 +10,11 @@
 	// contentionDivisor gives the part of that time for which requests have to wait before contention is logged.
 	contentionDivisor = 4
 	// quietFactor is the multiple of that time without waiting requests after which contention has ended.
-	quietFactor = 2
+	emptyFactor = 2
 )
 
 // logTenants is the number of tenants that a log line names.
-const logTenants = 3
+const maxLoggedTenants = 3
 
 // needNames are the names of balance.Need values in log lines.
 var needNames = [...]string{"any data", "bounded age", "session", "fresh", "writes"}
@@ -35,7 +35,7 @@
 	if s.emptySince == 0 {
 		s.emptySince = c.now
 	}
-	if c.now-s.emptySince > quietFactor*c.minExpectedTime {
+	if c.now-s.emptySince > emptyFactor*c.minExpectedTime {
 		s.sampledSpan = 0
 	}
 	if s.contended && s.sampledSpan == 0 {
@@ -43,6 +43,7 @@
 	}
 }
 
+// beginContention logs the beginning of contention, with the tenants that have the most waiting work.
 func (s *scheduler) beginContention(c *Controller) {
 	s.contended = true
 	s.refused = 0
@@ -55,6 +56,7 @@
 	}
 }
 
+// endContention logs the end of contention, with the tenants that had the most work admitted meanwhile.
 func (s *scheduler) endContention(c *Controller) {
 	s.contended = false
 	heaviest := s.heaviestTenants(c, func(f *flow) float64 { return f.admittedWork })
@@ -66,8 +68,8 @@
 // heaviestTenants returns the names of the tenants with the largest parts of the sum of valueOf over all
 // flows, with their percentages.
 func (s *scheduler) heaviestTenants(c *Controller, valueOf func(f *flow) float64) string {
-	var flowIndexes [logTenants]int32
-	var values [logTenants]float64
+	var flowIndexes [maxLoggedTenants]int32
+	var values [maxLoggedTenants]float64
 	sum := 0.0
 	for k := range s.flows {
 		flowIndex, value := int32(k), valueOf(&s.flows[k])
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -111,13 +111,13 @@
 
 // New returns a Controller. The settings give the classes, the tenants and their quotas, the time between
 // ticks and the longest pause. New returns an error if settings or bounds are out of range.
-func New(now Time, settings balance.Settings, bounds Bounds, gate Handler) (*Controller, error) {
+func New(now Time, settings balance.Settings, bounds Bounds, handler Handler) (*Controller, error) {
 	err := checkBounds(&settings, &bounds)
 	if err != nil {
 		return nil, err
 	}
 	c := &Controller{
-		handler:          gate,
+		handler:          handler,
 		now:              now,
 		bounds:           bounds,
 		rng:              random.New(settings.Seed + 1),
@@ -142,7 +142,8 @@
 	if len(settings.Classes) == 0 {
 		return errNoClasses
 	}
-	if b.MaxRequests < 1 || b.MaxBytes < 1 || b.DedicatedTenants < 1 || b.SharedQueues < 1 || b.SharedWeight <= 0 || b.RetriesPerRequest < 0 {
+	if b.MaxRequests < 1 || b.MaxBytes < 1 || b.DedicatedTenants < 1 || b.SharedQueues < 1 ||
+		b.SharedWeight <= 0 || b.RetriesPerRequest < 0 {
 		return fmt.Errorf("admission control: bounds out of range: %+v", *b)
 	}
 	for k := range settings.Classes {
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -34,10 +34,10 @@
 // the most waiting work relative to its weight makes room when the queues are full.
 func TestBounds(t *testing.T) {
 	r := &rejections{t: t, now: 1e12, rejected: map[int32]bool{}}
-	b := testBounds()
-	b.MaxRequests, b.MaxBytes = 20, 10_000
+	bounds := testBounds()
+	bounds.MaxRequests, bounds.MaxBytes = 20, 10_000
 	settings := testSettings()
-	c, err := New(r.now, settings, b, r)
+	c, err := New(r.now, settings, bounds, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		t.Errorf("%d requests wait, refused ones: %v", c.Waiting(), r.rejected)
 	}
 	arrive("b", 1, 9_900)
-	if c.Waiting() > 20 || c.bytes > b.MaxBytes || r.rejected[idleHandoffLimit+35] {
+	if c.Waiting() > 20 || c.bytes > bounds.MaxBytes || r.rejected[idleHandoffLimit+35] {
 		t.Errorf("%d requests wait with %d bytes", c.Waiting(), c.bytes)
 	}
 	r.now += 2 * second
@@ -95,9 +95,9 @@
 func TestCallsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &rejections{t: t, now: 1e12, rejected: map[int32]bool{}}
-		b := testBounds()
-		b.MaxRequests = 8
-		c, err := New(r.now, testSettings(), b, r)
+		bounds := testBounds()
+		bounds.MaxRequests = 8
+		c, err := New(r.now, testSettings(), bounds, r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,21 +147,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 60).Draw(t, "keys")
 		before := func(a, b int32) bool { return keys[a] < keys[b] || keys[a] == keys[b] && a < b }
-		p := pairingHeaps{before: before}
-		p.grow(len(keys))
+		heaps := pairingHeaps{before: before}
+		heaps.grow(len(keys))
 		top := int32(-1)
 		var plain []int32
 		for _, op := range rapid.SliceOfN(rapid.IntRange(0, 1<<20), 1, 200).Draw(t, "ops") {
 			i := int32(op % len(keys))
 			if k := slices.Index(plain, i); k < 0 {
-				top = p.insert(top, i)
+				top = heaps.insert(top, i)
 				plain = append(plain, i)
 			} else {
 				if op&1024 != 0 {
 					i = top // removes the top, else any item
 					k = slices.Index(plain, i)
 				}
-				top = p.remove(top, i)
+				top = heaps.remove(top, i)
 				plain = slices.Delete(plain, k, k+1)
 			}
 			want := int32(-1)
@@ -173,10 +173,10 @@
 			}
 		}
 		for range plain {
-			top = p.remove(top, top)
+			top = heaps.remove(top, top)
 		}
-		if top != -1 || slices.ContainsFunc(p.nodes, func(k node) bool { return k != detached }) {
-			t.Fatalf("items are left after all were removed: top %d, %v", top, p.nodes)
+		if top != -1 || slices.ContainsFunc(heaps.nodes, func(k node) bool { return k != detached }) {
+			t.Fatalf("items are left after all were removed: top %d, %v", top, heaps.nodes)
 		}
 	})
 }
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -20,22 +20,22 @@
 
 // newSimulation returns a simulation with or without admission control. At the end of the test, violated
 // invariants are reported as errors.
-func newSimulation(t *testing.T, places int, withAdmission bool, tenants ...*tenantsim.Tenant) *tenantsim.Simulation {
+func newSimulation(t *testing.T, slots int, withAdmission bool, tenants ...*tenantsim.Tenant) *tenantsim.Simulation {
 	var b *admission.Bounds
 	if withAdmission {
 		bounds := tenantsim.Bounds()
 		b = &bounds
 	}
-	w, err := tenantsim.New(places, b, tenants...)
+	sim, err := tenantsim.New(slots, b, tenants...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, b := range w.Violations {
+		for _, b := range sim.Violations {
 			t.Error(b)
 		}
 	})
-	return w
+	return sim
 }
 
 // steadyTenants returns n tenants with a constant rate of requests per second each.
@@ -69,9 +69,9 @@
 				return 10
 			}
 		}
-		w := newSimulation(t, 10, r.admission, append(tenants, surging)...)
-		w.FIFO = r.fifo
-		w.Run(30 * 1000 * ms)
+		sim := newSimulation(t, 10, r.admission, append(tenants, surging)...)
+		sim.FIFO = r.fifo
+		sim.Run(30 * 1000 * ms)
 		var shares []float64
 		worst, sum := 1.0, 0.0
 		for _, p := range tenants {
@@ -93,8 +93,8 @@
 			t.Errorf("%s: steady tenants have mean %.3f and worst %.3f, %.3f without the surge", r.name, sum, worst, calm)
 		}
 		if r.admission && r.surge {
-			if len(w.Logs) == 0 || !strings.Contains(w.Logs[len(w.Logs)-1], `"surge"`) {
-				t.Errorf("the log does not name the surging tenant: %v", w.Logs)
+			if len(sim.Logs) == 0 || !strings.Contains(sim.Logs[len(sim.Logs)-1], `"surge"`) {
+				t.Errorf("the log does not name the surging tenant: %v", sim.Logs)
 			}
 		}
 	}
@@ -115,9 +115,9 @@
 func TestRetriesChargedToTheirTenant(t *testing.T) {
 	tenants := steadyTenants(20, 10)
 	impatient := &tenantsim.Tenant{Name: "hasty", Rate: tenantsim.ConstantRate(100), Clients: 8, Retries: 40, IgnoresPause: true, Marked: true}
-	w := newSimulation(t, 10, true, append(tenants, impatient)...)
-	w.Run(30 * 1000 * ms)
-	t.Log(impatient, w.Admission.Totals(), impatient.FirstTriesInTime, impatient.FirstTries)
+	sim := newSimulation(t, 10, true, append(tenants, impatient)...)
+	sim.Run(30 * 1000 * ms)
+	t.Log(impatient, sim.Admission.Totals(), impatient.FirstTriesInTime, impatient.FirstTries)
 	for _, p := range tenants {
 		if p.Share() < 0.97 {
 			t.Errorf("%v", p)
@@ -138,18 +138,18 @@
 	for _, r := range []struct {
 		name      string
 		admission bool
-		set       func(w *tenantsim.Simulation)
+		set       func(sim *tenantsim.Simulation)
 	}{
-		{"a constant time", false, func(w *tenantsim.Simulation) {
-			w.Pause = func(w *tenantsim.Simulation) balance.Time { return w.Settings.MaxRetryAfter / 2 }
+		{"a constant time", false, func(sim *tenantsim.Simulation) {
+			sim.Pause = func(sim *tenantsim.Simulation) balance.Time { return sim.Settings.MaxRetryAfter / 2 }
 		}},
-		{"random, as the module does", false, func(w *tenantsim.Simulation) {}},
-		{"expected wait, not reserved", true, func(w *tenantsim.Simulation) {
-			w.OverridePause = func(p *tenantsim.Tenant, client uint64, pause balance.Time) balance.Time {
-				return min(admission.ExpectedRetryWait(w.Admission, p.Name, client, pause), w.Settings.MaxRetryAfter)
+		{"random, as the module does", false, func(sim *tenantsim.Simulation) {}},
+		{"expected wait, not reserved", true, func(sim *tenantsim.Simulation) {
+			sim.OverridePause = func(p *tenantsim.Tenant, client uint64, pause balance.Time) balance.Time {
+				return min(admission.ExpectedRetryWait(sim.Admission, p.Name, client, pause), sim.Settings.MaxRetryAfter)
 			}
 		}},
-		{"reserved", true, func(w *tenantsim.Simulation) {}},
+		{"reserved", true, func(sim *tenantsim.Simulation) {}},
 	} {
 		tenants := steadyTenants(20, 8)
 		for i := range 4 {
@@ -160,13 +160,13 @@
 				return 8
 			}})
 		}
-		w := newSimulation(t, 10, r.admission, tenants...)
-		r.set(w)
-		w.Run(15 * 1000 * ms)
-		w.Speed = 0.5
-		w.Run(10 * 1000 * ms)
-		w.Speed = 1
-		w.Run(10 * 1000 * ms)
+		sim := newSimulation(t, 10, r.admission, tenants...)
+		r.set(sim)
+		sim.Run(15 * 1000 * ms)
+		sim.Speed = 0.5
+		sim.Run(10 * 1000 * ms)
+		sim.Speed = 1
+		sim.Run(10 * 1000 * ms)
 		reserved, kept, missed, pauseErrors := 0, 0, 0, []float64{}
 		for _, p := range tenants {
 			reserved, kept, missed, pauseErrors = reserved+p.Reserved, kept+p.ReservationsKept, missed+p.ReservationsMissed, append(pauseErrors, p.PauseErrors...)
@@ -178,7 +178,7 @@
 		}
 		t.Logf("%-26s reserved %d, kept %.3f, median error %.3f", r.name, reserved, keptShare, median)
 		if r.name == "reserved" {
-			t.Log(w.Admission.Totals())
+			t.Log(sim.Admission.Totals())
 			if keptShare < 0.9 || median > 0.2 || reserved < 300 {
 				t.Errorf("reserved %d: kept %.3f, median error %.3f", reserved, keptShare, median)
 			}
@@ -190,7 +190,7 @@
 // new ones for a minute, beside 20 tenants with constant rates.
 func TestBurstOfNewTenants(t *testing.T) {
 	tenants := steadyTenants(20, 8)
-	flood := &tenantsim.Tenant{Name: "crowd", UniqueNames: true, Rate: func(now balance.Time) float64 {
+	newTenants := &tenantsim.Tenant{Name: "crowd", UniqueNames: true, Rate: func(now balance.Time) float64 {
 		switch s := (now - tenantsim.Start) / 10000; {
 		case s >= 10 && s < 11:
 			return 210_000
@@ -199,16 +199,16 @@
 		}
 		return 0
 	}}
-	w := newSimulation(t, 10, true, append(tenants, flood)...)
-	w.Run(9 * 1000 * ms)
+	sim := newSimulation(t, 10, true, append(tenants, newTenants)...)
+	sim.Run(9 * 1000 * ms)
 	before := admission.HeapBytes()
-	w.Run(3 * 1000 * ms)
-	burst := flood.Requests
+	sim.Run(3 * 1000 * ms)
+	burst := newTenants.Requests
 	grown := int64(admission.HeapBytes()) - int64(before)
-	w.Run(68 * 1000 * ms)
+	sim.Run(68 * 1000 * ms)
 	more := int64(admission.HeapBytes()) - int64(before)
-	t.Logf("%d new tenants in the burst, %d in all, %d served in time; heap grew by %d KiB after the burst, %d at the end", burst, flood.Requests,
-		flood.InTime, grown>>10, more>>10)
+	t.Logf("%d new tenants in the burst, %d in all, %d served in time; heap grew by %d KiB after the burst, %d at the end", burst, newTenants.Requests,
+		newTenants.InTime, grown>>10, more>>10)
 	if burst < 200_000 || grown > 8<<20 || more > 8<<20 {
 		t.Errorf("%d new tenants in the burst, heap grew by %d and %d bytes", burst, grown, more)
 	}
@@ -217,8 +217,8 @@
 			t.Errorf("%v", p)
 		}
 	}
-	if flood.InTime < 60*20 {
-		t.Errorf("only %d requests of new tenants were answered in time", flood.InTime)
+	if newTenants.InTime < 60*20 {
+		t.Errorf("only %d requests of new tenants were answered in time", newTenants.InTime)
 	}
 }
 
@@ -228,19 +228,19 @@
 func TestSharedFlow(t *testing.T) {
 	small := &tenantsim.Tenant{Name: "small", Rate: tenantsim.ConstantRate(4), Clients: 2}
 	heavy := &tenantsim.Tenant{Name: "heavy", Rate: tenantsim.ConstantRate(900), Clients: 64}
-	w := newSimulation(t, 4, true, small, heavy)
-	changed := admission.ShareFlow(w.Admission, "small", "heavy")
-	last, worst := w.Now, balance.Time(0)
-	w.OnEnd = func(w *tenantsim.Simulation, e *tenantsim.Try, how string) {
+	sim := newSimulation(t, 4, true, small, heavy)
+	changed := admission.ShareFlow(sim.Admission, "small", "heavy")
+	last, worst := sim.Now, balance.Time(0)
+	sim.OnEnd = func(sim *tenantsim.Simulation, e *tenantsim.Try, how string) {
 		if e.Tenant == small && how == "delivered" {
-			worst, last = max(worst, w.Now-last), w.Now
+			worst, last = max(worst, sim.Now-last), sim.Now
 		}
 	}
-	for w.Now-tenantsim.Start < 20*second {
-		w.Run(100 * ms)
+	for sim.Now-tenantsim.Start < 20*second {
+		sim.Run(100 * ms)
 	}
-	t.Logf("%v; longest time without an answer: %d ms; an epoch is %d ms", small, worst/ms, admission.Epoch(w.Admission)/ms)
-	if !changed() || worst > admission.Epoch(w.Admission)+600*ms || small.Share() < 0.5 {
+	t.Logf("%v; longest time without an answer: %d ms; an epoch is %d ms", small, worst/ms, admission.Epoch(sim.Admission)/ms)
+	if !changed() || worst > admission.Epoch(sim.Admission)+600*ms || small.Share() < 0.5 {
 		t.Errorf("%v: longest time without an answer is %d ms", small, worst/ms)
 	}
 }
@@ -250,8 +250,8 @@
 func TestClientsOfOneTenant(t *testing.T) {
 	greedy := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(300), Client: 1000}
 	modest := &tenantsim.Tenant{Name: "one", Rate: tenantsim.ConstantRate(100), Clients: 10}
-	w := newSimulation(t, 6, true, greedy, modest)
-	w.Run(10 * second)
+	sim := newSimulation(t, 6, true, greedy, modest)
+	sim.Run(10 * second)
 	t.Log(greedy, modest)
 	if modest.Share() < 2*greedy.Share() {
 		t.Errorf("%.3f of the modest clients' requests are in time, %.3f of the greedy one's", modest.Share(), greedy.Share())
@@ -273,21 +273,21 @@
 	work       float64
 }
 
-func (l *storeQueue) Admit(request int32) {
-	l.held = append(l.held, request)
-	l.send()
+func (q *storeQueue) Admit(request int32) {
+	q.held = append(q.held, request)
+	q.send()
 }
-func (l *storeQueue) Reject(request int32, _ balance.Time) {
-	l.t.Fatalf("request %d is refused", request)
+func (q *storeQueue) Reject(request int32, _ balance.Time) {
+	q.t.Fatalf("request %d is refused", request)
 }
-func (l *storeQueue) Log(string) {}
-func (l *storeQueue) send() {
-	for len(l.inFlight) < l.slots && len(l.held) > 0 {
-		request := l.held[0]
-		l.held = l.held[1:]
-		l.inFlight, l.ends = append(l.inFlight, request), append(l.ends, l.now+balance.Time(l.work))
-		l.served[l.owner[request]] += l.work
-		l.controller.AttemptStarted(l.now, request)
+func (q *storeQueue) Log(string) {}
+func (q *storeQueue) send() {
+	for len(q.inFlight) < q.slots && len(q.held) > 0 {
+		request := q.held[0]
+		q.held = q.held[1:]
+		q.inFlight, q.ends = append(q.inFlight, request), append(q.ends, q.now+balance.Time(q.work))
+		q.served[q.owner[request]] += q.work
+		q.controller.AttemptStarted(q.now, request)
 	}
 }
 
@@ -300,14 +300,14 @@
 		n := rapid.IntRange(2, 6).Draw(t, "tenants")
 		settings := tenantsim.Settings()
 		settings.Classes = []balance.Class{{Name: "p", ExpectedTime: 200 * ms, Deadline: 1 << 30, Credit: 1, LateCredit: 1}}
-		l := &storeQueue{t: t, now: 1e12, slots: rapid.IntRange(1, 4).Draw(t, "slots"), owner: map[int32]int{}, served: make([]float64, n),
+		q := &storeQueue{t: t, now: 1e12, slots: rapid.IntRange(1, 4).Draw(t, "slots"), owner: map[int32]int{}, served: make([]float64, n),
 			work: 50 * ms}
 		model := &tenantsim.FluidModel{Weights: make([]float64, n), Queued: make([]float64, n), Served: make([]float64, n)}
 		for i := range n {
 			settings.Tenants = append(settings.Tenants, balance.Tenant{Name: fmt.Sprint(i), Quota: float64(rapid.IntRange(1, 4).Draw(t, "quota"))})
 		}
 		var err error
-		if l.controller, err = admission.New(l.now, settings, tenantsim.Bounds(), l); err != nil {
+		if q.controller, err = admission.New(q.now, settings, tenantsim.Bounds(), q); err != nil {
 			t.Fatal(err)
 		}
 		mean, all := 0.0, 0.0
@@ -329,32 +329,32 @@
 					continue
 				}
 				for range b.requests {
-					l.owner[request] = b.tenant
-					model.Queued[b.tenant] += l.work
-					l.controller.Arrive(l.now, admission.Arrival{Request: request, Tenant: []byte(settings.Tenants[b.tenant].Name), Client: uint64(request), TimeLeft: 1 << 30,
+					q.owner[request] = b.tenant
+					model.Queued[b.tenant] += q.work
+					q.controller.Arrive(q.now, admission.Arrival{Request: request, Tenant: []byte(settings.Tenants[b.tenant].Name), Client: uint64(request), TimeLeft: 1 << 30,
 						Bytes: 1})
 					request++
 				}
 			}
-			l.controller.Tick(l.now)
+			q.controller.Tick(q.now)
 			for i := range n {
-				bound := l.work * (2 + float64(n)*model.Weights[i]/all + float64(l.slots) + admission.IdleHandoffLimit)
-				if lag := model.Served[i] - l.served[i]; lag > bound {
+				bound := q.work * (2 + float64(n)*model.Weights[i]/all + float64(q.slots) + admission.IdleHandoffLimit)
+				if lag := model.Served[i] - q.served[i]; lag > bound {
 					t.Fatalf("step %d: tenant %d is %.0f behind, bound %.0f", step, i, lag, bound)
 				} else {
-					worst = max(worst, lag/l.work)
+					worst = max(worst, lag/q.work)
 				}
 			}
-			l.now += 5 * ms
-			model.Serve(float64(l.slots) * 5 * ms)
-			for k := 0; k < len(l.inFlight); k++ {
-				if l.ends[k] <= l.now {
-					done := l.inFlight[k]
-					l.inFlight, l.ends = append(l.inFlight[:k:k], l.inFlight[k+1:]...), append(l.ends[:k:k], l.ends[k+1:]...)
+			q.now += 5 * ms
+			model.Serve(float64(q.slots) * 5 * ms)
+			for k := 0; k < len(q.inFlight); k++ {
+				if q.ends[k] <= q.now {
+					done := q.inFlight[k]
+					q.inFlight, q.ends = append(q.inFlight[:k:k], q.inFlight[k+1:]...), append(q.ends[:k:k], q.ends[k+1:]...)
 					k--
-					l.controller.AttemptEnded(l.now, done, true)
-					l.controller.RequestEnded(l.now, done)
-					l.send()
+					q.controller.AttemptEnded(q.now, done, true)
+					q.controller.RequestEnded(q.now, done)
+					q.send()
 				}
 			}
 		}
--- a/admission/refuse.go
+++ b/admission/refuse.go
@@ -54,7 +54,8 @@
 	}
 	c.totals.Promised++
 	slot := f.reservations.current + int64(ahead)
-	*entry = reservation{retryHash: r.retryHash, slot: slot, work: float32(r.work), scheduler: r.scheduler, flowIndex: r.flowIndex}
+	*entry = reservation{retryHash: r.retryHash, slot: slot, work: float32(r.work), scheduler: r.scheduler,
+		flowIndex: r.flowIndex}
 	// Distributes the clients that are given the same slot over its duration.
 	return min(max(slot*c.slotSpan+c.rng.Below(c.slotSpan)-c.now, 1), c.maxPause)
 }
--- a/admission/reservations.go
+++ b/admission/reservations.go
@@ -94,22 +94,22 @@
 func (t reservationTable) entryFor(retryHash uint64, current int64) (entry *reservation) {
 	bucket := t.bucket(retryHash)
 	for i := range bucket {
-		if q := &bucket[i]; q.retryHash == retryHash && q.retryHash != 0 {
-			return q
-		} else if q.retryHash == 0 || current > q.slot+graceSlots {
-			entry = q
+		if r := &bucket[i]; r.retryHash == retryHash && r.retryHash != 0 {
+			return r
+		} else if r.retryHash == 0 || current > r.slot+graceSlots {
+			entry = r
 		}
 	}
 	return entry
 }
 
 // take removes and returns the reservation for a retry hash if it is due in the current slot.
-func (t reservationTable) take(retryHash uint64, current int64) (q reservation, ok bool) {
+func (t reservationTable) take(retryHash uint64, current int64) (r reservation, ok bool) {
 	bucket := t.bucket(retryHash)
 	for i := range bucket {
-		if q = bucket[i]; q.retryHash == retryHash && retryHash != 0 && current >= q.slot-1 && current <= q.slot+graceSlots {
+		if r = bucket[i]; r.retryHash == retryHash && retryHash != 0 && current >= r.slot-1 && current <= r.slot+graceSlots {
 			bucket[i] = reservation{}
-			return q, true
+			return r, true
 		}
 	}
 	return reservation{}, false
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -103,7 +103,8 @@
 	}
 	index := int32(len(c.schedulers))
 	c.schedulerIndexes[key] = index
-	c.schedulers = append(c.schedulers, scheduler{key: key, next: none, handoffLimit: idleHandoffLimit, sampledAt: c.now, idleSince: c.now})
+	c.schedulers = append(c.schedulers, scheduler{key: key, next: none, handoffLimit: idleHandoffLimit, sampledAt: c.now,
+		idleSince: c.now})
 	return index
 }
 
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -32,7 +32,7 @@
 type tenantTable struct {
 	rng             random.Source
 	digest          xxhash.Digest
-	hashSeed        uint64                     // secret seed of the hash, so that a client cannot choose its flow by its name
+	hashSeed        uint64                     // secret, so that a name cannot be made to hash to a certain flow
 	configured      map[string]int32           // flow indexes of the tenants that the settings name
 	dedicatedByHash map[uint64]int32           // indexes into dedicated, by the hash of the name
 	dedicated       []dedicatedTenant          // the other dedicated flows, of fixed number
@@ -63,8 +63,9 @@
 // newTenantTable returns a table with the given configured tenants and numbers of other dedicated and of
 // shared flows.
 func newTenantTable(seed uint64, configured []string, dedicated, shared int) *tenantTable {
-	t := &tenantTable{rng: random.New(seed), configured: map[string]int32{}, dedicatedByHash: make(map[uint64]int32, dedicated),
-		dedicated: make([]dedicatedTenant, dedicated), shared: shared, buckets: make([][bucketSize]requestCount, max(8*dedicated/bucketSize, 1))}
+	t := &tenantTable{rng: random.New(seed), configured: map[string]int32{},
+		dedicatedByHash: make(map[uint64]int32, dedicated), dedicated: make([]dedicatedTenant, dedicated),
+		shared: shared, buckets: make([][bucketSize]requestCount, max(8*dedicated/bucketSize, 1))}
 	for i, name := range configured {
 		t.configured[name] = int32(i)
 	}
--- a/internal/tenantsim/events.go
+++ b/internal/tenantsim/events.go
@@ -15,17 +15,22 @@
 	last int // number of the event that was scheduled last
 }
 
+// Len implements heap.Interface.
 func (e *events) Len() int { return len(e.list) }
 
+// Less implements heap.Interface.
 func (e *events) Less(i, k int) bool {
 	a, b := &e.list[i], &e.list[k]
 	return a.at < b.at || a.at == b.at && a.number < b.number
 }
 
+// Swap implements heap.Interface.
 func (e *events) Swap(i, k int) { e.list[i], e.list[k] = e.list[k], e.list[i] }
 
+// Push implements heap.Interface.
 func (e *events) Push(x any) { e.list = append(e.list, x.(event)) }
 
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := e.list[len(e.list)-1]
 	e.list = e.list[:len(e.list)-1]
--- a/internal/tenantsim/simulation.go
+++ b/internal/tenantsim/simulation.go
@@ -67,7 +67,8 @@
 
 // Bounds returns the defaults of the operators' file.
 func Bounds() admission.Bounds {
-	return admission.Bounds{MaxRequests: 4096, MaxBytes: 16 << 20, DedicatedTenants: 128, SharedQueues: 64, SharedWeight: 0.25, RetriesPerRequest: 0.5}
+	return admission.Bounds{MaxRequests: 4096, MaxBytes: 16 << 20, DedicatedTenants: 128, SharedQueues: 64,
+		SharedWeight: 0.25, RetriesPerRequest: 0.5}
 }
 
 // New returns a simulation whose stores have that many slots, with admission control in front of them, or
