--- a/admission/export_test.go
+++ b/admission/export_test.go
@@ -2,36 +2,38 @@
 
 import "runtime"
 
-// What tests outside the package look at.
+// This file exports internals for the tests in package admission_test.
 
-const Begin = quietRoom
+// IdleHandoffLimit is the handoff limit while no request waits.
+const IdleHandoffLimit = idleHandoffLimit
 
-// Epoch is how long places are spread alike.
-func Epoch(d *Controller) Time { return d.epoch }
+// Epoch returns the duration for which the assignment of tenants to flows is fixed.
+func Epoch(c *Controller) Time { return c.epoch }
 
-// Collide has two customers share a place, with no place of their own to be had; changed tells whether they were spread
-// anew since.
-func Collide(d *Controller, a, b string) (changed func() bool) {
-	n := d.names
-	n.idle = nil
-	for n.salt = 1; n.at([]byte(a)) != n.at([]byte(b)); n.salt++ {
+// ShareFlow makes two tenants share a flow and leaves no dedicated flow free. The function changed reports
+// whether the tenants have been distributed anew since.
+func ShareFlow(c *Controller, first, second string) (changed func() bool) {
+	tenants := c.tenants
+	tenants.unassigned = nil
+	for tenants.salt = 1; tenants.flowIndex([]byte(first)) != tenants.flowIndex([]byte(second)); tenants.salt++ {
 	}
-	salt := n.salt
-	return func() bool { return n.salt != salt }
+	salt := tenants.salt
+	return func() bool { return tenants.salt != salt }
 }
 
-// Expected is how long a further try would wait by what waits in the first lane now; otherwise where none ever did.
-func Expected(d *Controller, customer string, client uint64, otherwise Time) Time {
-	l := &d.lanes[0]
-	if l.flows == nil {
+// ExpectedRetryWait returns how long a retry would wait behind the requests that now wait in the first
+// scheduler, or otherwise if none has ever waited there.
+func ExpectedRetryWait(c *Controller, tenant string, client uint64, otherwise Time) Time {
+	s := &c.schedulers[0]
+	if s.flows == nil {
 		return otherwise
 	}
-	place := d.names.at([]byte(customer))
-	return Time(l.expectedWait(d, &l.flows[place], d.weight(l, place), retry, client))
+	flowIndex := c.tenants.flowIndex([]byte(tenant))
+	return Time(s.expectedWait(c, &s.flows[flowIndex], c.weight(s, flowIndex), retry, client))
 }
 
-// HeapNow is how many bytes are in use after a collection.
-func HeapNow() uint64 {
+// HeapBytes returns the number of heap bytes in use after a garbage collection.
+func HeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
