--- a/internal/front/door_test.go
+++ b/internal/front/admission_test.go
@@ -9,26 +9,26 @@
 	"micatrack/internal/pgwire"
 )
 
-// crowd brings clients that each ask once; the last of them wait at the door, for the store's answers do not come.
-func crowd(s *stage, n int, class string) []*wire {
-	var clients []*wire
+// startClients brings clients that each ask once; the last of them wait at the door, for the store's answers do not come.
+func startClients(s *harness, n int, class string) []*fakeLink {
+	var clients []*fakeLink
 	for i := range n {
-		cl := s.client()
+		cl := s.newClient()
 		clients = append(clients, cl)
-		s.say(cl, ask(class, 1000+i))
+		s.send(cl, ask(class, 1000+i))
 		if i == 0 {
-			s.store()
+			s.welcomeNewest()
 		}
 	}
 	for _, w := range s.dials[1:] {
-		w.take()
-		s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		w.takeOutput()
+		s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 	}
 	return clients
 }
 
-func doorStage(t *testing.T) *stage {
-	s := newStage(t, 400)
+func newAdmissionHarness(t *testing.T) *harness {
+	s := newHarness(t, 400)
 	s.configure(func(settings *Settings) {
 		settings.Admission = &admission.Bounds{MaxRequests: 100, MaxBytes: 1 << 20, DedicatedTenants: 16, SharedQueues: 16, SharedWeight: 0.25, RetriesPerRequest: 0.5}
 	})
@@ -36,46 +36,46 @@
 }
 
 // queries counts the requests' queries that the stores were sent.
-func (s *stage) queries() (n int) {
+func (s *harness) queries() (n int) {
 	for _, w := range s.dials {
-		n += w.seen + strings.Count(string(w.out), "/* id=1")
+		n += w.queries + strings.Count(string(w.out), "/* id=1")
 	}
 	return n
 }
 
-// TestDoorWhenTheFrontOrItsStoresEnd (hard case 6): while requests wait at the door the front is told to stop, or its store
+// TestAdmissionQueueAtShutdownDrainAndLoss (hard case 6): while requests wait at the door the front is told to stop, or its store
 // drains, or is lost. Each request has its one answer in its time, and nothing is sent for it after that.
-func TestDoorWhenTheFrontOrItsStoresEnd(t *testing.T) {
-	for name, happens := range map[string]func(s *stage){
-		"SIGTERM": func(s *stage) { s.core.Stop(s.now) },
-		"drain": func(s *stage) {
+func TestAdmissionQueueAtShutdownDrainAndLoss(t *testing.T) {
+	for name, happens := range map[string]func(s *harness){
+		"SIGTERM": func(s *harness) { s.core.Stop(s.now) },
+		"drain": func(s *harness) {
 			s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{
 				Group: 3, Condition: balance.Draining, Primary: true, Size: 1}}}})
 			s.step()
 		},
-		"stores lost": func(s *stage) {
+		"stores lost": func(s *harness) {
 			for _, w := range s.dials {
 				s.step(Event{w, Closed})
 			}
-			s.deny = errLost
+			s.dialError = errLost
 		},
 	} {
 		for _, class := range []string{"any", "once"} {
-			s := doorStage(t)
-			clients := crowd(s, 60, class)
-			held := s.core.door.Waiting()
+			s := newAdmissionHarness(t)
+			clients := startClients(s, 60, class)
+			held := s.core.admission.Waiting()
 			if held < 20 {
 				t.Fatalf("%s, %s: %d wait at the door", name, class, held)
 			}
 			sent := s.queries()
 			happens(s)
-			s.pass(2 * second)
+			s.advance(2 * second)
 			answers := map[string]int{}
 			for _, cl := range clients {
-				answers[code(t, cl.take())]++
+				answers[code(t, cl.takeOutput())]++
 			}
-			if s.core.door.Waiting() != 0 || s.core.inHand != 0 || answers[pgwire.TooManyConnections] < held {
-				t.Errorf("%s, %s: %d waited, answers %v, %v, %d still wait", name, class, held, answers, s.core, s.core.door.Waiting())
+			if s.core.admission.Waiting() != 0 || s.core.pending != 0 || answers[pgwire.TooManyConnections] < held {
+				t.Errorf("%s, %s: %d waited, answers %v, %v, %d still wait", name, class, held, answers, s.core, s.core.admission.Waiting())
 			}
 			if name == "drain" && s.queries() > sent {
 				t.Errorf("%s: %d queries after the drain was told", class, s.queries()-sent)
@@ -84,54 +84,54 @@
 			for _, cl := range clients {
 				s.step(Event{cl, Closed})
 			}
-			s.pass(4 * second)
+			s.advance(4 * second)
 			if s.queries() > sent {
 				t.Errorf("%s, %s: %d queries after the answers", name, class, s.queries()-sent)
 			}
-			s.idle(0)
+			s.checkReleased(0)
 		}
 	}
 }
 
-// TestDoorLeft (hard case 7): clients that hang up while their requests wait at the door; an id that waits and is asked
+// TestClientsLeaveAdmissionQueue (hard case 7): clients that hang up while their requests wait at the door; an id that waits and is asked
 // again; a request whose time ends there.
-func TestDoorLeft(t *testing.T) {
-	s := doorStage(t)
-	clients := crowd(s, 60, "any")
-	held := s.core.door.Waiting()
-	again := s.client()
-	s.say(again, ask("any", 1059))
-	if got := code(t, again.take()); got != pgwire.DuplicateObject {
+func TestClientsLeaveAdmissionQueue(t *testing.T) {
+	s := newAdmissionHarness(t)
+	clients := startClients(s, 60, "any")
+	held := s.core.admission.Waiting()
+	again := s.newClient()
+	s.send(again, ask("any", 1059))
+	if got := code(t, again.takeOutput()); got != pgwire.DuplicateObject {
 		t.Errorf("an id that waits at the door, asked again: %s", got)
 	}
 	sent := s.queries()
 	for _, cl := range clients[30:] {
 		s.step(Event{cl, Closed})
 	}
-	if got := s.core.door.Waiting(); got > max(held-30, 0) {
+	if got := s.core.admission.Waiting(); got > max(held-30, 0) {
 		t.Errorf("%d wait after 30 of those have left, %d before", got, held)
 	}
-	s.say(again, ask("any", 1059)) // the id is free again
+	s.send(again, ask("any", 1059)) // the id is free again
 	if len(again.out) > 0 {
-		t.Errorf("answered at once: %s", code(t, again.take()))
+		t.Errorf("answered at once: %s", code(t, again.takeOutput()))
 	}
 	came := s.now
 	for len(again.out) == 0 && s.now < came+2*second {
-		s.pass(5 * perMilli)
+		s.advance(5 * millisecond)
 	}
-	if got, waited := code(t, again.take()), s.now-came; got != pgwire.TooManyConnections || waited > second/2 {
+	if got, waited := code(t, again.takeOutput()), s.now-came; got != pgwire.TooManyConnections || waited > second/2 {
 		t.Errorf("a job whose time ends at the door: %s after %d", got, waited)
 	}
-	s.pass(2 * second)
+	s.advance(2 * second)
 	for _, cl := range append(clients[:30], again) {
 		s.step(Event{cl, Closed})
 	}
-	s.pass(second)
+	s.advance(second)
 	if s.queries() > sent {
 		t.Errorf("%d queries for those that had left", s.queries()-sent)
 	}
-	if s.core.door.Waiting() != 0 {
+	if s.core.admission.Waiting() != 0 {
 		t.Error("some still wait")
 	}
-	s.idle(0)
+	s.checkReleased(0)
 }
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-const summaryInterval = 60 * 1000 * perMilli // between two lines that count what ended
+const summaryInterval = 60 * 1000 * millisecond // between two lines that count what ended
 
 // closeCause says why a client's connection ended.
 type closeCause uint8
@@ -76,8 +76,8 @@
 	if cl.request >= 0 {
 		request = string(c.requests[cl.request].terms.ID)
 	}
-	c.note("client connection closed", "cause", cause.String(), "client", cl.serial, "request", request, "behind", len(cl.pipeline.behind),
-		"unread", len(cl.link.Peek()), "answer_out", cl.link.Flushed(), "silent_ms", (c.now-cl.since)/perMilli)
+	c.logLimited("client connection closed", "cause", cause.String(), "client", cl.serial, "request", request, "behind", len(cl.pipeline.queue),
+		"unread", len(cl.link.Peek()), "answer_out", cl.link.Flushed(), "silent_ms", (c.now-cl.activeAt)/millisecond)
 }
 
 // countRequest counts the end of a request. One that was answered after its time, or given up behind an attempt that may
@@ -85,7 +85,7 @@
 func (c *Core) countRequest(index int32, end requestEnd) {
 	request := &c.requests[index]
 	c.counts.requests[end]++
-	over := c.now - request.came - request.left
+	over := c.now - request.arrivedAt - request.timeLeft
 	isLate := over > 0 && end != endAbandoned
 	if isLate {
 		c.counts.late++
@@ -94,11 +94,11 @@
 		return
 	}
 	store := ""
-	if request.sent > 0 && int(request.store) < len(c.stores) {
+	if request.attempts > 0 && int(request.store) < len(c.stores) {
 		store = c.stores[request.store].id
 	}
-	c.note("request not served", "request", string(request.terms.ID), "end", end.String(), "took_ms", (c.now-request.came)/perMilli,
-		"over_ms", over/perMilli, "attempts", request.sent, "store", store, "out", request.attempt != nil, "waits", request.waits)
+	c.logLimited("request not served", "request", string(request.terms.ID), "end", end.String(), "took_ms", (c.now-request.arrivedAt)/millisecond,
+		"over_ms", over/millisecond, "attempts", request.attempts, "store", store, "out", request.attemptConn != nil, "waits", request.awaitsConn)
 }
 
 // summarize logs the counts of what ended, once in each summaryInterval in which something did.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -19,7 +19,7 @@
 // Time is in tenths of a millisecond since the Unix epoch, read once and then counted monotonically.
 type Time = balance.Time
 
-const perMilli = 10 // Times in a millisecond
+const millisecond = 10 // Times in a millisecond
 
 // Link is one socket. The core owns it from Dial or its Accepted event until it calls Close or Finish, or
 // hears that it is closed.
@@ -107,9 +107,9 @@
 	QueryFailed(store string)                               // a Survey came to nothing
 }
 
-// word is what others have to say of a store, and what the watch asks for.
-type word struct {
-	do       func(c *Core, i uint32, w word)
+// storeUpdate is what others have to say of a store, and what the watch asks for.
+type storeUpdate struct {
+	apply    func(c *Core, i uint32, w storeUpdate)
 	store    string
 	position Time
 	answered bool
@@ -117,140 +117,142 @@
 
 // task is something that the module asked for.
 type task struct {
-	do      func(c *Core, t task)
-	request int32
-	attempt int
-	store   uint32
-	at      Time
-	least   Time
-	any     bool
+	run         func(c *Core, t task)
+	request     int32
+	attempt     int
+	store       uint32
+	at          Time
+	minPosition Time
+	anyPosition bool
 }
 
-// plan is the part of ordinary work that may go to a zone.
-type plan struct {
-	zone string
-	part float64
+// zoneShare is the part of ordinary work that may go to a zone.
+type zoneShare struct {
+	zone  string
+	share float64
 }
 
-// back is a result that the module has yet to be handed.
-type back struct {
+// attemptResult is a result that the module has yet to be handed.
+type attemptResult struct {
 	request int32 // -1: of a probe
 	attempt int
 	store   uint32
-	r       balance.Result
+	result  balance.Result
 }
 
 // Core is one front.
 type Core struct {
-	module       *balance.Balancer
-	door         *admission.Controller // nil: there is none
-	sockets      Sockets
-	log          *slog.Logger
-	host         settings.Process
-	limits       Limits
-	classes      *classTable
-	settings     Settings // in force
-	now          Time
-	wakeAt       Time
-	watch        func()
-	requests     []request
-	freeRequests []int32
-	inHand       int
-	stores       []store
-	storeOf      map[string]uint32
-	freeStores   []uint32
-	groups       map[uint64]bool // that are listed; true: their stores speak Bolt
-	clients      []*client
-	serial       uint64 // of the newest client
-	behind       int    // commands in all pipelines
-	kept         int    // bytes of their replies
-	conns        []*conn
-	lists        []StoreList
-	plans        []plan
-	words        []word
-	arrivals     []int32
-	leavers      []int32
-	backs        []back
-	tasks        []task
-	dirty        []Link
-	stalled      []*conn // whose clients had no room for a piece of a result
-	out          []byte  // scratch for what is being written
-	stopAt       Time    // 0: not stopping; from then on idle clients are hung up
-	endAt        Time    // by then all must be answered
-	counts       eventCounts
-	logged       int // lines in this second; more are dropped
-	loggedAt     Time
+	balancer         *balance.Balancer
+	admission        *admission.Controller // nil: there is none
+	sockets          Sockets
+	log              *slog.Logger
+	host             settings.Process
+	limits           Limits
+	classes          *classTable
+	settings         Settings // in force
+	now              Time
+	nextWake         Time
+	watchDiscovery   func()
+	requests         []request
+	freeRequests     []int32
+	pending          int
+	stores           []store
+	storeIndex       map[string]uint32
+	freeStores       []uint32
+	groups           map[uint64]bool // that are listed; true: their stores speak Bolt
+	clients          []*client
+	lastSerial       uint64 // of the newest client
+	pipelined        int    // commands in all pipelines
+	bufferedBytes    int    // bytes of their replies
+	conns            []*conn
+	storeLists       []StoreList
+	zoneShares       []zoneShare
+	storeUpdates     []storeUpdate
+	arrived          []int32
+	abandoned        []int32
+	results          []attemptResult
+	tasks            []task
+	unflushed        []Link
+	stalledConns     []*conn // whose clients had no room for a piece of a result
+	scratch          []byte  // scratch for what is being written
+	shutdownAt       Time    // 0: not stopping; from then on idle clients are hung up
+	shutdownDeadline Time    // by then all must be answered
+	counts           eventCounts
+	loggedLines      int // lines in this second; more are dropped
+	loggedSince      Time
 }
 
 // New starts a front. watch is called when the module asks discovery for changes.
 func New(now Time, c balance.Settings, h settings.Process, l Limits, s Sockets, watch func(),
 	log *slog.Logger) (*Core, error) {
-	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watch: watch,
+	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watchDiscovery: watch,
 		classes: newClassTable(c.Classes), settings: Settings{Balancer: c, Host: h, Admission: l.Admission},
-		storeOf: map[string]uint32{}, groups: map[uint64]bool{}}
+		storeIndex: map[string]uint32{}, groups: map[uint64]bool{}}
 	var err error
-	if f.module, err = balance.New(now, c, f); err == nil && l.Admission != nil {
-		f.door, err = admission.New(now, c, *l.Admission, gate{f})
+	if f.balancer, err = balance.New(now, c, f); err == nil && l.Admission != nil {
+		f.admission, err = admission.New(now, c, *l.Admission, admissionHost{f})
 	}
 	return f, err
 }
 
 // UpdateStores queues what discovery told for the next Step.
-func (c *Core) UpdateStores(l StoreList) { c.lists = append(c.lists, l) }
+func (c *Core) UpdateStores(l StoreList) { c.storeLists = append(c.storeLists, l) }
 
 // SetZoneShare queues the fleet's plan for a zone for the next Step.
-func (c *Core) SetZoneShare(name string, part float64) { c.plans = append(c.plans, plan{name, part}) }
+func (c *Core) SetZoneShare(name string, part float64) {
+	c.zoneShares = append(c.zoneShares, zoneShare{name, part})
+}
 
 // ReportPosition queues a peer's word for what a store has shown. Survey has a store asked for its position. Proxied ends a question
 // that the watch has taken over: it is settled, or the store itself is to be asked.
 func (c *Core) ReportPosition(store string, position Time) {
-	c.words = append(c.words, word{store: store, position: position, do: func(c *Core, i uint32, w word) {
-		c.module.PeerPosition(c.now, i, w.position)
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, position: position, apply: func(c *Core, i uint32, w storeUpdate) {
+		c.balancer.PeerPosition(c.now, i, w.position)
 	}})
 }
 func (c *Core) QueryPosition(store string) {
-	c.words = append(c.words, word{store: store, do: func(c *Core, i uint32, _ word) {
-		c.start(i, errand{request: -1, survey: true, since: c.now, until: c.now + c.host.DialTimeout})
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, apply: func(c *Core, i uint32, _ storeUpdate) {
+		c.dispatch(i, pendingAttempt{request: -1, positionQuery: true, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
 func (c *Core) PositionResolved(store string, answered bool) {
-	c.words = append(c.words, word{store: store, answered: answered, do: func(c *Core, i uint32, w word) {
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, answered: answered, apply: func(c *Core, i uint32, w storeUpdate) {
 		if w.answered { // it says nothing of the store, but that the question is settled
-			c.owe(back{-1, 0, i, balance.Result{Ending: balance.Served}})
+			c.queueResult(attemptResult{-1, 0, i, balance.Result{Ending: balance.Served}})
 			return
 		}
-		c.start(i, errand{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
+		c.dispatch(i, pendingAttempt{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
 
 // NextStep is when Step must be called again even if nothing happens.
 func (c *Core) NextStep() Time {
-	if len(c.stalled) > 0 { // their clients may have read meanwhile, which nothing tells where the system took it all
-		return min(c.wakeAt, c.now+perMilli)
+	if len(c.stalledConns) > 0 { // their clients may have read meanwhile, which nothing tells where the system took it all
+		return min(c.nextWake, c.now+millisecond)
 	}
-	return c.wakeAt
+	return c.nextWake
 }
 
 // Stop begins the end. Clients are served on for most of the time that there is, for where they would go
 // another front may be ending as well. Then each is hung up on between two requests, and all that was taken is
 // answered before the front is ended by force.
 func (c *Core) Stop(now Time) {
-	if c.stopAt == 0 {
+	if c.shutdownAt == 0 {
 		span := min(c.classes.longest, cmp.Or(c.limits.MaxDeadline, c.classes.longest))
 		// Danger: where limits are short, new connections still come when most of that time is over.
-		c.stopAt, c.endAt = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
-		c.module.SetShutdownDeadline(now, c.endAt) // Danger: what the end by force finds unanswered is lost.
+		c.shutdownAt, c.shutdownDeadline = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
+		c.balancer.SetShutdownDeadline(now, c.shutdownDeadline) // Danger: what the end by force finds unanswered is lost.
 	}
 }
 
 // Done tells that Stop is complete: no client is left and no request in hand.
-func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.inHand == 0 }
+func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.pending == 0 }
 
 // PendingRequests gives the requests that have not had their final answer, or whose attempts are still out.
-func (c *Core) PendingRequests() int { return c.inHand }
+func (c *Core) PendingRequests() int { return c.pending }
 
 // Stopping tells that new connections are no longer expected.
-func (c *Core) Stopping() bool { return c.stopAt > 0 && c.now >= c.stopAt }
+func (c *Core) Stopping() bool { return c.shutdownAt > 0 && c.now >= c.shutdownAt }
 
 // Step is one turn of the loop.
 func (c *Core) Step(now Time, events []Event) {
@@ -258,9 +260,9 @@
 	for _, e := range events {
 		switch o := e.Link.Owner().(type) {
 		case *client:
-			o.notice(c, e.Flags)
+			o.handleEvent(c, e.Flags)
 		case *conn:
-			o.notice(c, e.Flags)
+			o.handleEvent(c, e.Flags)
 		default:
 			if e.Flags&Bolt != 0 {
 				c.accept(e.Link, e.Flags, newBoltClient())
@@ -269,106 +271,106 @@
 			}
 		}
 	}
-	for n := len(c.stalled); n > 0; n-- { // those that still have none are put behind the others
-		k := c.stalled[0]
-		c.stalled = append(c.stalled[:0], c.stalled[1:]...)
-		k.resume(c)
+	for n := len(c.stalledConns); n > 0; n-- { // those that still have none are put behind the others
+		k := c.stalledConns[0]
+		c.stalledConns = append(c.stalledConns[:0], c.stalledConns[1:]...)
+		k.resumeStalled(c)
 	}
-	for _, p := range c.plans {
-		c.module.SetZoneShare(now, p.zone, p.part)
+	for _, p := range c.zoneShares {
+		c.balancer.SetZoneShare(now, p.zone, p.share)
 	}
-	c.plans = c.plans[:0]
-	for _, l := range c.lists {
-		c.list(l)
+	c.zoneShares = c.zoneShares[:0]
+	for _, l := range c.storeLists {
+		c.applyStoreList(l)
 	}
-	c.lists = c.lists[:0]
-	for k := 0; k < len(c.words); k++ {
-		if i, ok := c.storeOf[c.words[k].store]; ok && !c.stores[i].bolt { // results in Bolt go out before they are whole
-			c.words[k].do(c, i, c.words[k])
+	c.storeLists = c.storeLists[:0]
+	for k := 0; k < len(c.storeUpdates); k++ {
+		if i, ok := c.storeIndex[c.storeUpdates[k].store]; ok && !c.stores[i].bolt { // results in Bolt go out before they are whole
+			c.storeUpdates[k].apply(c, i, c.storeUpdates[k])
 		}
 	}
-	c.words = c.words[:0]
-	beat := now >= c.wakeAt
+	c.storeUpdates = c.storeUpdates[:0]
+	beat := now >= c.nextWake
 	if beat {
 		c.sweep()
 		c.summarize()
 	}
-	for once := true; once || len(c.backs)+len(c.arrivals)+len(c.leavers)+len(c.tasks) > 0; once = false {
-		for k := 0; k < len(c.backs); k++ {
-			c.handBack(c.backs[k])
+	for once := true; once || len(c.results)+len(c.arrived)+len(c.abandoned)+len(c.tasks) > 0; once = false {
+		for k := 0; k < len(c.results); k++ {
+			c.reportResult(c.results[k])
 		}
-		c.backs = c.backs[:0]
-		for _, i := range c.leavers {
-			if c.door != nil {
-				c.door.RequestEnded(now, i)
+		c.results = c.results[:0]
+		for _, i := range c.abandoned {
+			if c.admission != nil {
+				c.admission.RequestEnded(now, i)
 			}
-			c.module.ClientGone(now, c.requests[i].id)
-			c.free(i)
+			c.balancer.ClientGone(now, c.requests[i].id)
+			c.releaseRequest(i)
 		}
-		c.leavers = c.leavers[:0]
-		for k := 0; k < len(c.arrivals); k++ {
-			c.arrive(c.arrivals[k])
+		c.abandoned = c.abandoned[:0]
+		for k := 0; k < len(c.arrived); k++ {
+			c.handleArrival(c.arrived[k])
 		}
-		c.arrivals = c.arrivals[:0]
+		c.arrived = c.arrived[:0]
 		if beat {
-			c.module.Tick(now)
-			if c.door != nil {
-				c.door.Tick(now)
+			c.balancer.Tick(now)
+			if c.admission != nil {
+				c.admission.Tick(now)
 			}
 			beat = false
 		}
-		c.open()
-		c.carryOut()
-		c.open() // what was answered has made room
+		c.admitRequests()
+		c.runTasks()
+		c.admitRequests() // what was answered has made room
 	}
-	for _, l := range c.dirty {
+	for _, l := range c.unflushed {
 		l.Flush()
 	}
-	c.dirty = c.dirty[:0]
+	c.unflushed = c.unflushed[:0]
 }
 
-// open has the door let in what there is room for.
-func (c *Core) open() {
-	if c.door != nil {
-		c.door.AdmitWaiting(c.now)
+// admitRequests has the door let in what there is room for.
+func (c *Core) admitRequests() {
+	if c.admission != nil {
+		c.admission.AdmitWaiting(c.now)
 	}
 }
 
-// gate is what the core does for the door.
-type gate struct{ c *Core }
+// admissionHost is what the core does for the door.
+type admissionHost struct{ c *Core }
 
-func (g gate) Admit(request int32) { g.c.take(request) }
-func (g gate) Log(text string)     { g.c.note(text) }
-func (g gate) Reject(request int32, pause Time) {
-	g.c.tasks = append(g.c.tasks, task{do: (*Core).refuse, request: request, at: pause})
+func (g admissionHost) Admit(request int32) { g.c.submit(request) }
+func (g admissionHost) Log(text string)     { g.c.logLimited(text) }
+func (g admissionHost) Reject(request int32, pause Time) {
+	g.c.tasks = append(g.c.tasks, task{run: (*Core).refuseRequest, request: request, at: pause})
 }
 
-func (c *Core) carryOut() {
+func (c *Core) runTasks() {
 	for k := 0; k < len(c.tasks); k++ {
-		c.tasks[k].do(c, c.tasks[k])
+		c.tasks[k].run(c, c.tasks[k])
 	}
 	c.tasks = c.tasks[:0]
 }
 
-func (c *Core) handBack(b back) {
+func (c *Core) reportResult(b attemptResult) {
 	if b.request < 0 {
-		c.module.ProbeDone(c.now, b.store, b.r)
+		c.balancer.ProbeDone(c.now, b.store, b.result)
 		return
 	}
-	j := &c.requests[b.request]
-	j.owed--
-	b.r.Done = j.final
-	c.module.AttemptDone(c.now, j.id, b.attempt, b.store, b.r)
-	c.free(b.request)
+	req := &c.requests[b.request]
+	req.unreported--
+	b.result.Done = req.concluded
+	c.balancer.AttemptDone(c.now, req.id, b.attempt, b.store, b.result)
+	c.releaseRequest(b.request)
 }
 
-// list hands a list on, with the stores numbered.
-func (c *Core) list(l StoreList) {
+// applyStoreList hands a list on, with the stores numbered.
+func (c *Core) applyStoreList(l StoreList) {
 	members := make([]balance.Member, len(l.Entries))
 	named := make(map[uint32]bool, len(l.Entries))
 	for k := range l.Entries {
 		e := &l.Entries[k]
-		i, ok := c.storeOf[e.ID]
+		i, ok := c.storeIndex[e.ID]
 		if !ok {
 			if len(c.freeStores) == 0 {
 				c.freeStores = append(c.freeStores, uint32(len(c.stores)))
@@ -376,26 +378,26 @@
 			}
 			i = c.freeStores[len(c.freeStores)-1]
 			c.freeStores = c.freeStores[:len(c.freeStores)-1]
-			c.stores[i] = store{id: e.ID, addr: e.Addr, dialect: postgres{}}
+			c.stores[i] = store{id: e.ID, addr: e.Addr, protocol: postgres{}}
 			if e.Bolt {
-				c.stores[i].dialect, c.stores[i].bolt = boltStore{}, true
+				c.stores[i].protocol, c.stores[i].bolt = boltStore{}, true
 			}
-			c.storeOf[e.ID] = i
+			c.storeIndex[e.ID] = i
 		}
 		s := &c.stores[i]
 		if e.Addr != "" && e.Addr != s.addr {
 			s.addr = e.Addr
-			c.hangUp(i)
+			c.closeIdle(i)
 		}
 		switch e.Condition {
 		case balance.Gone:
-			c.hangUp(i)
+			c.closeIdle(i)
 		case balance.Draining:
-			if s.cutAt == 0 {
-				s.cutAt = c.now + c.limits.DrainGrace
+			if s.drainUntil == 0 {
+				s.drainUntil = c.now + c.limits.DrainGrace
 			}
 		case balance.Ready:
-			s.cutAt = 0
+			s.drainUntil = 0
 		}
 		named[i], c.groups[e.Group] = true, e.Bolt
 		members[k] = e.Member
@@ -404,22 +406,22 @@
 	if l.Kind == balance.ListFull || l.Kind == balance.ListStale {
 		for i := range c.stores {
 			if !named[uint32(i)] {
-				c.hangUp(uint32(i))
+				c.closeIdle(uint32(i))
 			}
 		}
 	}
-	c.module.UpdateMembers(c.now, l.Kind, members)
+	c.balancer.UpdateMembers(c.now, l.Kind, members)
 	for i := range named { // in any order: what was forgotten and named again in one go has been taken up anew
 		c.stores[i].forgotten = false
 	}
 }
 
-// note logs a rare change; past a bound in each second lines are dropped, so that trouble cannot drown it.
-func (c *Core) note(text string, args ...any) {
-	if c.now-c.loggedAt >= 1000*perMilli {
-		c.loggedAt, c.logged = c.now, 0
+// logLimited logs a rare change; past a bound in each second lines are dropped, so that trouble cannot drown it.
+func (c *Core) logLimited(text string, args ...any) {
+	if c.now-c.loggedSince >= 1000*millisecond {
+		c.loggedSince, c.loggedLines = c.now, 0
 	}
-	if c.logged++; c.logged <= 20 {
+	if c.loggedLines++; c.loggedLines <= 20 {
 		c.log.Info(text, args...)
 	}
 }
@@ -427,52 +429,52 @@
 // The rest is balance.Front: what the module asks for waits until the module has seen all that is ready.
 
 func (c *Core) Send(id string, store uint32, until, least Time) {
-	if c.door != nil {
-		c.door.AttemptStarted(c.now, place(id))
+	if c.admission != nil {
+		c.admission.AttemptStarted(c.now, requestIndex(id))
 	}
-	c.tasks = append(c.tasks, task{do: (*Core).depart, request: place(id), store: store, at: until, least: least})
+	c.tasks = append(c.tasks, task{run: (*Core).startAttempt, request: requestIndex(id), store: store, at: until, minPosition: least})
 }
 
 func (c *Core) Cancel(id string, attempt int) {
-	c.tasks = append(c.tasks, task{do: (*Core).recall, request: place(id), attempt: attempt})
+	c.tasks = append(c.tasks, task{run: (*Core).cancelAttempt, request: requestIndex(id), attempt: attempt})
 }
 
 func (c *Core) Refuse(id string, pause Time) {
-	if c.door != nil {
-		pause = c.door.RetryAfter(c.now, place(id), pause)
+	if c.admission != nil {
+		pause = c.admission.RetryAfter(c.now, requestIndex(id), pause)
 	}
-	c.tasks = append(c.tasks, task{do: (*Core).refuse, request: place(id), at: pause})
+	c.tasks = append(c.tasks, task{run: (*Core).refuseRequest, request: requestIndex(id), at: pause})
 }
 
 func (c *Core) Fail(id string) {
-	c.tasks = append(c.tasks, task{do: (*Core).failRequest, request: place(id)})
+	c.tasks = append(c.tasks, task{run: (*Core).failRequest, request: requestIndex(id)})
 }
 
 func (c *Core) Probe(store uint32, need Time, any bool) {
-	c.tasks = append(c.tasks, task{do: (*Core).probe, store: store, least: need, any: any})
+	c.tasks = append(c.tasks, task{run: (*Core).startProbe, store: store, minPosition: need, anyPosition: any})
 }
 
 func (c *Core) CloseIdle(store uint32) {
-	c.tasks = append(c.tasks, task{do: func(c *Core, t task) { c.hangUp(t.store) }, store: store})
+	c.tasks = append(c.tasks, task{run: func(c *Core, t task) { c.closeIdle(t.store) }, store: store})
 }
 
 func (c *Core) Forget(store uint32) {
 	c.stores[store].forgotten = true
-	c.tasks = append(c.tasks, task{do: (*Core).forget, store: store})
+	c.tasks = append(c.tasks, task{run: (*Core).removeStore, store: store})
 }
 
-func (c *Core) WakeAfter(after Time) { c.wakeAt = c.now + after }
+func (c *Core) WakeAfter(after Time) { c.nextWake = c.now + after }
 
-func (c *Core) WatchMembers() { c.watch() }
+func (c *Core) WatchMembers() { c.watchDiscovery() }
 
-func (c *Core) Log(text string) { c.note(text) }
+func (c *Core) Log(text string) { c.logLimited(text) }
 
-// place gives the request's place in the slab, which its name among the module's requests stands for.
-func place(id string) int32 {
+// requestIndex gives the request's place in the slab, which its name among the module's requests stands for.
+func requestIndex(id string) int32 {
 	n, _ := strconv.Atoi(id)
 	return int32(n)
 }
 
 func (c *Core) String() string {
-	return fmt.Sprintf("clients %d, store connections %d, jobs %d", len(c.clients), len(c.conns), c.inHand)
+	return fmt.Sprintf("clients %d, store connections %d, jobs %d", len(c.clients), len(c.conns), c.pending)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -14,45 +14,45 @@
 	"micatrack/internal/settings"
 )
 
-// wire is a link whose other end is the test.
-type wire struct {
-	in, out          []byte
-	taken, stuck     int // bytes looked at by the test; bytes that the system has not taken
-	seen             int // queries among the bytes looked at
-	slips            int // of those, taken at the last moment
-	owner            any
-	closed, finished bool
-	ended            bool // its peer has gone, and the core has not been told
-	most             int  // bytes that Write has room for; 0: any
+// fakeLink is a link whose other end is the test.
+type fakeLink struct {
+	in, out                 []byte
+	takenBytes, unsentBytes int // bytes looked at by the test; bytes that the system has not taken
+	queries                 int // queries among the bytes looked at
+	lateSentBytes           int // of those, taken at the last moment
+	owner                   any
+	closed, finished        bool
+	peerGone                bool // its peer has gone, and the core has not been told
+	writeLimit              int  // bytes that Write has room for; 0: any
 }
 
-func (w *wire) Peek() []byte         { return w.in }
-func (w *wire) Discard(n int)        { w.in = w.in[n:] }
-func (w *wire) ReadBufferFull() bool { return false }
-func (w *wire) Write(p []byte) bool {
-	if w.most > 0 && len(w.out)+len(p) > w.most {
+func (w *fakeLink) Peek() []byte         { return w.in }
+func (w *fakeLink) Discard(n int)        { w.in = w.in[n:] }
+func (w *fakeLink) ReadBufferFull() bool { return false }
+func (w *fakeLink) Write(p []byte) bool {
+	if w.writeLimit > 0 && len(w.out)+len(p) > w.writeLimit {
 		return false
 	}
 	w.out = append(w.out, p...)
 	return true
 }
-func (w *wire) Flush()           {}
-func (w *wire) SentBytes() int64 { return int64(w.taken + len(w.out) - w.stuck) }
-func (w *wire) Flushed() bool    { return w.stuck == 0 }
-func (w *wire) Abort()           { w.Close() }
-func (w *wire) Close()           { w.closed, w.stuck = true, w.stuck-w.slips }
-func (w *wire) CloseWrite()      { w.finished = true }
-func (w *wire) PeerOpen() bool {
-	return !w.ended
+func (w *fakeLink) Flush()           {}
+func (w *fakeLink) SentBytes() int64 { return int64(w.takenBytes + len(w.out) - w.unsentBytes) }
+func (w *fakeLink) Flushed() bool    { return w.unsentBytes == 0 }
+func (w *fakeLink) Abort()           { w.Close() }
+func (w *fakeLink) Close()           { w.closed, w.unsentBytes = true, w.unsentBytes-w.lateSentBytes }
+func (w *fakeLink) CloseWrite()      { w.finished = true }
+func (w *fakeLink) PeerOpen() bool {
+	return !w.peerGone
 }
-func (w *wire) CloseWriteIfIdle() bool {
-	if len(w.in) > 0 || w.stuck > 0 {
+func (w *fakeLink) CloseWriteIfIdle() bool {
+	if len(w.in) > 0 || w.unsentBytes > 0 {
 		return false
 	}
 	w.CloseWrite()
 	return true
 }
-func (w *wire) CloseIfIdle(last []byte) bool {
+func (w *fakeLink) CloseIfIdle(last []byte) bool {
 	if len(w.in) > 0 {
 		return false
 	}
@@ -60,43 +60,43 @@
 	w.Close()
 	return true
 }
-func (w *wire) Owner() any     { return w.owner }
-func (w *wire) SetOwner(o any) { w.owner = o }
+func (w *fakeLink) Owner() any     { return w.owner }
+func (w *fakeLink) SetOwner(o any) { w.owner = o }
 
-func (w *wire) take() string {
+func (w *fakeLink) takeOutput() string {
 	s := string(w.out)
-	w.taken += len(s)
-	w.seen += strings.Count(s, "/* id=1")
+	w.takenBytes += len(s)
+	w.queries += strings.Count(s, "/* id=1")
 	w.out = w.out[:0]
 	return s
 }
 
-// stage is a core with one group of one store, its primary, unless a test lists more.
-type stage struct {
-	t     testing.TB
-	core  *Core
-	now   Time
-	dials []*wire
-	deny  error
+// harness is a core with one group of one store, its primary, unless a test lists more.
+type harness struct {
+	t         testing.TB
+	core      *Core
+	now       Time
+	dials     []*fakeLink
+	dialError error
 
 	settings balance.Settings
 }
 
 var errLost = errors.New("refused")
 
-func (s *stage) Dial(string) (Link, error) {
-	if s.deny != nil {
-		return nil, s.deny
+func (s *harness) Dial(string) (Link, error) {
+	if s.dialError != nil {
+		return nil, s.dialError
 	}
-	w := &wire{}
+	w := &fakeLink{}
 	s.dials = append(s.dials, w)
 	return w, nil
 }
 
-const second = 1000 * perMilli
+const second = 1000 * millisecond
 
-func newStage(t testing.TB, links int, silent ...bool) *stage {
-	s := &stage{t: t, now: 17672256000000}
+func newHarness(t testing.TB, links int, silent ...bool) *harness {
+	s := &harness{t: t, now: 17672256000000}
 	c := balance.Settings{Seed: 7, Fronts: 1, EventInterval: 50, FencesCarried: true, ListPushed: true, ListInterval: 100000,
 		AnswerSlack: 200, StartCapacity: 0.2, WarmupTime: 100000, ColdOverloadFactor: 3, ColdOverloadSpan: 15000, MaxAttempts: 4,
 		MayProbe: len(silent) == 0, MayCancel: true, ProbePrice: 0.01, MaxRetryAfter: 10000, Classes: []balance.Class{
@@ -118,57 +118,57 @@
 	return s
 }
 
-func (s *stage) step(events ...Event) {
+func (s *harness) step(events ...Event) {
 	s.now++
 	s.core.Step(s.now, events)
 }
 
-// pass lets time go by in the steps that the core asks for.
-func (s *stage) pass(span Time) {
+// advance lets time go by in the steps that the core asks for.
+func (s *harness) advance(span Time) {
 	for end := s.now + span; s.now < end; {
 		s.now = min(max(s.core.NextStep(), s.now+1), end)
 		s.core.Step(s.now, nil)
 	}
 }
 
-func (s *stage) say(w *wire, text ...string) {
+func (s *harness) send(w *fakeLink, text ...string) {
 	w.in = append(w.in, strings.Join(text, "")...)
 	s.step(Event{w, Readable})
 }
 
-func (s *stage) client() *wire {
-	w := &wire{in: pgwire.AppendStartup(nil, "web", "orders")}
+func (s *harness) newClient() *fakeLink {
+	w := &fakeLink{in: pgwire.AppendStartup(nil, "web", "orders")}
 	s.step(Event{w, Accepted | Readable})
-	if got := w.take(); !strings.HasPrefix(got, "R") || !strings.HasSuffix(got, ready) {
+	if got := w.takeOutput(); !strings.HasPrefix(got, "R") || !strings.HasSuffix(got, ready) {
 		s.t.Fatalf("welcome %q", got)
 	}
 	return w
 }
 
-// store answers the start of the newest connection.
-func (s *stage) store() *wire {
+// welcomeNewest answers the start of the newest connection.
+func (s *harness) welcomeNewest() *fakeLink {
 	if len(s.dials) == 0 {
 		s.t.Fatal("no store was dialled")
 	}
 	w := s.dials[len(s.dials)-1]
-	w.take()
-	s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+	w.takeOutput()
+	s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 	return w
 }
 
-func (s *stage) idle(clients int) {
+func (s *harness) checkReleased(clients int) {
 	s.t.Helper()
 	c := s.core
-	if c.inHand != 0 || len(c.clients) != clients || len(c.backs)+len(c.tasks)+len(c.arrivals) != 0 {
+	if c.pending != 0 || len(c.clients) != clients || len(c.results)+len(c.tasks)+len(c.arrived) != 0 {
 		s.t.Errorf("not all is given back: %v", c)
 	}
 	for i := range c.requests {
-		if j := &c.requests[i]; j.busy || j.owed != 0 {
+		if req := &c.requests[i]; req.inUse || req.unreported != 0 {
 			s.t.Errorf("job %d is still taken", i)
 		}
 	}
 	for i := range c.stores {
-		for _, e := range c.stores[i].waits {
+		for _, e := range c.stores[i].waiting {
 			if e.request >= 0 {
 				s.t.Errorf("store %d: a trip waits", i)
 			}
@@ -204,7 +204,7 @@
 }
 
 // TestOutcomes: what each answer of a store is to a request that may run again and to one that may not.
-func TestOutcomes(t *testing.T) {
+func TestStoreAnswerOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		what         EventFlags
@@ -231,18 +231,18 @@
 		{"length out of bounds", "D\xff\xff\xff\xff", 0, false, "trip", "08007"},
 	} {
 		for class, want := range map[string]string{"any": c.read, "once": c.write} {
-			s := newStage(t, 20)
-			cl := s.client()
-			s.say(cl, ask(class, 1))
-			st := s.store()
+			s := newHarness(t, 20)
+			cl := s.newClient()
+			s.send(cl, ask(class, 1))
+			st := s.welcomeNewest()
 			if !strings.Contains(string(st.out), "id=1,") {
 				t.Fatalf("%s: store was sent %q", c.name, st.out)
 			}
 			if c.stuck {
-				st.stuck = 1
+				st.unsentBytes = 1
 			}
 			if c.name == "broken as it was written" {
-				st.stuck, st.slips = 1, 1
+				st.unsentBytes, st.lateSentBytes = 1, 1
 			}
 			st.in = append(st.in, c.answer...)
 			s.step(Event{st, Readable | c.what})
@@ -250,17 +250,17 @@
 				if len(cl.out) > 0 {
 					t.Errorf("%s, %s: answered %q", c.name, class, cl.out)
 				}
-				s.pass(2 * second) // it goes again, which then is not answered, or ends as what never ran
+				s.advance(2 * second) // it goes again, which then is not answered, or ends as what never ran
 				again := s.dials[len(s.dials)-1] != st || strings.Count(string(st.out), "id=1,") > 1
-				if got := code(t, cl.take()); got != pgwire.TooManyConnections && !(again && got == pgwire.OutcomeUnknown) {
+				if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections && !(again && got == pgwire.OutcomeUnknown) {
 					t.Errorf("%s, %s: ended with %s", c.name, class, got)
 				}
-			} else if got := code(t, cl.take()); got != want {
+			} else if got := code(t, cl.takeOutput()); got != want {
 				t.Errorf("%s, %s: answered %s, want %s", c.name, class, got, want)
 			}
 			s.step(Event{cl, Closed})
-			s.pass(second)
-			s.idle(0)
+			s.advance(second)
+			s.checkReleased(0)
 		}
 	}
 }
@@ -272,31 +272,31 @@
 		return fmt.Sprintf("%sD\x00%s\x00\x01\x00%s%s%s", value[:11], string([]byte{byte((n + 10) >> 16), byte((n + 10) >> 8), byte(n + 10)}),
 			string([]byte{byte(n >> 16), byte(n >> 8), byte(n)}), strings.Repeat("v", n), value[24:])
 	}
-	s := newStage(t, 20, true)
-	cl := s.client()
-	s.say(cl, ask("any", 1))
-	st := s.store()
+	s := newHarness(t, 20, true)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
+	st := s.welcomeNewest()
 	for text := long(400_000) + ready; text != ""; text = text[min(len(text), 32<<10):] {
-		s.say(st, text[:min(len(text), 32<<10)])
+		s.send(st, text[:min(len(text), 32<<10)])
 	}
-	if got := cl.take(); got != long(400_000)+ready {
+	if got := cl.takeOutput(); got != long(400_000)+ready {
 		t.Fatalf("%d bytes are passed on", len(got))
 	}
-	s.say(cl, ask("once", 2))
-	if s.say(st, value[:11], "D\x7f\xff\xff\xff\x00\x01"); !st.closed || code(t, cl.take()) != pgwire.OutcomeUnknown {
+	s.send(cl, ask("once", 2))
+	if s.send(st, value[:11], "D\x7f\xff\xff\xff\x00\x01"); !st.closed || code(t, cl.takeOutput()) != pgwire.OutcomeUnknown {
 		t.Error("the end of a value without end is waited for")
 	}
-	s.say(cl, ask("any", 3))
-	cl.most = 1000
-	s.pass(500)
-	if s.say(s.store(), long(2000), ready); cl.closed || code(t, cl.take()) != pgwire.OutcomeUnknown {
+	s.send(cl, ask("any", 3))
+	cl.writeLimit = 1000
+	s.advance(500)
+	if s.send(s.welcomeNewest(), long(2000), ready); cl.closed || code(t, cl.takeOutput()) != pgwire.OutcomeUnknown {
 		t.Errorf("a client without room for its answer: %q, %d dials", cl.out, len(s.dials))
 	}
 	s.step(Event{cl, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
-func TestClientsInput(t *testing.T) {
+func TestClientInput(t *testing.T) {
 	empty := string(pgwire.AppendSimpleQuery(nil, " ; "))
 	for _, c := range []struct{ name, in, want string }{
 		{"empty query", empty, "I\x00\x00\x00\x04" + ready},
@@ -311,12 +311,12 @@
 		{"terminate", "X\x00\x00\x00\x04", " end"},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
-			s := newStage(t, 20)
-			cl := s.client()
+			s := newHarness(t, 20)
+			cl := s.newClient()
 			for in := c.in; in != ""; in = in[min(piece, len(in)):] {
-				s.say(cl, in[:min(piece, len(in))])
+				s.send(cl, in[:min(piece, len(in))])
 			}
-			got := cl.take()
+			got := cl.takeOutput()
 			if got != c.want && got != "" {
 				got = code(t, got)
 			}
@@ -327,18 +327,18 @@
 				t.Errorf("%s in pieces of %d: %q, want %q", c.name, piece, got, c.want)
 			}
 			if !cl.finished {
-				s.say(cl, empty)
-				if cl.take() != "I\x00\x00\x00\x04"+ready {
+				s.send(cl, empty)
+				if cl.takeOutput() != "I\x00\x00\x00\x04"+ready {
 					t.Errorf("%s: the connection cannot be used any more", c.name)
 				}
 			}
 			s.step(Event{cl, Closed})
-			s.idle(0)
+			s.checkReleased(0)
 		}
 	}
 }
 
-func TestStartOfAClient(t *testing.T) {
+func TestClientStartup(t *testing.T) {
 	ssl := "\x00\x00\x00\x08\x04\xd2\x16\x2f"
 	start := string(pgwire.AppendStartup(nil, "web", "orders"))
 	for _, c := range []struct{ name, in, want string }{
@@ -349,158 +349,158 @@
 		{"cancel request", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00", ""},
 		{"nonsense", "GET / HTTP/1.1\r\n\r\n", "E"},
 	} {
-		s := newStage(t, 20)
-		w := &wire{}
+		s := newHarness(t, 20)
+		w := &fakeLink{}
 		s.step(Event{w, Accepted})
 		for i := range c.in {
-			s.say(w, c.in[i:i+1])
+			s.send(w, c.in[i:i+1])
 		}
-		if got := w.take(); !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
+		if got := w.takeOutput(); !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
 			t.Errorf("%s: %q", c.name, got)
 		}
 		s.step(Event{w, Closed})
-		s.pass(2 * second)
-		s.idle(0)
+		s.advance(2 * second)
+		s.checkReleased(0)
 	}
 }
 
 // TestQueriesInARow: answers keep the order, a write waits for what stands before it, and each is passed on unchanged.
-func TestQueriesInARow(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
-	s.say(cl, ask("any", 1), ask("once", 2))
-	st := s.store()
-	if sent := st.take(); !strings.Contains(sent, "id=1,c=any,d=999,") || strings.Contains(sent, "id=2") {
+func TestSequentialQueries(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1), ask("once", 2))
+	st := s.welcomeNewest()
+	if sent := st.takeOutput(); !strings.Contains(sent, "id=1,c=any,d=999,") || strings.Contains(sent, "id=2") {
 		t.Fatalf("store was sent %q", sent)
 	}
 	for i := range value + ready {
-		s.say(st, (value + ready)[i:i+1])
+		s.send(st, (value + ready)[i:i+1])
 	}
-	if got := cl.take(); got != value+ready {
+	if got := cl.takeOutput(); got != value+ready {
 		t.Fatalf("answer %q", got)
 	}
-	if sent := st.take(); !strings.Contains(sent, "id=2") || len(s.dials) != 1 {
+	if sent := st.takeOutput(); !strings.Contains(sent, "id=2") || len(s.dials) != 1 {
 		t.Fatalf("store was sent %q on %d connections", sent, len(s.dials))
 	}
-	s.say(st, value, ready)
+	s.send(st, value, ready)
 	s.step(Event{cl, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
-func TestIdThatIsInHand(t *testing.T) {
-	s := newStage(t, 20)
-	a, b := s.client(), s.client()
-	s.say(a, ask("any", 1))
-	st := s.store()
-	s.say(b, ask("any", 1))
-	if got := code(t, b.take()); got != pgwire.DuplicateObject {
+func TestDuplicateRequestID(t *testing.T) {
+	s := newHarness(t, 20)
+	a, b := s.newClient(), s.newClient()
+	s.send(a, ask("any", 1))
+	st := s.welcomeNewest()
+	s.send(b, ask("any", 1))
+	if got := code(t, b.takeOutput()); got != pgwire.DuplicateObject {
 		t.Errorf("a second one is answered %q", got)
 	}
-	s.say(st, value, ready)
-	s.say(b, ask("any", 1)) // the first one is over
-	s.say(st, value, ready)
-	if a.take() != value+ready || b.take() != value+ready {
+	s.send(st, value, ready)
+	s.send(b, ask("any", 1)) // the first one is over
+	s.send(st, value, ready)
+	if a.takeOutput() != value+ready || b.takeOutput() != value+ready {
 		t.Error("not both are served in the end")
 	}
 	s.step(Event{a, Closed}, Event{b, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
 // TestLateAnswer: an attempt that was given up takes its connection along, so what comes late is nobody's answer.
-func TestLateAnswer(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
-	s.say(cl, ask("any", 1))
-	st := s.store()
+func TestLateAnswerIsDiscarded(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
+	st := s.welcomeNewest()
 	s.step(Event{cl, Closed})
 	if !st.closed {
 		t.Fatal("the trip of a client that left is still out")
 	}
-	next := s.client()
-	s.say(next, ask("any", 2))
-	s.say(st, value, ready)
-	if next.take() != "" {
+	next := s.newClient()
+	s.send(next, ask("any", 2))
+	s.send(st, value, ready)
+	if next.takeOutput() != "" {
 		t.Fatal("a late answer was taken for another job's")
 	}
-	s.say(s.store(), value, ready)
-	if got := next.take(); got != value+ready {
+	s.send(s.welcomeNewest(), value, ready)
+	if got := next.takeOutput(); got != value+ready {
 		t.Fatalf("answer %q", got)
 	}
 	s.step(Event{next, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
 // TestMoreThanAnAnswer: what stands behind an answer is nobody's, though an attempt waits for the connection or is
 // sent before the loop has heard of it.
-func TestMoreThanAnAnswer(t *testing.T) {
+func TestDataAfterAnswer(t *testing.T) {
 	for _, more := range []string{value + ready, value[:30], "\x00", ready, failed("53300") + ready} {
-		s := newStage(t, 20, true)
-		a, b := s.client(), s.client()
-		s.say(a, ask("any", 1))
-		first := s.store()
-		s.say(b, ask("any", 2))
-		s.say(first, value, ready, more)
-		if got := a.take(); got != value+ready {
+		s := newHarness(t, 20, true)
+		a, b := s.newClient(), s.newClient()
+		s.send(a, ask("any", 1))
+		first := s.welcomeNewest()
+		s.send(b, ask("any", 2))
+		s.send(first, value, ready, more)
+		if got := a.takeOutput(); got != value+ready {
 			t.Fatalf("answer %q", got)
 		}
-		s.pass(100)
-		if b.take() != "" || !first.closed {
+		s.advance(100)
+		if b.takeOutput() != "" || !first.closed {
 			t.Fatalf("%q behind an answer is taken for another's", more)
 		}
-		second := s.store()
-		s.say(second, value, ready)
+		second := s.welcomeNewest()
+		s.send(second, value, ready)
 		second.in = []byte(more) // the loop has not heard of it yet
-		s.say(a, ask("any", 3))
-		if a.take() != "" || !second.closed || strings.Contains(string(second.out), "id=3") {
+		s.send(a, ask("any", 3))
+		if a.takeOutput() != "" || !second.closed || strings.Contains(string(second.out), "id=3") {
 			t.Fatalf("%q on an idle connection is taken for an answer", more)
 		}
-		s.say(s.store(), value, ready)
-		if a.take() != value+ready || b.take() != value+ready {
+		s.send(s.welcomeNewest(), value, ready)
+		if a.takeOutput() != value+ready || b.takeOutput() != value+ready {
 			t.Fatalf("%q: not both are answered", more)
 		}
 		s.step(Event{a, Closed}, Event{b, Closed})
-		s.idle(0)
+		s.checkReleased(0)
 	}
 }
 
-func TestClientLeavesWhileItsTripWaits(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
-	s.say(cl, ask("any", 1))
+func TestClientLeavesWhileAttemptWaits(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
 	s.dials[0].in = []byte("R\x00\x00\x00\x08\x00\x00\x00\x00" + ready)
 	s.step(Event{s.dials[0], Readable}, Event{cl, Closed}) // both at once, either way round
-	s.idle(0)
-	cl = s.client()
-	s.say(cl, ask("any", 2))
+	s.checkReleased(0)
+	cl = s.newClient()
+	s.send(cl, ask("any", 2))
 	s.step(Event{cl, Closed}, Event{s.dials[0], Closed})
-	s.pass(second)
-	s.idle(0)
+	s.advance(second)
+	s.checkReleased(0)
 }
 
-func TestConnectionsThatDoNotComeUp(t *testing.T) {
-	for name, fail := range map[string]func(s *stage){
-		"refused":   func(s *stage) { s.step(Event{s.dials[0], Closed}) },
-		"turned":    func(s *stage) { s.say(s.dials[0], failed("53300")) },
-		"no sense":  func(s *stage) { s.say(s.dials[0], "T\x00\x00\x00\x04") },
-		"silent":    func(s *stage) { s.pass(3000) },
-		"password":  func(s *stage) { s.say(s.dials[0], "R\x00\x00\x00\x08\x00\x00\x00\x03") },
-		"dial fail": func(s *stage) {},
+func TestConnectionFailures(t *testing.T) {
+	for name, fail := range map[string]func(s *harness){
+		"refused":   func(s *harness) { s.step(Event{s.dials[0], Closed}) },
+		"turned":    func(s *harness) { s.send(s.dials[0], failed("53300")) },
+		"no sense":  func(s *harness) { s.send(s.dials[0], "T\x00\x00\x00\x04") },
+		"silent":    func(s *harness) { s.advance(3000) },
+		"password":  func(s *harness) { s.send(s.dials[0], "R\x00\x00\x00\x08\x00\x00\x00\x03") },
+		"dial fail": func(s *harness) {},
 	} {
-		s := newStage(t, 20)
+		s := newHarness(t, 20)
 		if name == "dial fail" {
-			s.deny = errors.New("no route")
+			s.dialError = errors.New("no route")
 		}
-		cl := s.client()
-		s.say(cl, ask("once", 1))
+		cl := s.newClient()
+		s.send(cl, ask("once", 1))
 		fail(s)
-		s.deny = errors.New("no route")
-		s.pass(2 * second)
-		if got := code(t, cl.take()); got != pgwire.TooManyConnections { // it never ran, so trying again is harmless
+		s.dialError = errors.New("no route")
+		s.advance(2 * second)
+		if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections { // it never ran, so trying again is harmless
 			t.Errorf("%s: answered %s", name, got)
 		}
 		s.step(Event{cl, Closed})
-		s.pass(second)
-		if s.idle(0); len(s.core.conns) != 0 {
+		s.advance(second)
+		if s.checkReleased(0); len(s.core.conns) != 0 {
 			t.Errorf("%s: %v", name, s.core)
 		}
 	}
@@ -508,258 +508,258 @@
 
 // TestDescriptors: an idle store connection yields to a client or to another store; past that work is turned
 // back, and a client past the bound is told so.
-func TestDescriptors(t *testing.T) {
-	s := newStage(t, 5)
-	a, b, c := s.client(), s.client(), s.client()
-	for n, cl := range []*wire{a, b, c} {
-		s.say(cl, ask("any", n))
+func TestDescriptorLimit(t *testing.T) {
+	s := newHarness(t, 5)
+	a, b, c := s.newClient(), s.newClient(), s.newClient()
+	for n, cl := range []*fakeLink{a, b, c} {
+		s.send(cl, ask("any", n))
 	}
 	if len(s.dials) != 2 {
 		t.Fatalf("%d connections where 2 have room", len(s.dials))
 	}
-	if got := code(t, c.take()); got != pgwire.TooManyConnections {
+	if got := code(t, c.takeOutput()); got != pgwire.TooManyConnections {
 		t.Fatalf("the third job: %s", got)
 	}
 	for _, st := range s.dials {
-		s.say(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
-		s.say(st, value, ready)
+		s.send(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		s.send(st, value, ready)
 	}
-	d := &wire{in: append(pgwire.AppendStartup(nil, "web", "orders"), ask("any", 1)...)}
+	d := &fakeLink{in: append(pgwire.AppendStartup(nil, "web", "orders"), ask("any", 1)...)}
 	s.step(Event{d, Accepted | Readable})
-	if got := code(t, d.take()); got != pgwire.TooManyConnections || !d.finished {
+	if got := code(t, d.takeOutput()); got != pgwire.TooManyConnections || !d.finished {
 		t.Fatalf("a client past the bound: %s", got)
 	}
 	if len(s.core.conns) > 2 {
 		t.Fatalf("%d store connections", len(s.core.conns))
 	}
-	for _, cl := range []*wire{a, b, c, d} {
+	for _, cl := range []*fakeLink{a, b, c, d} {
 		s.step(Event{cl, Closed})
 	}
-	s.idle(0)
+	s.checkReleased(0)
 }
 
 // TestClientsThatKeepTheirConnections: where room is short those yield that asked nothing for longest, after a rest
 // that is the shorter the less room there is; never in the middle of a query that its client goes on with, nor with a
 // request in hand.
-func TestClientsThatKeepTheirConnections(t *testing.T) {
-	s := newStage(t, 40, true)
-	busy, half, old, young := s.client(), s.client(), s.client(), s.client()
-	s.say(busy, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=once,d=30000,cluster=3 */ SELECT 'k'")))
-	s.store() // it has the query, and hangs
+func TestIdleClientEviction(t *testing.T) {
+	s := newHarness(t, 40, true)
+	busy, half, old, young := s.newClient(), s.newClient(), s.newClient(), s.newClient()
+	s.send(busy, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=once,d=30000,cluster=3 */ SELECT 'k'")))
+	s.welcomeNewest() // it has the query, and hangs
 	rest := ask("any", 2)
-	goOn := func() { s.say(half, rest[:1]); rest = rest[1:] }
+	goOn := func() { s.send(half, rest[:1]); rest = rest[1:] }
 	goOn()
-	s.pass(2 * second)
+	s.advance(2 * second)
 	goOn()
 	empty := string(pgwire.AppendSimpleQuery(nil, ""))
-	s.say(young, empty)
+	s.send(young, empty)
 	closed := func(old1, young1 bool) {
 		t.Helper()
 		if old.closed != old1 || young.closed != young1 || half.closed || half.finished || busy.closed {
 			t.Fatalf("closed: old %v, young %v, half %v (told %v), busy %v", old.closed, young.closed, half.closed, half.finished, busy.closed)
 		}
 	}
-	s.pass(second)
+	s.advance(second)
 	closed(false, false)
 	s.core.limits.MaxClients = 7
 	goOn()
-	s.pass(second / 2)
+	s.advance(second / 2)
 	closed(true, false)
-	silent := &wire{}
+	silent := &fakeLink{}
 	s.core.limits.MaxClients = 6
-	s.say(young, empty)
+	s.send(young, empty)
 	s.step(Event{silent, Accepted})
-	s.pass(second / 3)
+	s.advance(second / 3)
 	if silent.closed {
 		t.Error("one that has not greeted yet is not waited for")
 	}
-	s.pass(second / 3)
+	s.advance(second / 3)
 	if closed(true, false); !silent.closed {
 		t.Error("one that never greeted does not yield first")
 	}
 	s.core.limits.MaxClients = 3
 	goOn()
-	s.pass(second / 10)
+	s.advance(second / 10)
 	closed(true, true)
 	s.core.limits.MaxClients = 2
-	late := &wire{in: pgwire.AppendStartup(nil, "web", "orders")}
-	if s.step(Event{late, Accepted | Readable}); code(t, late.take()) != pgwire.TooManyConnections {
+	late := &fakeLink{in: pgwire.AppendStartup(nil, "web", "orders")}
+	if s.step(Event{late, Accepted | Readable}); code(t, late.takeOutput()) != pgwire.TooManyConnections {
 		t.Error("none can yield, yet one more is taken in")
 	}
 }
 
-func TestIdleConnectionsEndBeforeTheStoreEndsThem(t *testing.T) {
-	s := newStage(t, 20, true)
-	cl := s.client()
-	s.say(cl, ask("any", 1))
-	st := s.store()
-	s.say(st, value, ready)
-	if s.pass(20 * second); st.closed {
+func TestIdleStoreConnectionTimeout(t *testing.T) {
+	s := newHarness(t, 20, true)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
+	st := s.welcomeNewest()
+	s.send(st, value, ready)
+	if s.advance(20 * second); st.closed {
 		t.Error("closed early")
 	}
-	if s.pass(5 * second); !st.closed || len(s.core.conns) != 0 {
+	if s.advance(5 * second); !st.closed || len(s.core.conns) != 0 {
 		t.Error("still open when the store may close it")
 	}
 }
 
-func TestStopAnswersAllThatWasTaken(t *testing.T) {
-	s := newStage(t, 20)
-	busy, idle := s.client(), s.client()
-	s.say(busy, strings.Replace(ask("once", 1), "d=1000", "d=3000", 1))
-	st := s.store()
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
+	s := newHarness(t, 20)
+	busy, idle := s.newClient(), s.newClient()
+	s.send(busy, strings.Replace(ask("once", 1), "d=1000", "d=3000", 1))
+	st := s.welcomeNewest()
 	s.core.Stop(s.now)
-	late := s.client() // new ones keep coming for a while
-	s.say(late, ask("any", 2))
-	s.say(s.store(), value, ready)
-	if got := late.take(); got != value+ready {
+	late := s.newClient() // new ones keep coming for a while
+	s.send(late, ask("any", 2))
+	s.send(s.welcomeNewest(), value, ready)
+	if got := late.takeOutput(); got != value+ready {
 		t.Fatalf("a job taken after the signal: %q", got)
 	}
-	s.pass(2 * second)
+	s.advance(2 * second)
 	if idle.finished || late.finished {
 		t.Fatal("clients are hung up on while there is time to serve them")
 	}
-	s.pass(second / 2)
+	s.advance(second / 2)
 	if !idle.finished || !late.finished || busy.finished || s.core.Done() {
 		t.Fatal("idle clients are hung up on, busy ones are not")
 	}
-	s.say(st, value, ready)
-	if got := busy.take(); got != value+ready || !busy.finished {
+	s.send(st, value, ready)
+	if got := busy.takeOutput(); got != value+ready || !busy.finished {
 		t.Fatalf("a job in hand: %q", got)
 	}
-	for _, cl := range []*wire{busy, idle, late} {
+	for _, cl := range []*fakeLink{busy, idle, late} {
 		s.step(Event{cl, Closed})
 	}
-	if s.idle(0); !s.core.Done() {
+	if s.checkReleased(0); !s.core.Done() {
 		t.Fatal("not done")
 	}
 }
 
 // TestEndByForceBeforeTheLongestLimit: where the longest deadline is past what the end by force waits for, clients
 // are hung up on and all that was taken is answered before it, a request that was in hand at the signal too.
-func TestEndByForceBeforeTheLongestLimit(t *testing.T) {
-	s := newStage(t, 20)
+func TestForcedShutdownBeforeLongestDeadline(t *testing.T) {
+	s := newHarness(t, 20)
 	s.core.classes.longest, s.core.limits.MaxDeadline = 13*second, 3*second
-	before, idle, after := s.client(), s.client(), s.client()
-	s.say(before, strings.Replace(ask("once", 1), "d=1000", "d=9000", 1))
-	s.store()
+	before, idle, after := s.newClient(), s.newClient(), s.newClient()
+	s.send(before, strings.Replace(ask("once", 1), "d=1000", "d=9000", 1))
+	s.welcomeNewest()
 	s.core.Stop(s.now)
 	end := s.now + 3*second + s.core.limits.ShutdownGrace
-	s.say(after, strings.Replace(ask("any", 2), "d=1000", "d=9000", 1))
-	s.store()
-	s.pass(end - s.now)
+	s.send(after, strings.Replace(ask("any", 2), "d=1000", "d=9000", 1))
+	s.welcomeNewest()
+	s.advance(end - s.now)
 	if !idle.finished {
 		t.Error("an idle client is not hung up on")
 	}
 	if len(before.out) == 0 || len(after.out) == 0 {
 		t.Fatalf("unanswered at the end: %q, %q", before.out, after.out)
 	}
-	if got := code(t, before.take()); got != "08007" {
+	if got := code(t, before.takeOutput()); got != "08007" {
 		t.Errorf("what may have run once is answered %s", got)
 	}
-	if got := code(t, after.take()); got != "53300" {
+	if got := code(t, after.takeOutput()); got != "53300" {
 		t.Errorf("what may run again is answered %s", got)
 	}
 }
 
 // TestLastJobs: one that its client would wait for longer than the front may live is answered before.
-func TestLastJobs(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
+func TestRequestPastShutdownDeadline(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
 	s.core.Stop(s.now)
 	end := s.now + 3*second + second/2
-	s.pass(2 * second)
-	s.say(cl, strings.Replace(ask("once", 1), "d=1000", "d=3000", 1))
-	s.store()
-	for ; len(cl.out) == 0 && s.now < end; s.pass(100) {
+	s.advance(2 * second)
+	s.send(cl, strings.Replace(ask("once", 1), "d=1000", "d=3000", 1))
+	s.welcomeNewest()
+	for ; len(cl.out) == 0 && s.now < end; s.advance(100) {
 	}
-	if got := code(t, cl.take()); got != "08007" || !cl.finished {
+	if got := code(t, cl.takeOutput()); got != "08007" || !cl.finished {
 		t.Errorf("answered %s", got)
 	}
 }
 
-func TestStoresThatMoveOrGo(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
-	s.say(cl, ask("any", 1))
-	st := s.store()
-	s.say(st, value, ready)
+func TestStoreMovesOrLeaves(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
+	st := s.welcomeNewest()
+	s.send(st, value, ready)
 	line := StoreEntry{ID: "s", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true}}
 	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	if s.step(); !st.closed {
 		t.Error("an idle connection to the old address is kept")
 	}
-	s.say(cl, ask("any", 2))
-	s.say(s.store(), value, ready)
+	s.send(cl, ask("any", 2))
+	s.send(s.welcomeNewest(), value, ready)
 	line.Addr = "127.0.0.1:3"
-	s.say(cl, ask("any", 3))
+	s.send(cl, ask("any", 3))
 	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	s.step()
-	if s.say(s.dials[1], value, ready); !s.dials[1].closed {
+	if s.send(s.dials[1], value, ready); !s.dials[1].closed {
 		t.Error("a connection that was in use while its store moved is kept")
 	}
-	s.say(cl, ask("any", 4))
-	s.say(s.store(), value, ready)
+	s.send(cl, ask("any", 4))
+	s.send(s.welcomeNewest(), value, ready)
 	s.core.UpdateStores(StoreList{Kind: balance.ListFull})
 	if s.step(); !s.dials[2].closed {
 		t.Error("an idle connection to a store that is gone is kept")
 	}
-	if got := cl.take(); got != strings.Repeat(value+ready, 4) {
+	if got := cl.takeOutput(); got != strings.Repeat(value+ready, 4) {
 		t.Errorf("answers %q", got)
 	}
 	s.step(Event{cl, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
 // TestStoresReplacedForGood: a number is given back with all that hangs on it, and what comes late of the old
 // store counts for nobody.
-func TestStoresReplacedForGood(t *testing.T) {
-	s := newStage(t, 20)
-	cl := s.client()
+func TestStoreReplacement(t *testing.T) {
+	s := newHarness(t, 20)
+	cl := s.newClient()
 	line := StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}}
 	for n := range 40 {
 		old := line
 		line.ID, old.Condition = fmt.Sprint("s", n), balance.Gone
 		s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line, old}})
 		s.step()
-		s.core.Probe(s.core.storeOf[old.ID], 0, false) // is under way to the old store, and not answered
-		s.pass(6 * second)
+		s.core.Probe(s.core.storeIndex[old.ID], 0, false) // is under way to the old store, and not answered
+		s.advance(6 * second)
 	}
-	if n := len(s.core.stores); n > 6 || len(s.core.storeOf) > 6 {
-		t.Errorf("%d places for stores, %d known", n, len(s.core.storeOf))
+	if n := len(s.core.stores); n > 6 || len(s.core.storeIndex) > 6 {
+		t.Errorf("%d places for stores, %d known", n, len(s.core.storeIndex))
 	}
 	for _, w := range s.dials {
 		if k, ok := w.owner.(*conn); ok && !w.closed && s.core.stores[k.store].addr != k.addr {
 			t.Error("a connection hangs on a store that is no more")
 		}
 	}
-	s.say(cl, ask("any", 1))
-	s.say(s.store(), value, ready)
-	if got := cl.take(); got != value+ready {
+	s.send(cl, ask("any", 1))
+	s.send(s.welcomeNewest(), value, ready)
+	if got := cl.takeOutput(); got != value+ready {
 		t.Errorf("answer %q", got)
 	}
 	// Forgotten and named again in one go: the number stays, and so does what hangs on it.
-	i := s.core.storeOf[line.ID]
+	i := s.core.storeIndex[line.ID]
 	s.core.Forget(i)
 	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
-	if s.step(); s.core.storeOf[line.ID] != i || s.core.stores[i].id != line.ID {
+	if s.step(); s.core.storeIndex[line.ID] != i || s.core.stores[i].id != line.ID {
 		t.Error("a store that is named again has lost its number")
 	}
 	s.step(Event{cl, Closed})
-	s.idle(0)
+	s.checkReleased(0)
 }
 
-func TestReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	for text, want := range map[string]balance.Report{
 		"x0=1767225600.12349,x1=1,inflight=3": {Position: 17672256001234, Role: balance.Primary},
 		"x1=0, x0=1767225600":                 {Position: 17672256000000, Role: balance.Replica},
 		"inflight=7,util=0.61":                {},
 	} {
-		if got, ok := report(text); !ok || got != want {
+		if got, ok := parseLoadReport(text); !ok || got != want {
 			t.Errorf("%s: %+v %v", text, got, ok)
 		}
 	}
 	for _, text := range []string{"x0", "x0=-3", "x0=1.2e9", "x0=1.x", "x1=primary", "x0=99999999999999"} {
-		if got, ok := report(text); ok {
+		if got, ok := parseLoadReport(text); ok {
 			t.Errorf("%s: taken as %+v", text, got)
 		}
 	}
@@ -772,28 +772,28 @@
 	f.Add([]byte("P\x00\x00\x00\x04S\x00\x00\x00\x04"), []byte("Z\x00\x00\x00\x05IZ\x00\x00\x00\x05I"))
 	f.Add([]byte(ask("any", 1)), []byte(value[:24]+"S\x00\x00\x00\x05a"))
 	f.Fuzz(func(t *testing.T, client, store []byte) {
-		s := newStage(t, 20)
-		cl := s.client()
+		s := newHarness(t, 20)
+		cl := s.newClient()
 		for i := range client {
-			s.say(cl, string(client[i:i+1]))
+			s.send(cl, string(client[i:i+1]))
 		}
 		if len(s.dials) > 0 {
-			st := s.store()
+			st := s.welcomeNewest()
 			for i := range store {
 				if !st.closed {
-					s.say(st, string(store[i:i+1]))
+					s.send(st, string(store[i:i+1]))
 				}
 			}
 		}
 		s.step(Event{cl, Closed})
-		s.pass(2 * second)
-		s.idle(0)
+		s.advance(2 * second)
+		s.checkReleased(0)
 	})
 }
 
 func TestLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
-	s := newStage(t, 20)
+	s := newHarness(t, 20)
 	s.core.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 1000 {
 		s.core.Log("trouble")
@@ -805,47 +805,47 @@
 
 // TestConnectionsRest: one that has just brought an answer is left alone while another is there; later the newest
 // is used.
-func TestConnectionsRest(t *testing.T) {
-	s := newStage(t, 20, true)
-	a, b := s.client(), s.client()
-	s.say(a, ask("any", 1))
-	s.say(b, ask("any", 2))
+func TestIdleConnectionChoice(t *testing.T) {
+	s := newHarness(t, 20, true)
+	a, b := s.newClient(), s.newClient()
+	s.send(a, ask("any", 1))
+	s.send(b, ask("any", 2))
 	for _, st := range s.dials {
-		s.say(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		s.send(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 	}
-	s.say(s.dials[0], value, ready)
-	s.pass(50)
-	s.say(s.dials[1], value, ready)
+	s.send(s.dials[0], value, ready)
+	s.advance(50)
+	s.send(s.dials[1], value, ready)
 	for n := 3; n < 5; n++ {
-		s.dials[0].take()
-		if s.say(a, ask("any", n)); s.dials[0].take() == "" {
+		s.dials[0].takeOutput()
+		if s.send(a, ask("any", n)); s.dials[0].takeOutput() == "" {
 			t.Errorf("job %d went to another connection", n)
 		}
-		s.say(s.dials[0], value, ready)
-		s.pass(50)
+		s.send(s.dials[0], value, ready)
+		s.advance(50)
 	}
 }
 
 // TestSilentStore: what stood idle while a probe was not answered is not used any more.
 func TestSilentStore(t *testing.T) {
-	s := newStage(t, 20, true)
-	a, b := s.client(), s.client()
-	s.say(a, ask("any", 1))
-	s.say(b, ask("any", 2))
+	s := newHarness(t, 20, true)
+	a, b := s.newClient(), s.newClient()
+	s.send(a, ask("any", 1))
+	s.send(b, ask("any", 2))
 	for _, st := range s.dials {
-		s.say(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		s.send(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 	}
 	for _, st := range s.dials {
-		s.say(st, value, ready)
+		s.send(st, value, ready)
 	}
-	s.pass(50)
+	s.advance(50)
 	idle := len(s.core.stores[0].idle)
 	s.core.Probe(0, 0, false)
 	s.step()
 	if idle != 2 || !strings.Contains(string(s.dials[1].out), "SHOW load") {
 		t.Fatalf("%d idle, %q", idle, s.dials[1].out)
 	}
-	s.pass(3000)
+	s.advance(3000)
 	if !s.dials[0].closed || !s.dials[1].closed {
 		t.Error("a connection that was silent as long as the probe's is kept")
 	}
@@ -853,62 +853,62 @@
 
 // TestProbeWithoutADescriptor: it waits for a connection to fall free, and else says nothing of the store.
 func TestProbeWithoutADescriptor(t *testing.T) {
-	s := newStage(t, 4, true)
-	a, b := s.client(), s.client()
-	s.say(a, ask("once", 1))
-	st := s.store()
-	s.deny = ErrNoResources
+	s := newHarness(t, 4, true)
+	a, b := s.newClient(), s.newClient()
+	s.send(a, ask("once", 1))
+	st := s.welcomeNewest()
+	s.dialError = ErrNoResources
 	s.core.limits.MaxClients = 20
 	s.core.Probe(0, 0, false)
-	if s.pass(3000); len(s.dials) != 1 || len(s.core.stores[0].waits) != 0 {
-		t.Fatalf("%d connections, %d errands wait", len(s.dials), len(s.core.stores[0].waits))
+	if s.advance(3000); len(s.dials) != 1 || len(s.core.stores[0].waiting) != 0 {
+		t.Fatalf("%d connections, %d errands wait", len(s.dials), len(s.core.stores[0].waiting))
 	}
-	s.say(b, ask("any", 2)) // it is tried, and refused for want of a descriptor
-	if got := code(t, b.take()); got != pgwire.TooManyConnections {
+	s.send(b, ask("any", 2)) // it is tried, and refused for want of a descriptor
+	if got := code(t, b.takeOutput()); got != pgwire.TooManyConnections {
 		t.Errorf("the store is taken for silent: %q", got)
 	}
 	s.core.Probe(0, 0, false)
 	s.step()
-	if s.say(st, value, ready); !strings.Contains(string(st.out), "SHOW load") {
+	if s.send(st, value, ready); !strings.Contains(string(st.out), "SHOW load") {
 		t.Errorf("the connection that fell free does not carry the probe: %q", st.out)
 	}
 }
 
-func TestQueryInPiecesAcrossTheEnd(t *testing.T) {
-	s := newStage(t, 20)
-	cl, stuck := s.client(), s.client()
+func TestPartialQueryAtShutdown(t *testing.T) {
+	s := newHarness(t, 20)
+	cl, stuck := s.newClient(), s.newClient()
 	query := ask("any", 1)
-	s.say(cl, query[:30])
-	s.say(stuck, query[:30])
+	s.send(cl, query[:30])
+	s.send(stuck, query[:30])
 	s.core.Stop(s.now)
-	if s.pass(5 * second / 2); cl.finished {
+	if s.advance(5 * second / 2); cl.finished {
 		t.Fatal("a client is hung up on in the middle of its query")
 	}
-	s.say(cl, query[30:])
-	s.say(s.store(), value, ready)
-	if got := cl.take(); got != value+ready || !cl.finished {
+	s.send(cl, query[30:])
+	s.send(s.welcomeNewest(), value, ready)
+	if got := cl.takeOutput(); got != value+ready || !cl.finished {
 		t.Fatalf("answer %q", got)
 	}
-	if s.pass(4 * second); !stuck.finished {
+	if s.advance(4 * second); !stuck.finished {
 		t.Error("the rest of a query is waited for without end")
 	}
 }
 
-// BenchmarkJob is one request on the ordinary path, from its query to its answer, without the sockets.
-func BenchmarkJob(b *testing.B) {
-	s := newStage(b, 20, true)
-	cl := s.client()
+// BenchmarkRequest is one request on the ordinary path, from its query to its answer, without the sockets.
+func BenchmarkRequest(b *testing.B) {
+	s := newHarness(b, 20, true)
+	cl := s.newClient()
 	query, answer := []byte(ask("any", 1)), []byte(value+ready)
-	s.say(cl, string(query))
-	st := s.store()
-	s.say(st, string(answer))
+	s.send(cl, string(query))
+	st := s.welcomeNewest()
+	s.send(st, string(answer))
 	events := []Event{{cl, Readable}}
 	b.ReportAllocs()
 	for b.Loop() {
 		cl.in, cl.out = append(cl.in[:0], query...), cl.out[:0]
 		events[0].Link = cl
 		s.core.Step(s.now, events)
-		st.in, st.out, st.taken = append(st.in[:0], answer...), st.out[:0], st.taken+len(st.out)
+		st.in, st.out, st.takenBytes = append(st.in[:0], answer...), st.out[:0], st.takenBytes+len(st.out)
 		events[0].Link = st
 		s.core.Step(s.now, events)
 		if s.now++; len(cl.out) == 0 {
@@ -920,7 +920,7 @@
 // BenchmarkStores: a request, and a turn of the loop with its beat, among so many stores in groups of three.
 func BenchmarkStores(b *testing.B) {
 	for _, n := range []int{10, 120, 1000} {
-		s := newStage(b, 2*n+100, true)
+		s := newHarness(b, 2*n+100, true)
 		var lines []StoreEntry
 		for k := range n {
 			lines = append(lines, StoreEntry{ID: fmt.Sprint("s", k), Addr: "127.0.0.1:1", Member: balance.Member{Group: uint64(3 + k/3), Condition: balance.Ready,
@@ -928,11 +928,11 @@
 		}
 		s.core.UpdateStores(StoreList{Kind: balance.ListFull, Entries: lines})
 		s.step()
-		cl := s.client()
+		cl := s.newClient()
 		query, answer := []byte(ask("any", 1)), []byte(value+ready)
 		b.Run(fmt.Sprint("job/", n), func(b *testing.B) {
 			b.ReportAllocs()
-			open := map[*wire]bool{}
+			open := map[*fakeLink]bool{}
 			for b.Loop() {
 				cl.in, cl.out = append(cl.in[:0], query...), cl.out[:0]
 				s.core.Step(s.now, []Event{{cl, Readable}})
@@ -945,7 +945,7 @@
 				}
 				for w := range open {
 					if len(w.out) > 0 && strings.HasSuffix(string(w.out), "\x00") {
-						w.in, w.out, w.taken = append(w.in[:0], answer...), w.out[:0], w.taken+len(w.out)
+						w.in, w.out, w.takenBytes = append(w.in[:0], answer...), w.out[:0], w.takenBytes+len(w.out)
 						s.core.Step(s.now, []Event{{w, Readable}})
 					}
 				}
@@ -964,8 +964,8 @@
 	}
 }
 
-// with starts the core anew with one more class, and these stores.
-func (s *stage) with(p balance.Class, lines ...StoreEntry) {
+// restartWith starts the core anew with one more class, and these stores.
+func (s *harness) restartWith(p balance.Class, lines ...StoreEntry) {
 	s.settings.Classes = append(s.settings.Classes, p)
 	var err error
 	if s.core, err = New(s.now, s.settings, s.core.host, s.core.limits, s, func() {}, s.core.log); err != nil {
@@ -977,45 +977,45 @@
 
 // TestRepeatDoesNotWaitPastItsWindow: a repeat that waits for its connection is not written once it can no longer reach its
 // store inside the window, though its client still waits.
-func TestRepeatDoesNotWaitPastItsWindow(t *testing.T) {
+func TestRetryWindowExpiresWhileWaiting(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		s := newStage(t, 20, true)
-		s.with(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
+		s := newHarness(t, 20, true)
+		s.restartWith(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
 			ExpectedTime: 6000, Deadline: 9 * second, Credit: 1, LateCredit: 0.5},
 			StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}})
-		cl := s.client()
+		cl := s.newClient()
 		s.core.host.DialTimeout = 3 * second
-		s.say(cl, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=keyed,d=9000,cluster=3 */ SELECT 'k'")))
-		s.step(Event{s.store(), Closed}) // the first attempt may have run
+		s.send(cl, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=keyed,d=9000,cluster=3 */ SELECT 'k'")))
+		s.step(Event{s.welcomeNewest(), Closed}) // the first attempt may have run
 		for end := s.now + second; len(s.dials) < 2 && s.now < end; {
-			s.pass(100)
+			s.advance(100)
 		}
 		w := s.dials[1]
-		if w.take(); late {
+		if w.takeOutput(); late {
 			s.now += 2 * second // past the window, though not past the limit, and before the core looks around
 		}
-		s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
-		if got := strings.Contains(w.take(), "id=1"); got == late {
+		s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		if got := strings.Contains(w.takeOutput(), "id=1"); got == late {
 			t.Errorf("late %v: written %v", late, got)
 		}
 	}
 }
 
 // TestLeftWhileItsConnectionBreaks: a client goes in the same turn in which the connection breaks that its request waits for.
-func TestLeftWhileItsConnectionBreaks(t *testing.T) {
+func TestClientLeavesAsConnectionBreaks(t *testing.T) {
 	for _, order := range [][2]int{{0, 1}, {1, 0}} {
-		s := newStage(t, 20, true)
-		busy, waits := s.client(), s.client()
-		s.say(busy, ask("any", 1))
-		st := s.store()
-		s.say(waits, ask("any", 2))
+		s := newHarness(t, 20, true)
+		busy, waits := s.newClient(), s.newClient()
+		s.send(busy, ask("any", 1))
+		st := s.welcomeNewest()
+		s.send(waits, ask("any", 2))
 		events := []Event{{waits, Closed}, {st, Closed}}
 		s.step(events[order[0]], events[order[1]])
 		for range 20 {
-			s.pass(second / 10)
+			s.advance(second / 10)
 		}
 		for _, w := range s.dials {
-			if strings.Contains(w.take(), "id=2") {
+			if strings.Contains(w.takeOutput(), "id=2") {
 				t.Error("a request is sent on whose client has gone")
 			}
 		}
@@ -1026,40 +1026,40 @@
 // follows on the connection is served; a key that is not its own does nothing.
 func TestCancelled(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		s := newStage(t, 20)
-		w := &wire{in: pgwire.AppendStartup(nil, "web", "orders")}
+		s := newHarness(t, 20)
+		w := &fakeLink{in: pgwire.AppendStartup(nil, "web", "orders")}
 		s.step(Event{w, Accepted | Readable})
-		welcome := w.take()
+		welcome := w.takeOutput()
 		at := strings.Index(welcome, "K\x00\x00\x00\x0c")
 		if at < 0 {
 			t.Fatalf("no key in %q", welcome)
 		}
 		key := welcome[at+5 : at+13]
-		s.say(w, ask("any", 1)+ask("once", 2)) // a write waits for the read
+		s.send(w, ask("any", 1)+ask("once", 2)) // a write waits for the read
 		first := s.dials[0]
 		if sent {
-			s.store()
+			s.welcomeNewest()
 		}
 		cancel := func(key string) {
-			other := &wire{in: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e" + key)}
+			other := &fakeLink{in: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e" + key)}
 			if s.step(Event{other, Accepted | Readable}); !other.finished {
 				t.Error("it is kept open")
 			}
 		}
 		cancel(key[:7] + string(key[7]^1))
 		cancel("\x00\x00\x00\x00" + key[4:])
-		if got := w.take(); got != "" {
+		if got := w.takeOutput(); got != "" {
 			t.Fatalf("another's key: %q", got)
 		}
 		if cancel(key); sent && !first.closed {
 			t.Error("its attempt goes on")
 		}
-		if got := code(t, w.take()); got != pgwire.QueryCanceled {
+		if got := code(t, w.takeOutput()); got != pgwire.QueryCanceled {
 			t.Fatalf("cancelled: %s", got)
 		}
-		st := s.store()
-		s.say(st, value, ready)
-		if got := w.take(); got != value+ready {
+		st := s.welcomeNewest()
+		s.send(st, value, ready)
+		if got := w.takeOutput(); got != value+ready {
 			t.Errorf("what follows: %q", got)
 		}
 		for _, d := range s.dials {
@@ -1068,21 +1068,21 @@
 			}
 		}
 		cancel(key) // nothing is in hand
-		if got := w.take(); got != "" {
+		if got := w.takeOutput(); got != "" {
 			t.Errorf("after the end: %q", got)
 		}
 	}
 }
 
 // TestLastAnswerNotOut: a client whose last answer the system has not taken yet is not hung up on to make room.
-func TestLastAnswerNotOut(t *testing.T) {
-	s := newStage(t, 40, true)
-	slow, other := s.client(), s.client()
-	s.say(slow, ask("any", 1))
-	s.say(s.store(), value, ready)
-	slow.stuck = 10
+func TestEvictionSparesUnsentAnswer(t *testing.T) {
+	s := newHarness(t, 40, true)
+	slow, other := s.newClient(), s.newClient()
+	s.send(slow, ask("any", 1))
+	s.send(s.welcomeNewest(), value, ready)
+	slow.unsentBytes = 10
 	s.core.limits.MaxClients = 1
-	s.pass(5 * second)
+	s.advance(5 * second)
 	if slow.closed || !other.closed {
 		t.Errorf("closed: %v, the other %v", slow.closed, other.closed)
 	}
@@ -1090,39 +1090,39 @@
 
 // TestShortLimitsAndNewConnections: where clients' limits are short, new connections still come when most of them is over.
 func TestShortLimitsAndNewConnections(t *testing.T) {
-	s := newStage(t, 20)
+	s := newHarness(t, 20)
 	s.core.classes.longest = 2 * second / 10
 	s.core.limits.ShutdownGrace = 6 * second / 10
 	s.core.Stop(s.now)
-	if s.pass(4*second/10 + 1); s.core.Stopping() {
+	if s.advance(4*second/10 + 1); s.core.Stopping() {
 		t.Error("no more are taken in while they still come")
 	}
-	if s.pass(second / 2); !s.core.Stopping() {
+	if s.advance(second / 2); !s.core.Stopping() {
 		t.Error("it goes on for ever")
 	}
 }
 
 // TestClientsThatDoNotHangUp: one that was hung up on and does not do so itself is let go after a rest, at once where room is
 // needed, and at the end by force.
-func TestClientsThatDoNotHangUp(t *testing.T) {
-	s := newStage(t, 20)
-	a, b := s.client(), s.client()
-	s.say(a, "X\x00\x00\x00\x04")
-	if s.pass(second); !a.finished || a.closed {
+func TestClientsThatKeepClosedConnections(t *testing.T) {
+	s := newHarness(t, 20)
+	a, b := s.newClient(), s.newClient()
+	s.send(a, "X\x00\x00\x00\x04")
+	if s.advance(second); !a.finished || a.closed {
 		t.Fatal("it is not waited for")
 	}
-	if s.pass(2 * second); !a.closed || b.closed {
+	if s.advance(2 * second); !a.closed || b.closed {
 		t.Error("it is waited for without an end")
 	}
-	c := s.client()
-	s.say(c, "X\x00\x00\x00\x04")
-	s.pass(breath)
+	c := s.newClient()
+	s.send(c, "X\x00\x00\x00\x04")
+	s.advance(closeNoticeDelay)
 	s.core.limits.MaxClients = 2
-	if d := s.client(); !c.closed || b.closed || d.closed {
+	if d := s.newClient(); !c.closed || b.closed || d.closed {
 		t.Error("it is not the first to yield")
 	}
 	s.core.Stop(s.now)
-	if s.pass(6 * second); !b.closed || !s.core.Done() {
+	if s.advance(6 * second); !b.closed || !s.core.Done() {
 		t.Error("the front's end waits for it")
 	}
 }
@@ -1131,22 +1131,22 @@
 // the replica was known to have is older than that, it is not sent there.
 func TestBoundedReadWaitsForItsConnection(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		s := newStage(t, 20, true)
-		s.with(balance.Class{Name: "bounded", Need: balance.Bounded, Bound: 3000, ExpectedTime: 3000, Deadline: 12000, Credit: 1},
+		s := newHarness(t, 20, true)
+		s.restartWith(balance.Class{Name: "bounded", Need: balance.Bounded, Bound: 3000, ExpectedTime: 3000, Deadline: 12000, Credit: 1},
 			StoreEntry{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
 			StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
-		cl := s.client()
-		s.core.module.ProbeDone(s.now, s.core.storeOf["r"], balance.Result{Load: balance.Report{Position: s.now - 2000, Role: balance.Replica}})
-		s.say(cl, ask("bounded", 1))
+		cl := s.newClient()
+		s.core.balancer.ProbeDone(s.now, s.core.storeIndex["r"], balance.Result{Load: balance.Report{Position: s.now - 2000, Role: balance.Replica}})
+		s.send(cl, ask("bounded", 1))
 		if len(s.dials) != 1 {
 			t.Fatalf("%d dials", len(s.dials))
 		}
 		w := s.dials[0]
-		if w.take(); late {
-			s.pass(1100) // the beats too: the store's connection is late, and the read is placed anew meanwhile
+		if w.takeOutput(); late {
+			s.advance(1100) // the beats too: the store's connection is late, and the read is placed anew meanwhile
 		}
-		s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
-		if got := strings.Contains(w.take(), "id=1"); got == late {
+		s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+		if got := strings.Contains(w.takeOutput(), "id=1"); got == late {
 			t.Errorf("late %v: written %v", late, got)
 		}
 		if late && len(s.dials) < 2 {
@@ -1157,15 +1157,15 @@
 
 // TestStoreThatDrainsMeanwhile: a request waits for the connection to a store that is told to drain; it is not sent there
 // once the connection is up, but to another.
-func TestStoreThatDrainsMeanwhile(t *testing.T) {
-	s := newStage(t, 20, true)
+func TestStoreDrainsWhileRequestWaits(t *testing.T) {
+	s := newHarness(t, 20, true)
 	line := StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}}
 	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	s.step()
-	cl := s.client()
-	s.say(cl, ask("any", 1))
+	cl := s.newClient()
+	s.send(cl, ask("any", 1))
 	w := s.dials[0]
-	w.take()
+	w.takeOutput()
 	line.ID, line.Addr = "s", "127.0.0.1:1"
 	for _, id := range []string{"r", "s"} { // wherever it went
 		if c := s.core.conns[0]; s.core.stores[c.store].id == id {
@@ -1174,38 +1174,38 @@
 		}
 	}
 	s.step()
-	if s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready); strings.Contains(w.take(), "id=1") {
+	if s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready); strings.Contains(w.takeOutput(), "id=1") {
 		t.Error("it is sent to a store that drains")
 	}
-	s.pass(second / 10)
+	s.advance(second / 10)
 	if len(s.dials) < 2 {
 		t.Fatal("it goes nowhere else")
 	}
-	s.say(s.store(), value, ready)
-	if got := cl.take(); got != value+ready {
+	s.send(s.welcomeNewest(), value, ready)
+	if got := cl.takeOutput(); got != value+ready {
 		t.Errorf("answered %q", got)
 	}
 }
 
 // TestAnswerThatStopsShort: a write's answer comes but for its last message. The session's next read does not go where the
 // write is not known to be, though the write's attempt is still out.
-func TestAnswerThatStopsShort(t *testing.T) {
+func TestTruncatedWriteAnswer(t *testing.T) {
 	for cut := range 3 {
-		s := newStage(t, 20)
+		s := newHarness(t, 20)
 		s.settings.FencesCarried = false
-		s.with(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1},
+		s.restartWith(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1},
 			StoreEntry{ID: "p", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready, Primary: true, Size: 1}},
 			StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
-		s.core.module.ProbeDone(s.now, s.core.storeOf["r"], balance.Result{Load: balance.Report{Position: s.now - 1, Role: balance.Replica}})
-		writer, reader := s.client(), s.client()
-		s.say(writer, ask("once", 1))
-		st := s.store()
+		s.core.balancer.ProbeDone(s.now, s.core.storeIndex["r"], balance.Result{Load: balance.Report{Position: s.now - 1, Role: balance.Replica}})
+		writer, reader := s.newClient(), s.newClient()
+		s.send(writer, ask("once", 1))
+		st := s.welcomeNewest()
 		parts := []string{value[:15], value, value + status("role", "primary") + status("applied_ms", "1767225600100")}
 		s.now += 100
-		s.say(st, parts[cut])
-		s.say(reader, ask("session", 2))
+		s.send(st, parts[cut])
+		s.send(reader, ask("session", 2))
 		for n := range s.core.requests {
-			if j := &s.core.requests[n]; j.busy && string(j.terms.ID) == "2" && (j.waits || j.attempt != nil) && s.core.stores[j.store].id == "r" {
+			if req := &s.core.requests[n]; req.inUse && string(req.terms.ID) == "2" && (req.awaitsConn || req.attemptConn != nil) && s.core.stores[req.store].id == "r" {
 				t.Errorf("part %d: the read goes to the replica", cut)
 			}
 		}
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	mostBehind    = 16      // requests of one client that may be in hand behind its first
-	mostBehindAll = 1024    // the same of all clients
-	mostMarks     = 16      // arrivals of one client's messages that are told apart
-	defaultKept   = 1 << 20 // bytes of answers that wait for their turn, where the limits name no other bound
+	maxPipelined              = 16      // requests of one client that may be in hand behind its first
+	maxPipelinedTotal         = 1024    // the same of all clients
+	maxArrivalMarks           = 16      // arrivals of one client's messages that are told apart
+	defaultMaxBufferedReplies = 1 << 20 // bytes of answers that wait for their turn, where the limits name no other bound
 )
 
-// command is a request that is in hand, or answered, behind another of its client. The answers go out in the order of
+// pipelinedRequest is a request that is in hand, or answered, behind another of its client. The answers go out in the order of
 // the commands, so its own waits here until all before it are out.
-type command struct {
+type pipelinedRequest struct {
 	request int32  // in hand, or -1 once reply is complete
 	size    int    // bytes of the command in the client's ring
 	reply   []byte // final answer
@@ -29,16 +29,16 @@
 // Danger: a client counts each request's time from its last byte. Were the commands taken one after the other, the
 // last of n would wait for n-1 deadlines and be lost.
 type pipeline struct {
-	behind []command // in the order of the commands
-	parsed int       // bytes of the ring that the request in hand and those behind it have
-	marks  arrivals
+	queue       []pipelinedRequest // in the order of the commands
+	parsedBytes int                // bytes of the ring that the request in hand and those behind it have
+	arrivals    arrivalTimes
 }
 
-// arrivals tells when the last bytes of messages came in that have not been parsed yet. It keeps at most mostMarks moments:
+// arrivalTimes tells when the last bytes of messages came in that have not been parsed yet. It keeps at most mostMarks moments:
 // past that a message counts as come with the one before it, which is never later than it did.
-type arrivals struct {
+type arrivalTimes struct {
 	scanned int // bytes of the ring that whole messages have
-	marks   [mostMarks]arrival
+	marks   [maxArrivalMarks]arrival
 	count   int
 }
 
@@ -49,20 +49,20 @@
 }
 
 // scan looks for the ends of messages in what the ring holds now.
-func (a *arrivals) scan(ring []byte, now Time) {
+func (a *arrivalTimes) scan(ring []byte, now Time) {
 	for a.scanned <= len(ring) {
 		_, _, size, err := pgwire.ParseMessage(ring[a.scanned:], pgwire.MaxQuerySize)
 		if err != nil || size == 0 {
 			return
 		}
 		a.scanned += size
-		a.note(a.scanned, now)
+		a.record(a.scanned, now)
 	}
 }
 
-// note tells that a message ends where the ring holds end bytes.
-func (a *arrivals) note(end int, now Time) {
-	if a.count > 0 && (a.count == mostMarks || a.marks[a.count-1].at == now) {
+// record tells that a message ends where the ring holds end bytes.
+func (a *arrivalTimes) record(end int, now Time) {
+	if a.count > 0 && (a.count == maxArrivalMarks || a.marks[a.count-1].at == now) {
 		a.marks[a.count-1].end = end
 		return
 	}
@@ -70,8 +70,8 @@
 	a.count++
 }
 
-// came gives the moment by which the ring held end bytes; now if nobody noted it.
-func (a *arrivals) came(end int, now Time) Time {
+// arrivedAt gives the moment by which the ring held end bytes; now if nobody noted it.
+func (a *arrivalTimes) arrivedAt(end int, now Time) Time {
 	for _, mark := range a.marks[:a.count] {
 		if mark.end >= end {
 			return mark.at
@@ -81,7 +81,7 @@
 }
 
 // discard tells that the ring's first size bytes are gone.
-func (a *arrivals) discard(size int) {
+func (a *arrivalTimes) discard(size int) {
 	a.scanned = max(a.scanned-size, 0)
 	kept := 0
 	for _, mark := range a.marks[:a.count] {
@@ -96,25 +96,25 @@
 // discard drops the ring's first size bytes, which belong to no request in hand any more.
 func (cl *client) discard(c *Core, size int) {
 	cl.link.Discard(size)
-	cl.pipeline.marks.discard(size)
-	cl.pipeline.parsed = max(cl.pipeline.parsed-size, 0)
-	for _, behind := range cl.pipeline.behind {
+	cl.pipeline.arrivals.discard(size)
+	cl.pipeline.parsedBytes = max(cl.pipeline.parsedBytes-size, 0)
+	for _, behind := range cl.pipeline.queue {
 		if behind.request >= 0 {
 			c.requests[behind.request].offset -= size
 		}
 	}
 }
 
-// takeAhead begins the client's next command while others of its are in hand; false: it has to wait for them. What is
+// startPipelined begins the client's next command while others of its are in hand; false: it has to wait for them. What is
 // no sound request waits, so that everything else is said between requests.
-func (cl *client) takeAhead(c *Core) bool {
-	if _, speaks := cl.speech.(postgres); !speaks {
+func (cl *client) startPipelined(c *Core) bool {
+	if _, speaks := cl.protocol.(postgres); !speaks {
 		return false
 	}
-	if len(cl.pipeline.behind) >= mostBehind || c.behind >= mostBehindAll {
+	if len(cl.pipeline.queue) >= maxPipelined || c.pipelined >= maxPipelinedTotal {
 		return false
 	}
-	offset := cl.pipeline.parsed
+	offset := cl.pipeline.parsedBytes
 	kind, body, size, err := pgwire.ParseMessage(cl.link.Peek()[offset:], pgwire.MaxQuerySize)
 	if err != nil || size == 0 || kind != 'Q' {
 		return false
@@ -131,37 +131,37 @@
 	if !known || !cl.independent(c, class, &query.Request) {
 		return false
 	}
-	index, fault, _ := cl.begin(c, query.Request, query.TimeoutSpan)
-	if fault != sound {
+	index, fault, _ := cl.startRequest(c, query.Request, query.TimeoutSpan)
+	if fault != noFault {
 		return false
 	}
 	request := &c.requests[index]
 	request.offset = offset
-	request.came = cl.pipeline.marks.came(offset+size, c.now)
-	cl.pipeline.behind = append(cl.pipeline.behind, command{request: index, size: size})
-	cl.pipeline.parsed += size
-	c.behind++
+	request.arrivedAt = cl.pipeline.arrivals.arrivedAt(offset+size, c.now)
+	cl.pipeline.queue = append(cl.pipeline.queue, pipelinedRequest{request: index, size: size})
+	cl.pipeline.parsedBytes += size
+	c.pipelined++
 	return true
 }
 
 // independent tells whether a request may run beside all that its client has in hand.
 func (cl *client) independent(c *Core, class int, query *metadata.Request) bool {
-	if !c.beside(cl.request, class, query) {
+	if !c.mayRunConcurrently(cl.request, class, query) {
 		return false
 	}
-	for _, behind := range cl.pipeline.behind {
-		if behind.request >= 0 && !c.beside(behind.request, class, query) {
+	for _, behind := range cl.pipeline.queue {
+		if behind.request >= 0 && !c.mayRunConcurrently(behind.request, class, query) {
 			return false
 		}
 	}
 	return true
 }
 
-// beside tells whether a request may run beside an earlier one of its connection: reads beside reads, writes never
+// mayRunConcurrently tells whether a request may run beside an earlier one of its connection: reads beside reads, writes never
 // beside writes, and both beside each other where their sessions differ, since no fence holds from one to another.
 //
 // Danger: within its session a command has to see the effect of those before it, and none of those behind it.
-func (c *Core) beside(earlier int32, class int, query *metadata.Request) bool {
+func (c *Core) mayRunConcurrently(earlier int32, class int, query *metadata.Request) bool {
 	before := &c.requests[earlier]
 	writes, wrote := c.classes.settings[class].Need == balance.Write, before.class().Need == balance.Write
 	if !writes && !wrote {
@@ -174,16 +174,16 @@
 		(query.Group != before.terms.Group || !bytes.Equal(query.Session, before.terms.Session))
 }
 
-// keep stores the final answer of a request behind others until its turn comes.
-func (cl *client) keep(c *Core, index int32, text []byte) {
-	if c.kept+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultKept) {
-		text = cl.speech.failure(nil, "no memory for the answer")
+// bufferReply stores the final answer of a request behind others until its turn comes.
+func (cl *client) bufferReply(c *Core, index int32, text []byte) {
+	if c.bufferedBytes+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultMaxBufferedReplies) {
+		text = cl.protocol.failureReply(nil, "no memory for the answer")
 	}
-	for i := range cl.pipeline.behind {
-		behind := &cl.pipeline.behind[i]
+	for i := range cl.pipeline.queue {
+		behind := &cl.pipeline.queue[i]
 		if behind.request == index {
 			behind.request, behind.reply = -1, bytes.Clone(text)
-			c.kept += len(behind.reply)
+			c.bufferedBytes += len(behind.reply)
 			return
 		}
 	}
@@ -193,28 +193,28 @@
 // their turn go out.
 func (cl *client) advance(c *Core) {
 	cl.request = -1
-	for cl.at >= 0 && len(cl.pipeline.behind) > 0 {
-		next := cl.pipeline.behind[0]
-		cl.pipeline.behind = append(cl.pipeline.behind[:0], cl.pipeline.behind[1:]...)
-		c.behind--
+	for cl.index >= 0 && len(cl.pipeline.queue) > 0 {
+		next := cl.pipeline.queue[0]
+		cl.pipeline.queue = append(cl.pipeline.queue[:0], cl.pipeline.queue[1:]...)
+		c.pipelined--
 		if next.request >= 0 {
-			cl.request, cl.held = next.request, next.size
+			cl.request, cl.requestBytes = next.request, next.size
 			return
 		}
-		c.kept -= len(next.reply)
+		c.bufferedBytes -= len(next.reply)
 		cl.discard(c, next.size)
 		cl.reply(c, next.reply)
 	}
 }
 
-// drop gives up all that the client has in hand behind its first request.
-func (cl *client) drop(c *Core) {
-	for _, behind := range cl.pipeline.behind {
+// abandonPipeline gives up all that the client has in hand behind its first request.
+func (cl *client) abandonPipeline(c *Core) {
+	for _, behind := range cl.pipeline.queue {
 		if behind.request >= 0 {
-			c.giveUp(behind.request, endAbandoned)
+			c.abandon(behind.request, endAbandoned)
 		}
-		c.kept -= len(behind.reply)
+		c.bufferedBytes -= len(behind.reply)
 	}
-	c.behind -= len(cl.pipeline.behind)
-	cl.pipeline.behind = nil
+	c.pipelined -= len(cl.pipeline.queue)
+	cl.pipeline.queue = nil
 }
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -8,91 +8,91 @@
 	"micatrack/internal/pgwire"
 )
 
-const messageHead = 5 // bytes of a message's kind and length
+const messageHeaderSize = 5 // bytes of a message's kind and length
 
 // postgres is version 3 of PostgreSQL's protocol, to clients and to stores.
 type postgres struct{}
 
-func (postgres) more(*client, *Core) {}
+func (postgres) inputAvailable(*client, *Core) {}
 
-func (postgres) done(cl *client, c *Core, _ bool) { cl.discard(c, cl.held) }
+func (postgres) requestDone(cl *client, c *Core, _ bool) { cl.discard(c, cl.requestBytes) }
 
-func (postgres) overflow(cl *client, c *Core) {
+func (postgres) messageTooLarge(cl *client, c *Core) {
 	cl.fatal(c, closedDeclined, pgwire.TooManyConnections, "out of memory")
 }
 
-func (postgres) noRoom(dst []byte) []byte {
+func (postgres) noRoomMessage(dst []byte) []byte {
 	return pgwire.AppendError(dst, "FATAL", pgwire.TooManyConnections, "too many connections", "")
 }
 
-func (postgres) stalled(cl *client, c *Core) {
+func (postgres) messageStalled(cl *client, c *Core) {
 	cl.fatal(c, closedStalled, pgwire.ProtocolViolation, "the message was not completed in time")
 }
 
-func (postgres) refusal(dst []byte, pause Time) []byte {
+func (postgres) refusalReply(dst []byte, pause Time) []byte {
 	detail := ""
-	if pause >= perMilli {
-		detail = strconv.FormatInt(pause/perMilli, 10)
+	if pause >= millisecond {
+		detail = strconv.FormatInt(pause/millisecond, 10)
 	}
 	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.TooManyConnections, "turned back, try again", detail))
 }
 
-func (postgres) failure(dst []byte, why string) []byte {
+func (postgres) failureReply(dst []byte, why string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", pgwire.OutcomeUnknown, "written off: "+why, ""))
 }
 
-func (postgres) faulty(dst []byte, f fault, why string) []byte {
-	code := [...]string{unreadable: pgwire.SyntaxError, noClass: pgwire.InvalidParameterValue, noGroup: pgwire.UnknownDatabase, inHand: pgwire.DuplicateObject}[f]
+func (postgres) faultReply(dst []byte, f fault, why string) []byte {
+	code := [...]string{unparsable: pgwire.SyntaxError, unknownClass: pgwire.InvalidParameterValue, unknownGroup: pgwire.UnknownDatabase, duplicateID: pgwire.DuplicateObject}[f]
 	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", code, why, ""))
 }
 
-func (postgres) hail(dst []byte) []byte { return pgwire.AppendStartup(dst, "web", "orders") }
+func (postgres) appendStartup(dst []byte) []byte { return pgwire.AppendStartup(dst, "web", "orders") }
 
-func (postgres) rises(k *conn) { k.next = greeted }
-func (postgres) idles(k *conn) { k.next = rests }
+func (postgres) prepareNew(k *conn)  { k.onMessage = readStartup }
+func (postgres) prepareIdle(k *conn) { k.onMessage = readWhileIdle }
 
-func (postgres) ask(k *conn, c *Core, e errand) {
+func (postgres) sendRequest(k *conn, c *Core, e pendingAttempt) {
 	switch {
 	case e.request >= 0:
-		j := &c.requests[e.request]
-		text, _, _ := pgwire.ParseString(j.client.link.Peek()[j.offset+messageHead:])
-		c.out = j.cut.AppendQuery(c.out[:0], text, max((e.until-c.now)/perMilli, 1))
+		req := &c.requests[e.request]
+		text, _, _ := pgwire.ParseString(req.client.link.Peek()[req.offset+messageHeaderSize:])
+		c.scratch = req.cut.AppendQuery(c.scratch[:0], text, max((e.until-c.now)/millisecond, 1))
 	case c.host.LoadReports == "inline" || c.host.LoadReports == "on_probe":
-		c.out = pgwire.AppendSimpleQuery(c.out[:0], "SHOW load")
+		c.scratch = pgwire.AppendSimpleQuery(c.scratch[:0], "SHOW load")
 	default:
-		c.out = pgwire.AppendSimpleQuery(c.out[:0], "SELECT 1")
+		c.scratch = pgwire.AppendSimpleQuery(c.scratch[:0], "SELECT 1")
 	}
-	k.next = answered
-	k.write(c, c.out)
+	k.onMessage = readAnswer
+	k.write(c, c.scratch)
 }
 
 // broken: what came before something senseless proves nothing, but a store's whole word does.
-func (postgres) broken(k *conn, _ *Core) balance.Ending {
+func (postgres) lossEnding(k *conn, _ *Core) balance.Ending {
 	switch {
-	case k.code != "" && k.parts == 0:
-		return ending(k.code)
-	case k.link.SentBytes() < k.wrote:
+	case k.errorCode != "" && k.parts == 0:
+		return errorEnding(k.errorCode)
+	case k.link.SentBytes() < k.writtenBytes:
 		return balance.ConnectFailed
 	}
 	return balance.ConnectionLost
 }
 
-func (postgres) undone(*conn) bool { return false }
+func (postgres) provenNoEffect(*conn) bool { return false }
 
 // fatal ends a connection whose stream cannot be followed any more.
 func (cl *client) fatal(c *Core, cause closeCause, code, text string) {
-	c.out = pgwire.AppendError(c.out[:0], "FATAL", code, text, "")
-	cl.write(c, c.out)
+	c.scratch = pgwire.AppendError(c.scratch[:0], "FATAL", code, text, "")
+	cl.write(c, c.scratch)
 	cl.finish(c, cause)
 }
 
-// decline reads as far as it must to tell a client that there is no room.
-func (postgres) decline(cl *client, c *Core, in []byte) int {
+// declineConnection reads as far as it must to tell a client that there is no room.
+func (postgres) declineConnection(cl *client, c *Core, in []byte) int {
 	code, n, err := pgwire.ParseStartup(in)
 	if err == nil && n > 0 && (code == pgwire.SSLRequest || code == pgwire.GSSENCRequest) {
 		cl.write(c, []byte{'N'})
 	} else if err == nil && n > 0 && code == pgwire.CancelRequest {
-		c.cancelled(in[8:n])
+		c.handleCancel(in[8:n])
 		cl.finish(c, closedByCancel)
 	} else if err != nil || n > 0 {
 		cl.fatal(c, closedDeclined, pgwire.TooManyConnections, "too many connections")
@@ -100,8 +100,8 @@
 	return n
 }
 
-// greet reads the startup message.
-func (postgres) greet(cl *client, c *Core, in []byte) int {
+// startConnection reads the startup message.
+func (postgres) startConnection(cl *client, c *Core, in []byte) int {
 	code, n, err := pgwire.ParseStartup(in)
 	switch {
 	case err != nil:
@@ -110,20 +110,20 @@
 	case code == pgwire.SSLRequest || code == pgwire.GSSENCRequest:
 		cl.write(c, []byte{'N'})
 	case code == pgwire.CancelRequest:
-		c.cancelled(in[8:n])
+		c.handleCancel(in[8:n])
 		cl.finish(c, closedByCancel)
 	case code>>16 != pgwire.Version>>16:
 		cl.fatal(c, closedByViolation, pgwire.FeatureNotSupported, "only version 3 of the protocol is spoken here")
 	default:
-		c.out = pgwire.AppendStartupReply(c.out[:0], code&0xffff, c.key(cl))
-		cl.write(c, c.out)
-		cl.next, cl.greeted = postgres{}.command, true
+		c.scratch = pgwire.AppendStartupReply(c.scratch[:0], code&0xffff, c.cancelKey(cl))
+		cl.write(c, c.scratch)
+		cl.readNext, cl.greeted = postgres{}.readMessage, true
 	}
 	return n
 }
 
-// command reads one message between requests.
-func (postgres) command(cl *client, c *Core, in []byte) int {
+// readMessage reads one message between requests.
+func (postgres) readMessage(cl *client, c *Core, in []byte) int {
 	kind, body, n, err := pgwire.ParseMessage(in, pgwire.MaxQuerySize)
 	switch {
 	case err != nil:
@@ -131,16 +131,16 @@
 	case n == 0:
 	case kind == 'X':
 		cl.finish(c, closedAtGoodbye)
-	case cl.skip && kind != 'S':
+	case cl.skipToSync && kind != 'S':
 	case kind == 'S':
-		cl.skip = false
-		cl.write(c, pgwire.AppendReady(c.out[:0]))
+		cl.skipToSync = false
+		cl.write(c, pgwire.AppendReady(c.scratch[:0]))
 	case kind == 'Q':
-		cl.query(c, body)
+		cl.handleQuery(c, body)
 	case kind == 'd' || kind == 'c' || kind == 'f': // copy data that nothing waits for
 	case kind == 'P' || kind == 'B' || kind == 'D' || kind == 'E' || kind == 'C' || kind == 'H':
-		cl.skip = true
-		cl.write(c, pgwire.AppendError(c.out[:0], "ERROR", pgwire.FeatureNotSupported, "only simple queries are served", ""))
+		cl.skipToSync = true
+		cl.write(c, pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.FeatureNotSupported, "only simple queries are served", ""))
 	case kind == 'F':
 		cl.reject(c, pgwire.FeatureNotSupported, "function calls are not served")
 	default:
@@ -151,28 +151,28 @@
 
 // reject answers a command that is no request.
 func (cl *client) reject(c *Core, code, text string) {
-	c.out = pgwire.AppendError(c.out[:0], "ERROR", code, text, "")
-	cl.write(c, pgwire.AppendReady(c.out))
+	c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", code, text, "")
+	cl.write(c, pgwire.AppendReady(c.scratch))
 }
 
-func (cl *client) query(c *Core, body []byte) {
+func (cl *client) handleQuery(c *Core, body []byte) {
 	text, rest, ok := pgwire.ParseString(body)
 	if !ok || len(rest) > 0 {
 		cl.fatal(c, closedByViolation, pgwire.ProtocolViolation, "malformed query message")
 		return
 	}
 	if blank(text) {
-		cl.write(c, pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(c.out[:0])))
+		cl.write(c, pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(c.scratch[:0])))
 		return
 	}
 	s, err := pgwire.ParseQuery(text)
 	if err != nil {
-		cl.write(c, cl.speech.faulty(c.out[:0], unreadable, err.Error()))
+		cl.write(c, cl.protocol.faultReply(c.scratch[:0], unparsable, err.Error()))
 		return
 	}
-	index, f, why := cl.begin(c, s.Request, s.TimeoutSpan)
-	if f != sound {
-		cl.write(c, cl.speech.faulty(c.out[:0], f, why))
+	index, f, why := cl.startRequest(c, s.Request, s.TimeoutSpan)
+	if f != noFault {
+		cl.write(c, cl.protocol.faultReply(c.scratch[:0], f, why))
 		return
 	}
 	cl.request = index
@@ -187,54 +187,54 @@
 	return true
 }
 
-// gather looks at the messages that have come in whole. What may be passed on stays in the ring.
-func (postgres) gather(k *conn, c *Core) {
+// readAnswers looks at the messages that have come in whole. What may be passed on stays in the ring.
+func (postgres) readAnswers(k *conn, c *Core) {
 	in := k.link.Peek()
-	for k.at >= 0 {
-		kind, body, n, err := pgwire.ParseMessage(in[k.read:], c.limits.MaxStoreMessage)
-		if err != nil || n > 0 && !k.next(k, c, kind, body) {
+	for k.index >= 0 {
+		kind, body, n, err := pgwire.ParseMessage(in[k.parsedBytes:], c.limits.MaxStoreMessage)
+		if err != nil || n > 0 && !k.onMessage(k, c, kind, body) {
 			if k.ready {
-				k.code = "" // Danger: what came before something senseless proves nothing.
+				k.errorCode = "" // Danger: what came before something senseless proves nothing.
 			}
-			c.note("store connection closed", "store", k.store, "message", string(kind), "code", k.code)
-			k.lost(c)
+			c.logLimited("store connection closed", "store", k.store, "message", string(kind), "code", k.errorCode)
+			k.connectionLost(c)
 			return
 		}
 		if n == 0 {
-			if e := k.errand; k.parts > 0 && !k.shown && !k.idle && !k.spent && e.request >= 0 {
-				k.shown = true
-				c.module.RecordWrite(c.now, c.requests[e.request].id, k.note.Position)
+			if e := k.current; k.parts > 0 && !k.writeReported && !k.idle && !k.answerDone && e.request >= 0 {
+				k.writeReported = true
+				c.balancer.RecordWrite(c.now, c.requests[e.request].id, k.report.Position)
 			}
-			if k.spent && len(in) == 0 {
-				k.settle(c)
+			if k.answerDone && len(in) == 0 {
+				k.carryNextOrIdle(c)
 			} else if k.link.ReadBufferFull() { // more than a value may be, or all rings together may not grow any more
-				k.lost(c)
+				k.connectionLost(c)
 			}
 			return
 		}
-		k.read += n
-		if kind == 'Z' || k.idle || k.spent { // all up to here has been used
-			k.link.Discard(k.read)
-			if k.read = 0; !k.idle && !k.spent {
+		k.parsedBytes += n
+		if kind == 'Z' || k.idle || k.answerDone { // all up to here has been used
+			k.link.Discard(k.parsedBytes)
+			if k.parsedBytes = 0; !k.idle && !k.answerDone {
 				// Danger: what stands behind the end of an answer would be taken for the next one's.
-				k.spent, k.next = true, rests
+				k.answerDone, k.onMessage = true, readWhileIdle
 			}
 			in = k.link.Peek()
 		}
 	}
 }
 
-// greeted follows the connection's start up to its first ReadyForQuery.
-func greeted(k *conn, c *Core, kind byte, body []byte) bool {
+// readStartup follows the connection's start up to its first ReadyForQuery.
+func readStartup(k *conn, c *Core, kind byte, body []byte) bool {
 	switch kind {
 	case 'R':
 		return len(body) == 4 && body[0]|body[1]|body[2]|body[3] == 0
 	case 'S', 'K', 'N', 'v':
 	case 'E':
-		k.code = pgwire.SQLState(body)
+		k.errorCode = pgwire.SQLState(body)
 		return false
 	case 'Z':
-		k.ready, k.up = true, c.now
+		k.ready, k.connectedAt = true, c.now
 	default:
 		return false
 	}
@@ -242,15 +242,15 @@
 }
 
 // rests: a connection that nothing is asked on brings changed parameters and notices at most.
-func rests(k *conn, c *Core, kind byte, body []byte) bool {
+func readWhileIdle(k *conn, c *Core, kind byte, body []byte) bool {
 	return kind == 'S' || kind == 'N'
 }
 
-// answered gathers the answer to a query.
-func answered(k *conn, c *Core, kind byte, body []byte) bool {
+// readAnswer gathers the answer to a query.
+func readAnswer(k *conn, c *Core, kind byte, body []byte) bool {
 	switch kind {
 	case 'T', 'D', 'C':
-		if k.code != "" || k.parts != strings.IndexByte("TDC", kind) {
+		if k.errorCode != "" || k.parts != strings.IndexByte("TDC", kind) {
 			return false
 		}
 		if kind == 'D' {
@@ -258,29 +258,29 @@
 			if !ok {
 				return false
 			}
-			if k.errand.request < 0 {
-				k.value = string(v)
+			if k.current.request < 0 {
+				k.probeValue = string(v)
 			}
 		}
-		k.from[k.parts], k.to[k.parts] = k.read, k.read+5+len(body)
+		k.partStart[k.parts], k.partEnd[k.parts] = k.parsedBytes, k.parsedBytes+5+len(body)
 		k.parts++
 	case 'E':
-		k.code = pgwire.SQLState(body)
-		return k.code != ""
+		k.errorCode = pgwire.SQLState(body)
+		return k.errorCode != ""
 	case 'S':
-		return k.learn(body)
+		return k.readParameter(body)
 	case 'N':
 	case 'Z':
-		return k.complete(c)
+		return k.completeAnswer(c)
 	default:
 		return false
 	}
 	return true
 }
 
-// learn takes what a store says of itself beside its answer.
+// readParameter takes what a store says of itself beside its answer.
 // Danger: a value that cannot be read says nothing, and must not spoil an answer that has run.
-func (k *conn) learn(body []byte) bool {
+func (k *conn) readParameter(body []byte) bool {
 	name, rest, ok := pgwire.ParseString(body)
 	value, _, ok2 := pgwire.ParseString(rest)
 	if !ok || !ok2 {
@@ -288,21 +288,21 @@
 	}
 	switch string(name) {
 	case "role":
-		k.note.Role = map[string]balance.Role{"primary": balance.Primary, "replica": balance.Replica}[string(value)]
+		k.report.Role = map[string]balance.Role{"primary": balance.Primary, "replica": balance.Replica}[string(value)]
 	case "applied_ms":
 		n, err := strconv.ParseInt(string(value), 10, 58)
 		if err != nil || n < 0 {
 			n = 0
 		}
-		k.note.Position = n * perMilli
+		k.report.Position = n * millisecond
 	case "load":
-		k.load, _ = report(string(value))
+		k.loadReport, _ = parseLoadReport(string(value))
 	}
 	return true
 }
 
-// report reads the values of a load report that the module goes by; a position counts in seconds there.
-func report(text string) (r balance.Report, ok bool) {
+// parseLoadReport reads the values of a load report that the module goes by; a position counts in seconds there.
+func parseLoadReport(text string) (r balance.Report, ok bool) {
 	for text != "" {
 		pair, more, _ := strings.Cut(text, ",")
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
@@ -321,7 +321,7 @@
 			if err != nil {
 				return balance.Report{}, false
 			}
-			r.Position = n*1000*perMilli + int64(tenths)
+			r.Position = n*1000*millisecond + int64(tenths)
 		case "x1":
 			r.Role = balance.Replica
 			if v, err := strconv.ParseFloat(value, 64); err != nil {
@@ -335,47 +335,47 @@
 	return r, true
 }
 
-// complete is the end of an answer: what it was to the module, and the value to the client.
-func (k *conn) complete(c *Core) bool {
-	e := k.errand
-	r := balance.Result{Note: k.note, Load: k.load, Since: k.up}
+// completeAnswer is the end of an answer: what it was to the module, and the value to the client.
+func (k *conn) completeAnswer(c *Core) bool {
+	e := k.current
+	r := balance.Result{Note: k.report, Load: k.loadReport, Since: k.connectedAt}
 	switch {
-	case k.code == "" && k.parts == 3:
+	case k.errorCode == "" && k.parts == 3:
 		r.Ending = balance.Served
-	case k.code == "":
+	case k.errorCode == "":
 		return false
 	case k.parts > 0: // a refusal after part of an answer is none
 		r.Ending = balance.Failed
 	default:
-		r.Ending = ending(k.code)
+		r.Ending = errorEnding(k.errorCode)
 	}
 	if e.request < 0 {
 		if r.Ending == balance.Served {
-			r.Load, _ = report(k.value)
+			r.Load, _ = parseLoadReport(k.probeValue)
 		}
-		c.end(k, e, r)
+		c.endAttempt(k, e, r)
 		return true
 	}
-	if r.Ending == balance.Served && k.note.Position < c.requests[e.request].least {
+	if r.Ending == balance.Served && k.report.Position < c.requests[e.request].minPosition {
 		// Danger: another front's word that this store has the log so far may be wrong, and the read stale.
 		r.Ending = balance.NotEligible
 	}
-	if r.Ending == balance.Served && !c.requests[e.request].final {
+	if r.Ending == balance.Served && !c.requests[e.request].concluded {
 		in := k.link.Peek()
-		c.out = c.out[:0]
+		c.scratch = c.scratch[:0]
 		for p := range k.parts {
-			c.out = append(c.out, in[k.from[p]:k.to[p]]...)
+			c.scratch = append(c.scratch, in[k.partStart[p]:k.partEnd[p]]...)
 		}
 	}
-	c.end(k, e, r)
+	c.endAttempt(k, e, r)
 	if r.Ending == balance.Served {
-		c.answer(e.request, pgwire.AppendReady(c.out), endServed)
+		c.answer(e.request, pgwire.AppendReady(c.scratch), endServed)
 	}
 	return true
 }
 
-// ending tells what a store's error is to the module. What is not known never to have run may have.
-func ending(code string) balance.Ending {
+// errorEnding tells what a store's error is to the module. What is not known never to have run may have.
+func errorEnding(code string) balance.Ending {
 	switch code {
 	case pgwire.ReadOnlyTransaction, pgwire.SnapshotTooOld:
 		return balance.NotEligible
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -24,7 +24,7 @@
 }
 
 // class is the one under which a request came.
-func (r *request) class() *balance.Class { return &r.classes.settings[r.kind] }
+func (r *request) class() *balance.Class { return &r.classes.settings[r.classIndex] }
 
 // Settings is what a front goes by that may change while it runs.
 type Settings struct {
@@ -36,44 +36,44 @@
 // Configure puts other settings in force, as a whole or, if it returns an error, not at all. Requests that the module
 // has in hand go on by the class that they came under; those that wait at the door are admitted anew.
 func (c *Core) Configure(now Time, s Settings) error {
-	successor, waiting, err := c.nextDoor(now, &s)
+	successor, waiting, err := c.nextAdmission(now, &s)
 	if err != nil {
 		return err
 	}
-	if err := c.module.Configure(now, s.Balancer); err != nil {
+	if err := c.balancer.Configure(now, s.Balancer); err != nil {
 		return err
 	}
-	c.door = successor
-	c.arrivals = append(c.arrivals, waiting...)
+	c.admission = successor
+	c.arrived = append(c.arrived, waiting...)
 	c.classes = newClassTable(s.Balancer.Classes)
 	c.host, c.settings = s.Host, s
-	c.wakeAt = min(c.wakeAt, now) // what waits here is looked at in the next step
+	c.nextWake = min(c.nextWake, now) // what waits here is looked at in the next step
 	return nil
 }
 
-// nextDoor returns the door for other settings, and the requests that wait at the present one, the oldest first, if
+// nextAdmission returns the door for other settings, and the requests that wait at the present one, the oldest first, if
 // another takes its place.
-func (c *Core) nextDoor(now Time, s *Settings) (next *admission.Controller, waiting []int32, err error) {
+func (c *Core) nextAdmission(now Time, s *Settings) (next *admission.Controller, waiting []int32, err error) {
 	switch {
-	case s.Admission == nil && c.door == nil:
+	case s.Admission == nil && c.admission == nil:
 		return nil, nil, nil
 	case s.Admission == nil:
-		return nil, c.door.WaitingRequests(), nil
-	case c.door == nil:
-		next, err = admission.New(now, s.Balancer, *s.Admission, gate{c})
+		return nil, c.admission.WaitingRequests(), nil
+	case c.admission == nil:
+		next, err = admission.New(now, s.Balancer, *s.Admission, admissionHost{c})
 		return next, nil, err
 	case admission.SameSettings(&s.Balancer, &c.settings.Balancer) && *s.Admission == *c.settings.Admission:
-		return c.door, nil, nil
+		return c.admission, nil, nil
 	}
-	next, err = c.door.Successor(now, s.Balancer, *s.Admission)
-	return next, c.door.WaitingRequests(), err
+	next, err = c.admission.Successor(now, s.Balancer, *s.Admission)
+	return next, c.admission.WaitingRequests(), err
 }
 
-// renumber gives a request that the module has not been handed its class by the settings in force; false: they do not
+// updateClass gives a request that the module has not been handed its class by the settings in force; false: they do not
 // have it, or it needs other data than the request was taken for.
 //
 // Danger: what may run beside it on its connection was judged by what it needed when it came.
-func (c *Core) renumber(r *request) bool {
+func (c *Core) updateClass(r *request) bool {
 	if r.classes == c.classes {
 		return true
 	}
@@ -81,6 +81,6 @@
 	if !known || c.classes.settings[kind].Need != r.class().Need {
 		return false
 	}
-	r.classes, r.kind = c.classes, kind
+	r.classes, r.classIndex = c.classes, kind
 	return true
 }
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -10,15 +10,15 @@
 )
 
 // configure puts changed settings in force.
-func (s *stage) configure(change func(settings *Settings)) {
+func (s *harness) configure(change func(settings *Settings)) {
 	s.t.Helper()
-	if err := s.core.Configure(s.now, s.changed(change)); err != nil {
+	if err := s.core.Configure(s.now, s.settingsWith(change)); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// changed gives the settings in force with a change.
-func (s *stage) changed(change func(settings *Settings)) Settings {
+// settingsWith gives the settings in force with a change.
+func (s *harness) settingsWith(change func(settings *Settings)) Settings {
 	settings := s.core.settings
 	settings.Balancer.Classes = slices.Clone(settings.Balancer.Classes)
 	if settings.Admission != nil {
@@ -32,51 +32,51 @@
 // TestSettingsWhileAWriteIsOut: a class of writes may be repeated from now on, while one of it is out whose answer is lost.
 // Its client is told that it may have run, and it is not sent again. That of one that comes later is told to come again.
 func TestSettingsWhileAWriteIsOut(t *testing.T) {
-	s := newStage(t, 100)
-	before := s.client()
-	s.say(before, ask("once", 1001))
-	s.store()
+	s := newHarness(t, 100)
+	before := s.newClient()
+	s.send(before, ask("once", 1001))
+	s.welcomeNewest()
 	s.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
 	s.step(Event{s.dials[0], Closed})
-	s.pass(second / 10)
-	if got := code(t, before.take()); got != pgwire.OutcomeUnknown {
+	s.advance(second / 10)
+	if got := code(t, before.takeOutput()); got != pgwire.OutcomeUnknown {
 		t.Errorf("the write that was out: %s", got)
 	}
 	if n := s.queries(); n != 1 {
 		t.Errorf("%d queries for one attempt", n)
 	}
-	later := newStage(t, 100)
+	later := newHarness(t, 100)
 	later.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
-	cl := later.client()
-	later.say(cl, ask("once", 1002))
-	later.store()
+	cl := later.newClient()
+	later.send(cl, ask("once", 1002))
+	later.welcomeNewest()
 	later.step(Event{later.dials[0], Closed})
-	later.pass(2 * second) // its store says nothing more
-	if got := code(t, cl.take()); got != pgwire.TooManyConnections {
+	later.advance(2 * second) // its store says nothing more
+	if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections {
 		t.Errorf("a write that comes later: %s", got)
 	}
 }
 
 // TestSettingsWithoutAClass: a class is taken out while a request of it is out. That one is answered, and no other is taken.
 func TestSettingsWithoutAClass(t *testing.T) {
-	s := newStage(t, 100)
-	cl := s.client()
-	s.say(cl, ask("any", 1001))
-	store := s.store()
+	s := newHarness(t, 100)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1001))
+	store := s.welcomeNewest()
 	s.configure(func(settings *Settings) { settings.Balancer.Classes = settings.Balancer.Classes[1:] })
-	s.say(store, value, ready)
-	if got := code(t, cl.take()); got != "value" {
+	s.send(store, value, ready)
+	if got := code(t, cl.takeOutput()); got != "value" {
 		t.Errorf("the request that was out: %s", got)
 	}
-	s.say(cl, ask("any", 1002))
-	if got := code(t, cl.take()); got == "value" || got == "" {
+	s.send(cl, ask("any", 1002))
+	if got := code(t, cl.takeOutput()); got == "value" || got == "" {
 		t.Errorf("a request of a class that was taken out: %q", got)
 	}
 }
 
 // TestSettingsWhileRequestsWaitAtTheDoor: other tenants, other bounds, and no door at all come into force while requests wait.
 // Each has one answer in its time, and none is sent twice.
-func TestSettingsWhileRequestsWaitAtTheDoor(t *testing.T) {
+func TestSettingsChangeDuringAdmission(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings){
 		"tenants": func(settings *Settings) {
 			settings.Balancer.Tenants = []balance.Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 9}}
@@ -85,26 +85,26 @@
 		"times":        func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
 		"no door":      func(settings *Settings) { settings.Admission = nil },
 	} {
-		s := doorStage(t)
-		clients := crowd(s, 60, "any")
-		held := s.core.door.Waiting()
+		s := newAdmissionHarness(t)
+		clients := startClients(s, 60, "any")
+		held := s.core.admission.Waiting()
 		if held < 20 {
 			t.Fatalf("%s: %d wait at the door", name, held)
 		}
 		s.configure(change)
 		s.step()
-		if s.core.door != nil && s.core.door.Waiting() > held {
-			t.Errorf("%s: %d wait, %d before", name, s.core.door.Waiting(), held)
+		if s.core.admission != nil && s.core.admission.Waiting() > held {
+			t.Errorf("%s: %d wait, %d before", name, s.core.admission.Waiting(), held)
 		}
-		s.pass(2 * second)
+		s.advance(2 * second)
 		answered := 0
 		for _, cl := range clients {
-			if got := cl.take(); len(got) > 0 {
+			if got := cl.takeOutput(); len(got) > 0 {
 				code(t, got) // of one answer, or it fails
 				answered++
 			}
 		}
-		if answered != len(clients) || s.core.inHand != 0 {
+		if answered != len(clients) || s.core.pending != 0 {
 			t.Errorf("%s: %d of %d have an answer, %v", name, answered, len(clients), s.core)
 		}
 		for _, w := range s.dials {
@@ -115,17 +115,17 @@
 		for _, cl := range clients {
 			s.step(Event{cl, Closed})
 		}
-		s.pass(4 * second)
-		s.idle(0)
+		s.advance(4 * second)
+		s.checkReleased(0)
 	}
 }
 
 // TestClassOfOtherNeedAtTheDoor: a class of reads becomes one of writes while requests of it wait at the door. They were taken
 // as reads, beside others of their connections, so they are refused and never sent.
-func TestClassOfOtherNeedAtTheDoor(t *testing.T) {
-	s := doorStage(t)
-	clients := crowd(s, 60, "any")
-	held := s.core.door.Waiting()
+func TestClassNeedChangeDuringAdmission(t *testing.T) {
+	s := newAdmissionHarness(t)
+	clients := startClients(s, 60, "any")
+	held := s.core.admission.Waiting()
 	sent := s.queries()
 	s.configure(func(settings *Settings) {
 		settings.Balancer.Classes[0].Need, settings.Balancer.Classes[0].Repeat = balance.Write, balance.AtMostOnce
@@ -133,7 +133,7 @@
 	s.step()
 	refused := 0
 	for _, cl := range clients {
-		if got := cl.take(); len(got) > 0 && code(t, got) == pgwire.TooManyConnections {
+		if got := cl.takeOutput(); len(got) > 0 && code(t, got) == pgwire.TooManyConnections {
 			refused++
 		}
 	}
@@ -144,24 +144,24 @@
 
 // TestFaultySettings: what is out of range, in the module's part or in the door's, changes nothing.
 func TestFaultySettings(t *testing.T) {
-	s := doorStage(t)
-	clients := crowd(s, 60, "any")
-	held, classes, entrance := s.core.door.Waiting(), s.core.classes, s.core.door
+	s := newAdmissionHarness(t)
+	clients := startClients(s, 60, "any")
+	held, classes, entrance := s.core.admission.Waiting(), s.core.classes, s.core.admission
 	for name, change := range map[string]func(settings *Settings){
 		"door":    func(settings *Settings) { settings.Admission.MaxRequests = 0 },
 		"classes": func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
 		"module":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
 	} {
-		if err := s.core.Configure(s.now, s.changed(change)); err == nil {
+		if err := s.core.Configure(s.now, s.settingsWith(change)); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if s.core.classes != classes || s.core.door != entrance || s.core.door.Waiting() != held {
+	if s.core.classes != classes || s.core.admission != entrance || s.core.admission.Waiting() != held {
 		t.Error("a part of the faulty settings is in force")
 	}
-	s.pass(2 * second)
+	s.advance(2 * second)
 	for _, cl := range clients {
-		if len(cl.take()) == 0 {
+		if len(cl.takeOutput()) == 0 {
 			t.Error("a client has no answer")
 		}
 	}
--- a/internal/front/standing_test.go
+++ b/internal/front/standing_test.go
@@ -12,10 +12,10 @@
 	"micatrack/internal/pgwire"
 )
 
-// pieces sends text in pieces of that many bytes, a turn of the loop for each.
-func (s *stage) pieces(w *wire, text string, size int) {
+// sendInPieces sends text in pieces of that many bytes, a turn of the loop for each.
+func (s *harness) sendInPieces(w *fakeLink, text string, size int) {
 	for ; text != ""; text = text[min(size, len(text)):] {
-		s.say(w, text[:min(size, len(text))])
+		s.send(w, text[:min(size, len(text))])
 	}
 }
 
@@ -47,11 +47,11 @@
 			strings.Repeat("9f", 64<<10) + "') RETURNING payload", 480},
 }
 
-// TestEveryFormInPieces forces each form of request that the protocol page allows to come in pieces, down to
+// TestRequestFormsInPieces forces each form of request that the protocol page allows to come in pieces, down to
 // a byte at a time and from the startup message on, and its answer too, among all that a store may say beside
 // it. The store is sent the statement unchanged but for the time that is left, the client the value; both
 // connections serve on.
-func TestEveryFormInPieces(t *testing.T) {
+func TestRequestFormsInPieces(t *testing.T) {
 	const welcome = "R\x00\x00\x00\x08\x00\x00\x00\x00"
 	notes := status("role", "primary") + status("applied_ms", "1767225600100") + status("load",
 		"inflight=7,util=0.61")
@@ -60,58 +60,58 @@
 	empty := string(pgwire.AppendSimpleQuery(nil, ""))
 	for _, form := range forms {
 		for _, size := range []int{1, 2, 7, 1 << 20} {
-			s := newStage(t, 20, true)
-			s.with(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
+			s := newHarness(t, 20, true)
+			s.restartWith(balance.Class{Name: "keyed", Need: balance.Write, Repeat: balance.Keyed, Window: 2 * second,
 				ExpectedTime: 6000,
 				Deadline:     12000, Credit: 1}, StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3,
 				Condition: balance.Ready,
 				Primary:   true, Size: 1}})
-			cl := &wire{}
+			cl := &fakeLink{}
 			s.step(Event{cl, Accepted})
-			s.pieces(cl, hello+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
-			if got := cl.take(); !strings.HasPrefix(got, "NR") || !strings.HasSuffix(got, ready) || len(s.dials) != 1 {
+			s.sendInPieces(cl, hello+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
+			if got := cl.takeOutput(); !strings.HasPrefix(got, "NR") || !strings.HasSuffix(got, ready) || len(s.dials) != 1 {
 				t.Fatalf("%s in pieces of %d: %q and %d dials", form.name, size, got, len(s.dials))
 			}
 			st := s.dials[0]
 			for n := range 2 { // the same connections serve another one
 				if n == 0 {
-					st.take()
-					s.pieces(st, welcome+status("server_version", "15.0")+ready, size)
+					st.takeOutput()
+					s.sendInPieces(st, welcome+status("server_version", "15.0")+ready, size)
 				} else {
-					s.pieces(cl, empty+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
+					s.sendInPieces(cl, empty+string(pgwire.AppendSimpleQuery(nil, form.text)), size)
 				}
-				sent, left := untold(t, st.take())
-				if want, _ := untold(t, string(pgwire.AppendSimpleQuery(nil, form.text))); sent != want {
+				sent, left := withoutTimeout(t, st.takeOutput())
+				if want, _ := withoutTimeout(t, string(pgwire.AppendSimpleQuery(nil, form.text))); sent != want {
 					t.Fatalf("%s in pieces of %d: the store is sent %.200q, want %.200q", form.name, size, sent, want)
 				}
 				if left > form.left || left < form.left-10 {
 					t.Errorf("%s in pieces of %d: the store is told %d ms, the client waits %d", form.name, size, left,
 						form.left)
 				}
-				s.pieces(st, notice+value+notes+notice+ready, size)
+				s.sendInPieces(st, notice+value+notes+notice+ready, size)
 				want := value + ready
 				if n > 0 {
 					want = "I\x00\x00\x00\x04" + ready + want
 				}
-				if got := cl.take(); got != want {
+				if got := cl.takeOutput(); got != want {
 					t.Fatalf("%s in pieces of %d: answered %q", form.name, size, got)
 				}
 			}
-			s.pieces(cl, "X\x00\x00\x00\x04", size)
+			s.sendInPieces(cl, "X\x00\x00\x00\x04", size)
 			if !cl.finished || len(s.dials) != 1 || st.closed {
 				t.Errorf("%s in pieces of %d: finished %v, %d dials, store's closed %v", form.name, size, cl.finished,
 					len(s.dials), st.closed)
 			}
 			s.step(Event{cl, Closed})
-			s.idle(0)
+			s.checkReleased(0)
 		}
 	}
 }
 
 var told = regexp.MustCompile(`([ ,*])d=(\d+)`)
 
-// untold gives the statement of one query message without the time that it tells, and that time.
-func untold(t *testing.T, message string) (text string, left int) {
+// withoutTimeout gives the statement of one query message without the time that it tells, and that time.
+func withoutTimeout(t *testing.T, message string) (text string, left int) {
 	t.Helper()
 	kind, body, n, err := pgwire.ParseMessage([]byte(message), pgwire.MaxQuerySize)
 	if kind != 'Q' || n != len(message) || err != nil || body[len(body)-1] != 0 {
@@ -128,65 +128,65 @@
 	return string(told.ReplaceAll(body[:len(body)-1], []byte("${1}d=?"))), left
 }
 
-// TestTimeToldOnFurtherAttempts forces a request to be sent on up to four times, each attempt ended in
+// TestTimeoutSentOnRetries forces a request to be sent on up to four times, each attempt ended in
 // another way and after another span, some behind a connection that is late, with the door and without. No
 // attempt tells its store more than what is left to the client then.
-func TestTimeToldOnFurtherAttempts(t *testing.T) {
+func TestTimeoutSentOnRetries(t *testing.T) {
 	const patience = 1000 // ms
-	ways := map[string]func(s *stage, st *wire){
-		"broken":     func(s *stage, st *wire) { s.step(Event{st, Closed}) },
-		"turned":     func(s *stage, st *wire) { s.say(st, failed("53300"), ready) },
-		"behind":     func(s *stage, st *wire) { s.say(st, failed("72000"), ready) },
-		"failed":     func(s *stage, st *wire) { s.say(st, failed("XX000"), ready) },
-		"no sense":   func(s *stage, st *wire) { s.say(st, "?\x00\x00\x00\x04") },
-		"half value": func(s *stage, st *wire) { s.say(st, value[:20]); s.step(Event{st, Closed}) },
+	ways := map[string]func(s *harness, st *fakeLink){
+		"broken":     func(s *harness, st *fakeLink) { s.step(Event{st, Closed}) },
+		"turned":     func(s *harness, st *fakeLink) { s.send(st, failed("53300"), ready) },
+		"behind":     func(s *harness, st *fakeLink) { s.send(st, failed("72000"), ready) },
+		"failed":     func(s *harness, st *fakeLink) { s.send(st, failed("XX000"), ready) },
+		"no sense":   func(s *harness, st *fakeLink) { s.send(st, "?\x00\x00\x00\x04") },
+		"half value": func(s *harness, st *fakeLink) { s.send(st, value[:20]); s.step(Event{st, Closed}) },
 	}
 	for name, end := range ways {
 		for _, with := range []bool{false, true} {
-			for _, span := range []Time{1, 150 * perMilli, 400 * perMilli} {
-				s := newStage(t, 20, true)
+			for _, span := range []Time{1, 150 * millisecond, 400 * millisecond} {
+				s := newHarness(t, 20, true)
 				if with {
 					s.core.limits.Admission = &admission.Bounds{MaxRequests: 100, MaxBytes: 1 << 20, DedicatedTenants: 10, SharedQueues: 10, SharedWeight: 10,
 						RetriesPerRequest: 10}
 				}
-				s.with(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1, LateCredit: 0.5},
+				s.restartWith(balance.Class{Name: "x", ExpectedTime: 3000, Deadline: 12000, Credit: 1, LateCredit: 0.5},
 					StoreEntry{ID: "s", Addr: "127.0.0.1:1", Member: balance.Member{Group: 3, Condition: balance.Ready,
 						Primary: true, Size: 1}},
 					StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
-				cl := s.client()
-				s.say(cl, string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=1,c=x,d=%d,cluster=3 */ SELECT 'k'",
+				cl := s.newClient()
+				s.send(cl, string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=1,c=x,d=%d,cluster=3 */ SELECT 'k'",
 					patience))))
-				until, attempts, looked := s.now+patience*perMilli, 0, 0
+				until, attempts, looked := s.now+patience*millisecond, 0, 0
 				for s.now < until+second && len(cl.out) == 0 {
 					for ; looked < len(s.dials); looked++ { // a new connection is late
 						w := s.dials[looked]
-						w.take()
-						s.pass(span / 2)
+						w.takeOutput()
+						s.advance(span / 2)
 						if w.closed {
 							continue
 						}
-						s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+						s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 					}
 					for _, w := range s.dials {
 						if w.closed || len(w.out) == 0 {
 							continue
 						}
-						_, left := untold(t, w.take())
-						written := s.now - perMilli // at the earliest: it is looked for that often
-						if attempts++; Time(left)*perMilli > until-written {
-							t.Errorf("%s, door %v, %d ms each: attempt %d tells %d ms, %d are left", name, with, span/perMilli,
+						_, left := withoutTimeout(t, w.takeOutput())
+						written := s.now - millisecond // at the earliest: it is looked for that often
+						if attempts++; Time(left)*millisecond > until-written {
+							t.Errorf("%s, door %v, %d ms each: attempt %d tells %d ms, %d are left", name, with, span/millisecond,
 								attempts, left,
-								(until-written)/perMilli)
+								(until-written)/millisecond)
 						}
-						s.pass(span)
+						s.advance(span)
 						if !w.closed {
 							end(s, w)
 						}
 					}
-					s.pass(perMilli)
+					s.advance(millisecond)
 				}
-				if least := map[bool]int{false: 2, true: 1}[span > 200*perMilli]; attempts < least {
-					t.Errorf("%s, door %v, %d ms each: %d attempts", name, with, span/perMilli, attempts)
+				if least := map[bool]int{false: 2, true: 1}[span > 200*millisecond]; attempts < least {
+					t.Errorf("%s, door %v, %d ms each: %d attempts", name, with, span/millisecond, attempts)
 				}
 			}
 		}
@@ -206,25 +206,25 @@
 func TestAllConnectionsUsedUp(t *testing.T) {
 	const links, clients, hangs = 12, 8, 10 * second
 	for _, welcomes := range []bool{true, false} {
-		s := newStage(t, links)
+		s := newHarness(t, links)
 		s.core.limits.MaxClients = clients
-		var open []*wire
+		var open []*fakeLink
 		for range clients {
-			open = append(open, s.client())
+			open = append(open, s.newClient())
 		}
 		answered, looked, asked, sent := 0, 0, 0, Time(0)
 		turn := func(back bool) { // every client that waits for nothing asks, and the stores do what they do now
 			for _, cl := range open {
-				if got := cl.take(); got != "" || asked < clients {
+				if got := cl.takeOutput(); got != "" || asked < clients {
 					answered++
 					asked++
-					s.say(cl, ask("any", 1000+asked))
+					s.send(cl, ask("any", 1000+asked))
 				}
 			}
 			for ; looked < len(s.dials); looked++ {
 				if w := s.dials[looked]; !w.closed && (welcomes || back) {
-					w.take()
-					s.say(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
+					w.takeOutput()
+					s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 				}
 			}
 			for _, w := range s.dials {
@@ -235,14 +235,14 @@
 				if strings.Contains(out, "/* id=") {
 					sent = s.now
 				}
-				if w.take(); back && strings.Contains(out, "SHOW load") {
+				if w.takeOutput(); back && strings.Contains(out, "SHOW load") {
 					report := fmt.Sprintf("x0=%d.0000,x1=1", s.now/second)
-					s.say(w, row(report), ready)
+					s.send(w, row(report), ready)
 				} else if back {
-					s.say(w, value, ready)
+					s.send(w, value, ready)
 				}
 			}
-			s.pass(10 * perMilli)
+			s.advance(10 * millisecond)
 		}
 		for end := s.now + hangs; s.now < end; {
 			turn(false)
@@ -259,27 +259,27 @@
 		}
 		if sent < returned || sent > returned+4*second {
 			t.Errorf("welcomes %v: the next attempt %d ms after the stores' return", welcomes,
-				(sent-returned)/perMilli)
+				(sent-returned)/millisecond)
 		}
 		for _, cl := range open {
 			s.step(Event{cl, Closed})
 		}
-		s.pass(2 * second)
-		s.idle(0)
+		s.advance(2 * second)
+		s.checkReleased(0)
 	}
 }
 
 // TestRefusedOnceWithoutProbes forces one refused connection where settings allow no probes, and has the store take
 // connections again: it is used again within 4 s.
 func TestRefusedOnceWithoutProbes(t *testing.T) {
-	s := newStage(t, 20, true)
-	cl := s.client()
-	s.say(cl, ask("once", 1))
+	s := newHarness(t, 20, true)
+	cl := s.newClient()
+	s.send(cl, ask("once", 1))
 	s.step(Event{s.dials[0], Closed}) // refused
 	before := len(s.dials)
 	for n := 2; n < 42 && len(s.dials) == before; n++ { // ten requests a second for 4 s
-		s.say(cl, ask("any", n))
-		s.pass(100 * perMilli)
+		s.send(cl, ask("any", n))
+		s.advance(100 * millisecond)
 	}
 	if len(s.dials) == before {
 		t.Error("no attempt within 4 s")
--- a/internal/front/timeouts.go
+++ b/internal/front/timeouts.go
@@ -3,13 +3,13 @@
 const (
 	// stallLimit ends a connection whose client has stopped inside a message, or before it was greeted. Clients are owed an
 	// error or a close within 3 s.
-	stallLimit = 2500 * perMilli
+	stallLimit = 2500 * millisecond
 	// messageLimit ends one whose client goes on, but takes longer than this over one message.
-	messageLimit = 30 * 1000 * perMilli
+	messageLimit = 30 * 1000 * millisecond
 	// unreadPatience is for how long a client may take nothing of what it is sent before that is logged,
-	unreadPatience = 1000 * perMilli
+	unreadLogAfter = 1000 * millisecond
 	// unreadLimit before it is hung up on.
-	unreadLimit = 30 * 1000 * perMilli
+	unreadLimit = 30 * 1000 * millisecond
 )
 
 // sweepClients ends the connections of clients whose time is over.
@@ -22,7 +22,7 @@
 		} else if cl.request < 0 {
 			c.sweepWaiting(cl)
 		}
-		if cl.at >= 0 {
+		if cl.index >= 0 {
 			c.sweepUnread(cl)
 		}
 	}
@@ -39,12 +39,12 @@
 		return
 	}
 	unread := c.now - cl.unreadSince
-	if unread >= unreadPatience && !cl.unreadNoted {
+	if unread >= unreadLogAfter && !cl.unreadNoted {
 		cl.unreadNoted = true
-		c.note("answer not taken", "client", cl.serial, "sent", cl.unreadSent)
+		c.logLimited("answer not taken", "client", cl.serial, "sent", cl.unreadSent)
 	}
 	if unread >= unreadLimit {
-		cl.hangUp(c, closedUnread)
+		cl.closeNow(c, closedUnread)
 	}
 }
 
@@ -67,8 +67,8 @@
 	if cl.link.Flushed() {
 		patience = c.limits.ClientIdle
 	}
-	if c.now >= cl.since+patience || c.Stopping() && c.now >= c.endAt {
-		cl.hangUp(c, closedStayed)
+	if c.now >= cl.activeAt+patience || c.Stopping() && c.now >= c.shutdownDeadline {
+		cl.closeNow(c, closedStayed)
 	}
 }
 
@@ -83,13 +83,13 @@
 	}
 	// At the end a message that has come in part is waited for: its client sends the rest without knowing.
 	switch {
-	case c.Stopping() && c.now >= c.endAt:
+	case c.Stopping() && c.now >= c.shutdownDeadline:
 		cl.finish(c, closedAtShutdown)
 	case c.Stopping() && !inMessage:
-		cl.finishAtRest(c, closedAtShutdown)
-	case inMessage && (c.now-cl.heard >= stallLimit || c.now-cl.messageSince >= messageLimit):
-		cl.speech.stalled(cl, c)
-	case !cl.greeted && (c.now-cl.heard >= stallLimit || c.now-cl.since >= messageLimit):
+		cl.finishIfIdle(c, closedAtShutdown)
+	case inMessage && (c.now-cl.lastInput >= stallLimit || c.now-cl.messageSince >= messageLimit):
+		cl.protocol.messageStalled(cl, c)
+	case !cl.greeted && (c.now-cl.lastInput >= stallLimit || c.now-cl.activeAt >= messageLimit):
 		cl.finish(c, closedUngreeted)
 	}
 }
--- a/internal/front/timeouts_test.go
+++ b/internal/front/timeouts_test.go
@@ -17,40 +17,40 @@
 		"other":      startup + "P\x00\x00\x00\x09ab",
 		"after some": startup + string(pgwire.AppendSimpleQuery(nil, "")) + request[:9],
 	} {
-		s := newStage(t, 40, true)
-		cl := &wire{in: []byte(text)}
+		s := newHarness(t, 40, true)
+		cl := &fakeLink{in: []byte(text)}
 		s.step(Event{cl, Accepted | Readable})
-		cl.take()
-		s.pass(stallLimit - 10*perMilli)
+		cl.takeOutput()
+		s.advance(stallLimit - 10*millisecond)
 		if cl.finished || cl.closed {
 			t.Errorf("%s: given up too early", name)
 		}
-		s.pass(20 * perMilli)
-		if !cl.finished || code(t, cl.take()) != pgwire.ProtocolViolation {
+		s.advance(20 * millisecond)
+		if !cl.finished || code(t, cl.takeOutput()) != pgwire.ProtocolViolation {
 			t.Errorf("%s: it is not told", name)
 		}
 	}
 	for _, silent := range []bool{true, false} { // one that says nothing at all, and one that sends a byte a second
-		s := newStage(t, 40, true)
-		cl := &wire{}
+		s := newHarness(t, 40, true)
+		cl := &fakeLink{}
 		s.step(Event{cl, Accepted})
 		if !silent {
-			s.say(cl, startup)
+			s.send(cl, startup)
 		}
 		rest, took := ask("once", 2), Time(0)
 		for ; !cl.finished && took < 2*messageLimit; took += second {
 			if !silent {
-				s.say(cl, rest[:1])
+				s.send(cl, rest[:1])
 				rest = rest[1:]
 			}
-			s.pass(second)
+			s.advance(second)
 		}
 		limit := messageLimit
 		if silent {
 			limit = stallLimit
 		}
 		if took < Time(limit) || took > Time(limit)+2*second {
-			t.Errorf("silent %v: ended after %d ms", silent, took/perMilli)
+			t.Errorf("silent %v: ended after %d ms", silent, took/millisecond)
 		}
 	}
 }
@@ -58,23 +58,23 @@
 // TestClientThatReadsNothing: its connection is given back after unreadLimit, not before, and one that takes a little now and
 // then is waited for.
 func TestClientThatReadsNothing(t *testing.T) {
-	s := newStage(t, 40, true)
-	dead, slow := s.client(), s.client()
-	for _, w := range []*wire{dead, slow} {
-		s.say(w, string(pgwire.AppendSimpleQuery(nil, "")))
-		w.stuck = 6
+	s := newHarness(t, 40, true)
+	dead, slow := s.newClient(), s.newClient()
+	for _, w := range []*fakeLink{dead, slow} {
+		s.send(w, string(pgwire.AppendSimpleQuery(nil, "")))
+		w.unsentBytes = 6
 	}
 	for range 3 {
-		s.pass(unreadLimit / 4)
-		slow.stuck--
+		s.advance(unreadLimit / 4)
+		slow.unsentBytes--
 	}
 	if dead.closed || slow.closed {
 		t.Fatal("one that reads nothing is hung up on too early")
 	}
-	s.pass(unreadLimit/4 + second)
+	s.advance(unreadLimit/4 + second)
 	if !dead.closed || slow.closed {
 		t.Errorf("closed: the one that reads nothing %v, the slow one %v", dead.closed, slow.closed)
 	}
-	slow.stuck = 0
-	s.idle(1)
+	slow.unsentBytes = 0
+	s.checkReleased(1)
 }
--- a/internal/outcome/course.go
+++ b/internal/outcome/outcome.go
@@ -34,16 +34,16 @@
 	Transaction bool
 	ReadOnly    bool // the client said that it writes nothing, and the store holds it to that
 
-	written    int  // messages written whole
-	begun      bool // the first of them that makes it work
-	committed  bool // COMMIT was written whole
-	over       bool // its last answer has come
-	failed     bool // it failed in the store
-	undone     bool // and that proves that it had no effect
-	turnedAway bool // the store did not take it up at all: another one may
-	invites    bool // the store's word for it would have the client try again
-	shown      bool // the client was passed a part of an answer
-	open       int  // messages written and not answered
+	messagesWritten int  // messages written whole
+	workStarted     bool // the first of them that makes it work
+	commitWritten   bool // COMMIT was written whole
+	finished        bool // its last answer has come
+	failed          bool // it failed in the store
+	provenNoEffect  bool // and that proves that it had no effect
+	refused         bool // the store did not take it up at all: another one may
+	retryable       bool // the store's word for it would have the client try again
+	forwarded       bool // the client was passed a part of an answer
+	unanswered      int  // messages written and not answered
 }
 
 // MessageWritten takes in that a message was written to the store. Whole is false for one of which a part may be missing;
@@ -52,59 +52,59 @@
 	if !whole {
 		return
 	}
-	c.written++
-	c.open++
+	c.messagesWritten++
+	c.unanswered++
 	switch w {
 	case bolt.Run, bolt.BeginTx:
-		c.begun = true
+		c.workStarted = true
 	case bolt.Commit:
-		c.committed = true
+		c.commitWritten = true
 	}
 }
 
 // MessageAnswered takes in the store's answer to the oldest message without one: to which message, how it ended, and for a
 // result whether there is more of it.
 func (c *Tracker) MessageAnswered(w bolt.What, ok, more bool, code []byte) {
-	c.open--
+	c.unanswered--
 	switch {
 	case !ok:
 		if !c.failed { // what stands behind a failure is ignored, which is no answer to it
 			// Danger: a failure proves something only by what it names, or by where it came: before COMMIT was
 			// answered it undoes a transaction, for the store ignores all that was pipelined behind it.
 			// And a refusal after a part of an answer is none.
-			c.turnedAway = bolt.Refused(code) != bolt.MayHaveRun && (c.Transaction || w == bolt.Run)
-			c.undone = c.turnedAway || c.Transaction && w != bolt.Commit
-			c.invites = bolt.Invites(code)
+			c.refused = bolt.Refused(code) != bolt.MayHaveRun && (c.Transaction || w == bolt.Run)
+			c.provenNoEffect = c.refused || c.Transaction && w != bolt.Commit
+			c.retryable = bolt.Invites(code)
 		}
 		c.failed = true
 	case c.failed: // what was pipelined behind a failure is ignored
 	case w == bolt.Commit || w == bolt.Rollback:
-		c.over = true
+		c.finished = true
 	case !c.Transaction && (w == bolt.Pull || w == bolt.Discard) && !more:
-		c.over = true
+		c.finished = true
 	}
 }
 
 // ResultForwarded takes in that the client was passed a part of an answer. From now on no other store's answer may follow it.
-func (c *Tracker) ResultForwarded() { c.shown = true }
+func (c *Tracker) ResultForwarded() { c.forwarded = true }
 
 // Complete tells that the store's last answer has come, and was good.
-func (c *Tracker) Complete() bool { return c.over && !c.failed }
+func (c *Tracker) Complete() bool { return c.finished && !c.failed }
 
 // AnyWritten tells that the store was asked for something whole.
-func (c *Tracker) AnyWritten() bool { return c.written > 0 }
+func (c *Tracker) AnyWritten() bool { return c.messagesWritten > 0 }
 
 // Idle tells that the store owes no answer: the next message is the client's.
-func (c *Tracker) Idle() bool { return c.open == 0 }
+func (c *Tracker) Idle() bool { return c.unanswered == 0 }
 
 // Proof tells what is known now, should the connection end here.
 func (c *Tracker) Proof() Proof {
 	switch {
 	case c.Complete():
 		return Done
-	case !c.begun || c.undone:
+	case !c.workStarted || c.provenNoEffect:
 		return NeverRan
-	case c.Transaction && !c.committed:
+	case c.Transaction && !c.commitWritten:
 		return NeverRan
 	}
 	return MayHaveRun
@@ -115,10 +115,10 @@
 func (c *Tracker) Verdict(reissuable bool) Verdict {
 	proof := c.Proof()
 	switch {
-	case c.failed && !c.turnedAway && (proof == NeverRan || reissuable || !c.invites):
+	case c.failed && !c.refused && (proof == NeverRan || reissuable || !c.retryable):
 		return Failed // the store's own word, which has nobody try again what may have run
 	case proof == NeverRan || reissuable:
-		if c.shown {
+		if c.forwarded {
 			return Refused
 		}
 		return Retry
@@ -141,7 +141,7 @@
 // written (its COMMIT, or the statement whose result is being pulled), else it ends here and now.
 func (c *Tracker) StaysDuringDrain() (stays bool) {
 	if c.Transaction {
-		return c.committed
+		return c.commitWritten
 	}
-	return c.begun
+	return c.workStarted
 }
--- a/internal/outcome/course_test.go
+++ b/internal/outcome/outcome_test.go
@@ -91,7 +91,7 @@
 			t.Fatalf("verdict %d of what had its effect: %+v", v, c)
 		case v == Failed && s.effect && bolt.Invites([]byte(s.word)):
 			t.Fatalf("the client is told to try again what had its effect: %+v", c)
-		case v == Retry && c.shown:
+		case v == Retry && c.forwarded:
 			t.Fatalf("goes again after the client saw a part: %+v", c)
 		case v == Retry:
 			again++
@@ -100,7 +100,7 @@
 		case v == Unknown:
 			off++
 		}
-		if c.StaysDuringDrain() && c.Transaction && !c.committed {
+		if c.StaysDuringDrain() && c.Transaction && !c.commitWritten {
 			t.Fatal("a transaction without COMMIT stays past the grace")
 		}
 	})
