--- a/internal/front/admission_test.go
+++ b/internal/front/admission_test.go
@@ -9,7 +9,8 @@
 	"micatrack/internal/pgwire"
 )
 
-// startClients brings clients that each ask once; the last of them wait at the door, for the store's answers do not come.
+// startClients starts n clients that each send one request. The last of them wait for admission, since the store's
+// answers do not arrive.
 func startClients(s *harness, n int, class string) []*fakeLink {
 	var clients []*fakeLink
 	for i := range n {
@@ -43,8 +44,8 @@
 	return n
 }
 
-// TestAdmissionQueueAtShutdownDrainAndLoss (hard case 6): while requests wait at the door the front is told to stop, or its store
-// drains, or is lost. Each request has its one answer in its time, and nothing is sent for it after that.
+// TestAdmissionQueueAtShutdownDrainAndLoss stops the front, drains its store or loses the store while requests wait for
+// admission. Each request must get exactly one answer in its time, and nothing may be sent for it afterwards.
 func TestAdmissionQueueAtShutdownDrainAndLoss(t *testing.T) {
 	for name, happens := range map[string]func(s *harness){
 		"SIGTERM": func(s *harness) { s.core.Stop(s.now) },
@@ -65,7 +66,7 @@
 			clients := startClients(s, 60, class)
 			held := s.core.admission.Waiting()
 			if held < 20 {
-				t.Fatalf("%s, %s: %d wait at the door", name, class, held)
+				t.Fatalf("%s, %s: %d wait for admission", name, class, held)
 			}
 			sent := s.queries()
 			happens(s)
@@ -78,7 +79,7 @@
 				t.Errorf("%s, %s: %d waited, answers %v, %v, %d still wait", name, class, held, answers, s.core, s.core.admission.Waiting())
 			}
 			if name == "drain" && s.queries() > sent {
-				t.Errorf("%s: %d queries after the drain was told", class, s.queries()-sent)
+				t.Errorf("%s: %d queries after the drain was announced", class, s.queries()-sent)
 			}
 			sent = s.queries()
 			for _, cl := range clients {
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestClientsLeaveAdmissionQueue (hard case 7): clients that hang up while their requests wait at the door; an id that waits and is asked
-// again; a request whose time ends there.
+// TestClientsLeaveAdmissionQueue covers clients that disconnect while their requests wait for admission, a second
+// request with the id of a waiting one, and a request whose time runs out while it waits.
 func TestClientsLeaveAdmissionQueue(t *testing.T) {
 	s := newAdmissionHarness(t)
 	clients := startClients(s, 60, "any")
@@ -102,14 +103,14 @@
 	again := s.newClient()
 	s.send(again, ask("any", 1059))
 	if got := code(t, again.takeOutput()); got != pgwire.DuplicateObject {
-		t.Errorf("an id that waits at the door, asked again: %s", got)
+		t.Errorf("a second request with the id of a waiting one: %s", got)
 	}
 	sent := s.queries()
 	for _, cl := range clients[30:] {
 		s.step(Event{cl, Closed})
 	}
 	if got := s.core.admission.Waiting(); got > max(held-30, 0) {
-		t.Errorf("%d wait after 30 of those have left, %d before", got, held)
+		t.Errorf("%d wait after 30 of those clients have disconnected, %d before", got, held)
 	}
 	s.send(again, ask("any", 1059)) // the id is free again
 	if len(again.out) > 0 {
@@ -120,7 +121,7 @@
 		s.advance(5 * millisecond)
 	}
 	if got, waited := code(t, again.takeOutput()), s.now-came; got != pgwire.TooManyConnections || waited > second/2 {
-		t.Errorf("a job whose time ends at the door: %s after %d", got, waited)
+		t.Errorf("a request whose time runs out while it waits: %s after %d", got, waited)
 	}
 	s.advance(2 * second)
 	for _, cl := range append(clients[:30], again) {
@@ -128,7 +129,7 @@
 	}
 	s.advance(second)
 	if s.queries() > sent {
-		t.Errorf("%d queries for those that had left", s.queries()-sent)
+		t.Errorf("%d queries for clients that had disconnected", s.queries()-sent)
 	}
 	if s.core.admission.Waiting() != 0 {
 		t.Error("some still wait")
--- a/internal/front/bolt.go
+++ b/internal/front/bolt.go
@@ -13,17 +13,18 @@
 
 const (
 	maxBoltMessage = pgwire.MaxQuerySize // bytes of a client's message with its headers
-	maxTermBytes   = 256                 // bytes of each of a request's terms
+	maxTermBytes   = 256                 // bytes of each metadata field of a request
 )
 
-// boltClient is one client that speaks Bolt.
+// boltClient is the state of one client connection that speaks Bolt.
 type boltClient struct {
-	version        bolt.Version
-	dialogue       *bolt.Dialogue
-	reader         bolt.Reader
-	requestBytes   int    // bytes of the ring that belong to the request in hand
-	pendingFailure []byte // a final answer that the client had asked nothing for yet: the next message's
-	termBytes      []byte // what the request's terms point into
+	version      bolt.Version
+	dialogue     *bolt.Dialogue
+	reader       bolt.Reader
+	requestBytes int // bytes of the read buffer that belong to the pending request
+	// a final answer given while the client awaited none; it answers the client's next message
+	pendingFailure []byte
+	termBytes      []byte // the bytes that the request's metadata fields point into
 }
 
 func newBoltClient() *boltClient { return &boltClient{reader: bolt.Reader{Most: maxBoltMessage}} }
@@ -31,7 +32,7 @@
 func (b *boltClient) startConnection(cl *client, c *Core, in []byte) int {
 	v, n, err := bolt.Handshake(in)
 	switch {
-	case err != nil: // nothing can be said to what does not speak Bolt
+	case err != nil: // a peer that doesn't speak Bolt cannot be sent an error
 		cl.finish(c, closedByViolation)
 		return len(in)
 	case n == 0:
@@ -48,6 +49,7 @@
 	return n
 }
 
+// readChosenVersion reads the version that the client has chosen from the manifest.
 func (b *boltClient) readChosenVersion(cl *client, c *Core, in []byte) int {
 	v, n, err := bolt.Chosen(in)
 	if err != nil {
@@ -60,6 +62,7 @@
 	return n
 }
 
+// startDialogue begins to process messages of the negotiated version.
 func (b *boltClient) startDialogue(cl *client, c *Core, v bolt.Version) {
 	b.version, b.dialogue = v, bolt.NewDialogue(v)
 	cl.readNext = func(cl *client, c *Core, _ []byte) int { b.inputAvailable(cl, c); return 0 }
@@ -83,14 +86,15 @@
 	cl.finish(c, closedStalled)
 }
 
-// violate ends a connection whose client does not keep to the protocol. A request in hand is left.
+// violate ends the connection of a client that violates the protocol. A pending request is abandoned.
 func (b *boltClient) violate(cl *client, c *Core, code, text string) {
 	cl.write(c, bolt.AppendFailure(c.scratch[:0], b.version, code, text))
 	cl.abandonAll(c)
 	cl.finish(c, closedByViolation)
 }
 
-// inputAvailable takes one message after the other. Those of a request in hand stay in the ring until they are answered.
+// inputAvailable processes the messages that have arrived. Those of a pending request stay in the read buffer until
+// they are answered.
 func (b *boltClient) inputAvailable(cl *client, c *Core) {
 	for !cl.ending && cl.index >= 0 {
 		body, n, err := b.reader.Next(cl.link.Peek()[b.requestBytes:])
@@ -101,11 +105,11 @@
 		case n == 0:
 			b.forwardRequest(cl, c)
 			return
-		case len(body) == 0 && !b.dialogue.Busy(): // a chunk that means nothing
+		case len(body) == 0 && !b.dialogue.Busy(): // an empty chunk, which is a no-op
 			cl.link.Discard(n)
 			continue
 		case len(body) == 0:
-			b.requestBytes += n // it stays in front of the next message; stores pass over it as well
+			b.requestBytes += n // it stays in front of the next message; stores skip it as well
 			b.dialogue.Pad(n)
 			continue
 		}
@@ -141,17 +145,17 @@
 		case bolt.Keep:
 			b.requestBytes += n
 		case bolt.Wait:
-			b.reader = bolt.Reader{Most: maxBoltMessage} // it is read anew when there is room
+			b.reader = bolt.Reader{Most: maxBoltMessage} // the message is parsed again when there is room
 			b.forwardRequest(cl, c)
 			return
 		}
 	}
 }
 
-// replyLocally answers a message that no store is needed for.
+// replyLocally answers a message that needs no store.
 func (b *boltClient) replyLocally(cl *client, c *Core, r bolt.Request) {
 	n, pairs := 0, func(dst []byte) []byte { return dst }
-	b.pendingFailure = nil // RESET makes up for it
+	b.pendingFailure = nil // RESET clears the failure
 	switch r.What {
 	case bolt.Hello:
 		cl.greeted = true
@@ -168,8 +172,8 @@
 	cl.write(c, c.scratch)
 }
 
-// appendRoutingTable is the routing table: the front itself in all roles. Danger: a client that knew the stores would pass the rules
-// by.
+// appendRoutingTable appends the routing table, which names this front in all roles. A client that knew the stores'
+// addresses would bypass the router's rules.
 func (c *Core) appendRoutingTable(dst []byte, r bolt.Request) []byte {
 	address := c.limits.BoltAddress
 	if a := r.Address(); len(a) > 0 {
@@ -187,7 +191,7 @@
 	return dst
 }
 
-// openRequest makes a request of RUN or BEGIN.
+// openRequest starts a request from RUN or BEGIN.
 func (b *boltClient) openRequest(cl *client, c *Core, r bolt.Request) {
 	t, err := r.Extra.Terms()
 	code, why := bolt.Invalid, ""
@@ -196,7 +200,7 @@
 		code, why = bolt.BadBookmark, err.Error()
 	case err != nil:
 		why = err.Error()
-	case t.ReadAfter > c.now+c.classes.longest: // Danger: nothing would ever have come so far
+	case t.ReadAfter > c.now+c.classes.longest: // no store would ever have reached that position
 		code, why = bolt.BadBookmark, "a bookmark is from the future"
 	}
 	b.termBytes = b.termBytes[:0]
@@ -209,7 +213,7 @@
 		*v = b.termBytes[len(b.termBytes)-len(*v) : len(b.termBytes) : len(b.termBytes)]
 	}
 	if t.HasReadAfter {
-		t.Session = nil // what the bookmark says goes before what this front remembers
+		t.Session = nil // the bookmark takes precedence over the position that this front remembers for the session
 	}
 	if kind, ok := c.classes.byName[string(t.Class)]; ok && r.Extra.Reads && c.classes.settings[kind].Need == balance.Write {
 		why = "a job that writes came in access mode r"
@@ -230,7 +234,8 @@
 	}
 }
 
-// resetRequest is RESET while a request is in hand: it is given up, and what was asked of it has no answer any more.
+// resetRequest handles RESET while a request is pending: the request is abandoned, and its messages are answered with
+// IGNORED.
 func (b *boltClient) resetRequest(cl *client, c *Core, n int) {
 	c.scratch = c.scratch[:0]
 	for range b.dialogue.Aborted() {
@@ -244,7 +249,7 @@
 	cl.activeAt = c.now
 }
 
-// requestDone gives back what the request had of the ring. What came behind it is read anew.
+// requestDone releases the read buffer space of the request. What arrived behind it is parsed again.
 func (b *boltClient) requestDone(cl *client, _ *Core, failed bool) {
 	if failed {
 		b.dialogue.Refuse()
@@ -269,8 +274,8 @@
 	return b.ownAnswer(dst, bolt.Invalid, why)
 }
 
-// ownAnswer is a final answer of the core's own. Danger: a client that waits for no answer would take it for the next one's;
-// it is kept for that.
+// ownAnswer returns a final answer that the front itself gives. A client that awaits no answer would take it for the
+// answer to its next message; so it is kept until that message arrives.
 func (b *boltClient) ownAnswer(dst []byte, code, text string) []byte {
 	if b.dialogue.Waits() {
 		return bolt.AppendFailure(dst, b.version, code, text)
@@ -279,7 +284,7 @@
 	return dst
 }
 
-// resumeStalled goes on with a result that the client had no room for.
+// resumeStalled continues to forward a result for which the client had no room.
 func (k *conn) resumeStalled(c *Core) {
 	if k.index >= 0 && k.bolt.stalled {
 		k.bolt.stalled = false
@@ -287,7 +292,7 @@
 	}
 }
 
-// forwardRequest passes on what may be passed on.
+// forwardRequest writes to the store those messages of the pending request that may be written now.
 func (b *boltClient) forwardRequest(cl *client, c *Core) {
 	if cl.request < 0 {
 		return
@@ -301,29 +306,31 @@
 	}
 }
 
-// boltConn is what a connection to a store that speaks Bolt has of its own.
+// boltConn is the part of a store connection's state that is specific to Bolt.
 type boltConn struct {
 	version         bolt.Version
 	reader          bolt.Reader
-	unanswered      []unansweredMessage // answers that the store owes, the oldest first
+	unanswered      []unansweredMessage // messages that the store has yet to answer, the oldest first
 	outcome         outcome.Tracker
-	forwarded       bool // the client has seen something of the request from here
-	recordsBuffered bool // records are among what is kept back, so all of it may be shown
-	stalled         bool // the client has no room for what has come
+	forwarded       bool // the client has seen part of the request's answer from this connection
+	recordsBuffered bool // records are among the buffered answers, so all of them may be forwarded
+	stalled         bool // the client has no room for what has arrived
 }
 
+// unansweredMessage is a message written to a store that has yet to be answered.
 type unansweredMessage struct {
 	kind bolt.What
-	end  int64 // of the message, among the bytes written
+	end  int64 // offset of the message's end in the bytes written
 }
 
-// boltStore speaks Bolt to stores.
+// boltStore implements storeProtocol for stores that speak Bolt.
 type boltStore struct{}
 
 func (boltStore) appendStartup(dst []byte) []byte { return bolt.AppendHandshake(dst) }
 func (boltStore) prepareNew(k *conn)              { k.bolt = &boltConn{} }
 func (boltStore) prepareIdle(*conn)               {}
 
+// writeMessage writes one message and records that the store owes its answer.
 func (k *conn) writeMessage(c *Core, w bolt.What, p []byte) {
 	k.bolt.unanswered = append(k.bolt.unanswered, unansweredMessage{w, k.writtenBytes + int64(len(p))})
 	k.write(c, p)
@@ -342,12 +349,13 @@
 		return
 	}
 	cl := c.requests[e.request].client
-	b := cl.protocol.(*boltClient) // depart sends no other's
+	b := cl.protocol.(*boltClient) // startAttempt sends only requests of Bolt clients here
 	b.dialogue.Again()
 	k.bolt.outcome.Transaction = b.dialogue.Transaction()
 	k.forwardRequest(c, cl, b)
 }
 
+// pullAll is a PULL message for all records of a result.
 var pullAll = func() []byte {
 	dst, at := bolt.Begin(nil)
 	dst = bolt.AppendMap(bolt.AppendStruct(dst, byte(bolt.Pull), 1), 1)
@@ -359,20 +367,21 @@
 	s := &c.stores[k.store]
 	for i, w, ok := b.dialogue.Next(); ok && k.index >= 0; i, w, ok = b.dialogue.Next() {
 		if s.drainUntil > 0 && c.now >= s.drainUntil && !outcome.AllowedAfterDrain(w) {
-			return // the next beat ends it
+			return // the next sweep ends the request
 		}
 		from, to := b.dialogue.Span(i)
 		raw := cl.link.Peek()[from:to]
-		if w == bolt.BeginTx || w == bolt.Run && !b.dialogue.Transaction() { // with the time that is left now
+		// rewrite the timeout to the time that is left now
+		if w == bolt.BeginTx || w == bolt.Run && !b.dialogue.Transaction() {
 			in := bolt.Reader{Most: maxBoltMessage}
 			body, n, _ := in.Next(raw)
-			for len(body) == 0 && n > 0 { // what meant nothing stands before it
+			for len(body) == 0 && n > 0 { // skip empty chunks in front of the message
 				raw = raw[n:]
 				body, n, _ = in.Next(raw)
 			}
 			r, err := bolt.ReadRequest(body)
 			if err != nil {
-				return // it was read before
+				return // cannot happen: the message was parsed before
 			}
 			c.scratch = r.AppendTimed(c.scratch[:0], max((k.current.until-c.now)/millisecond, 1))
 			raw = c.scratch
@@ -385,7 +394,8 @@
 	}
 }
 
-// readAnswers looks at the messages that have come in whole. What is kept back from the client stays in the ring.
+// readAnswers processes the complete messages that have arrived. Those that are not yet forwarded to the client stay in
+// the read buffer.
 func (d boltStore) readAnswers(k *conn, c *Core) {
 	b := k.bolt
 	if b.version == 0 && !d.readVersion(k, c) {
@@ -424,7 +434,7 @@
 			if !d.forwardBuffered(k, c) {
 				return
 			}
-			continue // it is looked at again, where it stands now
+			continue // look at the message again at its new offset
 		}
 		if !d.handleAnswer(k, c, a, in[k.parsedBytes:k.parsedBytes+n], n) {
 			return
@@ -432,7 +442,7 @@
 	}
 }
 
-// readVersion takes the version that the store has chosen, and logs on.
+// readVersion reads the version that the store has chosen, and logs on.
 func (boltStore) readVersion(k *conn, c *Core) bool {
 	in := k.link.Peek()
 	if len(in) < 4 {
@@ -460,7 +470,8 @@
 	return true
 }
 
-// handleAnswer takes one message of the store, raw, of n bytes; false: nothing more is to be taken now.
+// handleAnswer processes one message of the store, whose n bytes are raw. It returns false if no further message may be
+// processed now.
 func (d boltStore) handleAnswer(k *conn, c *Core, a bolt.Answer, raw []byte, n int) bool {
 	b := k.bolt
 	w := b.unanswered[0].kind
@@ -486,8 +497,8 @@
 			k.connectionLost(c)
 			return false
 		}
-		return true // settled once nothing more is owed
-	case k.answerDone: // of a request that is over
+		return true // the connection is reused once no more answers are outstanding
+	case k.answerDone: // an answer to a request that has ended
 		drop()
 		return true
 	case k.current.request < 0:
@@ -495,7 +506,7 @@
 	}
 	req := &c.requests[k.current.request]
 	cl := req.client
-	if cl == nil { // it has left, and the module calls the attempt back
+	if cl == nil { // the client has disconnected, and the balancer will cancel the attempt
 		drop()
 		return false
 	}
@@ -531,9 +542,9 @@
 	} else {
 		var mark []byte
 		if over && w != bolt.Rollback && req.class().Need == balance.Write && k.report.Position > 0 {
-			mark = bolt.AppendBookmark(nil, req.terms.Group, k.report.Position)
+			mark = bolt.AppendBookmark(nil, req.metadata.Group, k.report.Position)
 		}
-		c.scratch, _ = bolt.AppendSummary(c.scratch, a.Fields, mark) // it could be read before
+		c.scratch, _ = bolt.AppendSummary(c.scratch, a.Fields, mark) // cannot fail: the fields were parsed before
 	}
 	drop()
 	if over {
@@ -544,7 +555,7 @@
 		return true
 	}
 	cl.write(c, c.scratch)
-	if cl.index < 0 { // it does not read what it is sent
+	if cl.index < 0 { // the connection was closed because the client does not read
 		return false
 	}
 	k.noteForwarded(c, req)
@@ -554,16 +565,17 @@
 	return k.index >= 0
 }
 
-const flushFraction = 8 // into which as much of a result as a ring holds is cut to be passed on
+const flushFraction = 8 // a buffered result is forwarded once it takes 1/flushFraction of MaxStoreMessage
 
-// forwardBuffered passes on what was kept back; false: the client has no room for it. Danger: record by record each would move all
-// that the ring holds, and cost the system a call.
+// forwardBuffered forwards the buffered answers to the client. It returns false if the client has no room for them.
+// Forwarding each record by itself would move the whole rest of the read buffer and cost a system call per record.
 func (boltStore) forwardBuffered(k *conn, c *Core) bool {
 	req := &c.requests[k.current.request]
 	if req.client == nil {
 		return false
 	}
-	if !req.client.link.Write(k.link.Peek()[:k.parsedBytes]) { // it reads too slowly: what comes waits with the system
+	// the client reads too slowly: further input stays in the system's buffers
+	if !req.client.link.Write(k.link.Peek()[:k.parsedBytes]) {
 		k.bolt.stalled = true
 		c.stalledConns = append(c.stalledConns, k)
 		return false
@@ -575,15 +587,16 @@
 	return true
 }
 
-// noteForwarded notes that the client has seen a part of an answer. A result that is being read is bounded by how long nothing
-// of it moves, a transaction by its client's time as before.
+// noteForwarded records that the client has seen part of an answer. A result that is being read is limited by the time
+// in which no part of it is forwarded; a transaction is limited by its client's deadline as before.
 func (k *conn) noteForwarded(c *Core, req *request) {
 	k.bolt.outcome.ResultForwarded()
 	b := req.client.protocol.(*boltClient)
 	n := b.dialogue.Shown()
 	b.requestBytes -= n
 	req.client.link.Discard(n)
-	if !k.bolt.forwarded { // Danger: the module would call it back when it is out for long, and send it elsewhere
+	// otherwise the balancer would cancel an attempt that takes long, and send the request to another store
+	if !k.bolt.forwarded {
 		c.balancer.ResponseStarted(c.now, req.id)
 	}
 	if k.bolt.forwarded = true; !k.bolt.outcome.Transaction {
@@ -591,7 +604,7 @@
 	}
 }
 
-// handleProbeAnswer takes the answer to a probe.
+// handleProbeAnswer processes one message of the answer to a probe.
 func (boltStore) handleProbeAnswer(k *conn, c *Core, a bolt.Answer, drop func()) bool {
 	r := balance.Result{Ending: balance.Served, Since: k.connectedAt}
 	switch {
@@ -602,7 +615,7 @@
 		}
 		drop()
 		return true
-	case a.What == bolt.Success && len(k.bolt.unanswered) > 0: // of RUN
+	case a.What == bolt.Success && len(k.bolt.unanswered) > 0: // the answer to RUN
 		drop()
 		return true
 	case a.What == bolt.Success:
@@ -619,6 +632,7 @@
 	return k.index >= 0
 }
 
+// failureEnding returns the ending that a store's error code means.
 func failureEnding(code []byte) balance.Ending {
 	switch bolt.Refused(code) {
 	case bolt.WasBehind:
@@ -629,7 +643,8 @@
 	return balance.Failed
 }
 
-// handleFailure takes a store's failure: the client is told it, or the module hears that another store may have the request.
+// handleFailure processes a store's failure: either the client is sent it, or the balancer is told that another store
+// may be given the request.
 func (boltStore) handleFailure(k *conn, c *Core, t *boltClient, a bolt.Answer, raw []byte) {
 	e, req := k.current, &c.requests[k.current.request]
 	r := balance.Result{Ending: failureEnding(a.Code), Note: k.report, Load: k.loadReport, Since: k.connectedAt}
@@ -638,7 +653,7 @@
 	switch k.bolt.outcome.Verdict(req.class().Repeat == balance.Idempotent) {
 	case outcome.Failed:
 		if r.Ending = balance.Failed; bolt.Clients(a.Code) {
-			r.Ending = balance.Served // the store is well; the statement is not
+			r.Ending = balance.Served // the store is healthy; the statement is at fault
 		}
 		answer, end = append(append(answer, k.link.Peek()[:k.parsedBytes]...), raw...), endServed
 		t.dialogue.Answered(false, false)
@@ -656,22 +671,24 @@
 	if answer != nil {
 		c.answer(e.request, answer, end)
 	}
-	if k.index >= 0 { // what is pipelined behind it the store ignores, up to here
+	if k.index >= 0 { // the store ignores what is pipelined behind the failure up to this RESET
 		k.writeMessage(c, bolt.Reset, bolt.AppendBare(c.scratch[:0], bolt.Reset))
 	}
 }
 
-// broken: the connection is closed now, so what was written whole is known.
+// lossEnding records which messages were written completely, which is final now that the connection is closed, and
+// returns what that proves.
 func (boltStore) lossEnding(k *conn, c *Core) balance.Ending {
 	b := k.bolt
-	none := !b.outcome.AnyWritten()
+	nothingAnswered := !b.outcome.AnyWritten()
 	for _, o := range b.unanswered {
 		if o.end <= k.link.SentBytes() {
 			b.outcome.MessageWritten(o.kind, true)
 		}
 	}
 	if k.current.request >= 0 && b.forwarded {
-		// Danger: another store's answer behind this one's beginning would be taken for one.
+		// Another store's answer must not follow the beginning of this one: the client would take both for a single
+		// answer.
 		if req := &c.requests[k.current.request]; req.client != nil {
 			s := req.client.protocol
 			if b.outcome.Verdict(req.class().Repeat == balance.Idempotent) == outcome.Refused {
@@ -682,7 +699,7 @@
 		}
 	}
 	switch {
-	case none && !b.outcome.AnyWritten():
+	case nothingAnswered && !b.outcome.AnyWritten():
 		return balance.ConnectFailed
 	case b.outcome.Proof() == outcome.NeverRan:
 		return balance.Aborted
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -14,17 +14,24 @@
 	"micatrack/internal/pgwire"
 )
 
-// clientProtocol is how one protocol puts to its clients what the core has to say.
+// clientProtocol is one wire protocol towards clients. Its methods read a connection's input and encode the core's
+// answers.
 type clientProtocol interface {
-	startConnection(cl *client, c *Core, in []byte) (used int)   // the first step of a connection
-	declineConnection(cl *client, c *Core, in []byte) (used int) // the same where there is no room for it
-	noRoomMessage(dst []byte) []byte                             // that there is no room, to one that has not been greeted
-	messageTooLarge(cl *client, c *Core)                         // ends a connection whose message has no room
-	messageStalled(cl *client, c *Core)                          // ends a connection whose client has stopped inside a message
-	inputAvailable(cl *client, c *Core)                          // something came, or there is room again, while a request is in hand
-	requestDone(cl *client, c *Core, failed bool)                // the request has its final answer; failed: one of the core's own
-	refusalReply(dst []byte, pause Time) []byte                  // the final answers, whole
+	startConnection(cl *client, c *Core, in []byte) (used int) // reads the first message of a connection
+	// reads the first message of a connection for which there is no room
+	declineConnection(cl *client, c *Core, in []byte) (used int)
+	// appends the error that tells a client without a handshake that there is no room
+	noRoomMessage(dst []byte) []byte
+	messageTooLarge(cl *client, c *Core) // ends a connection whose message exceeds the buffer space
+	messageStalled(cl *client, c *Core)  // ends a connection whose client stopped within a message
+	inputAvailable(cl *client, c *Core)  // called when input arrived or there is room again while a request is pending
+	// called with a request's final answer; failed is true if the answer is an error by the core itself
+	requestDone(cl *client, c *Core, failed bool)
+	// appends the complete final answer that tells the client to try again, after pause if that is not 0
+	refusalReply(dst []byte, pause Time) []byte
+	// appends the complete final answer that tells that the request may have run
 	failureReply(dst []byte, why string) []byte
+	// appends the complete final answer to an invalid request
 	faultReply(dst []byte, f fault, why string) []byte
 }
 
@@ -32,59 +39,61 @@
 type fault uint8
 
 const (
-	noFault fault = iota
-	unparsable
-	unknownClass
-	unknownGroup
-	duplicateID // its id is another request's
+	noFault      fault = iota
+	unparsable         // it cannot be parsed
+	unknownClass       // its class is not in the settings
+	unknownGroup       // its group is not listed, or speaks the other protocol
+	duplicateID        // another pending request has the same id
 )
 
-// request is one request in hand. Its query stays in its client's ring until it is answered.
+// request is one pending request. Its query stays in its client's read buffer until it is answered.
 type request struct {
-	id          string // its place in the slab, as the module knows it
+	id          string // decimal index in Core.requests, by which the balancer knows it
 	client      *client
-	terms       metadata.Request
-	cut         pgwire.TimeoutSpan
-	bolt        bool        // it came in Bolt
-	offset      int         // of its command in its client's ring
-	classes     *classTable // under which it came
-	classIndex  int         // its class there
-	timeLeft    Time        // as its client said, less what has passed since
-	arrivedAt   Time        // when its last byte had come
-	attempts    int         // attempts
-	attemptConn *conn       // the one that is out on a connection
-	awaitsConn  bool        // the one that is out waits for a connection
-	store       uint32
-	minPosition Time // position that the answer to the attempt that is out has to show; 0: none
-	unreported  int  // results that the module has yet to hear of
+	metadata    metadata.Request   // its metadata
+	cut         pgwire.TimeoutSpan // where its timeout stands in the query
+	bolt        bool               // it was received over Bolt
+	offset      int                // offset of its command in the client's read buffer
+	classes     *classTable        // the classes in force when it arrived
+	classIndex  int                // index of its class in classes
+	timeLeft    Time               // time left as given by the client on arrival
+	arrivedAt   Time               // when its last byte arrived
+	attempts    int                // number of attempts started
+	attemptConn *conn              // connection that carries the current attempt
+	awaitsConn  bool               // the current attempt waits for a connection
+	store       uint32             // number of the store of the last attempt
+	// position that the answer to the current attempt has to show; 0: none
+	minPosition Time
+	unreported  int  // attempt results that the balancer has not been told yet
 	concluded   bool // it has had its final answer, or needs none
-	inUse       bool // the place is taken
+	inUse       bool // the entry in Core.requests is taken
 }
 
-// client is one connection of a client.
+// client is one client connection.
 type client struct {
 	link         Link
-	index        int // in Core.clients
-	serial       uint64
+	index        int    // index in Core.clients; -1: released
+	serial       uint64 // unique among all clients of this front
 	protocol     clientProtocol
-	readNext     func(cl *client, c *Core, in []byte) (used int)
-	activeAt     Time  // when it came, or last completed a message or was answered
-	lastInput    Time  // when it came, or last sent anything
-	request      int32 // in hand, or -1
-	requestBytes int   // bytes of its query
-	pipeline     pipeline
-	skipToSync   bool // until the next Sync
-	ending       bool
-	greeted      bool
-
-	messageSince Time // since when part of a message has been here, as of the last sweep; 0: it has not
-	unreadSince  Time // since when it has taken nothing of what it is sent, as of the last sweep; 0: it has all
-	unreadSent   int64
-	unreadNoted  bool // that is logged
+	readNext     func(cl *client, c *Core, in []byte) (used int) // processes the next input; 0: it is incomplete
+	activeAt     Time                                            // when it connected, last completed a message or was last answered
+	lastInput    Time                                            // when it connected or last sent anything
+	request      int32                                           // index of the pending request, or -1
+	requestBytes int                                             // bytes of the pending request's query
+	pipeline     pipeline                                        // requests behind the pending one
+	skipToSync   bool                                            // messages are skipped until the next Sync
+	ending       bool                                            // the front has ended the connection
+	greeted      bool                                            // the startup is complete
+
+	messageSince Time  // when the last sweeps first saw part of a message in the read buffer; 0: there is none
+	unreadSince  Time  // when the last sweeps first saw that it takes none of its output; 0: all output is taken
+	unreadSent   int64 // bytes that the system had accepted then
+	unreadNoted  bool  // the lack of progress has been logged
 }
 
-func (c *Core) accept(l Link, what EventFlags, s clientProtocol) {
-	if len(c.clients) >= c.limits.MaxConnections { // those that are being declined fill all that there is
+// accept adds a client connection. Where there is no room for it, it will be declined.
+func (c *Core) accept(l Link, flags EventFlags, s clientProtocol) {
+	if len(c.clients) >= c.limits.MaxConnections { // connections that are being declined take all the room that there is
 		c.counts.closed[closedOverLimit]++
 		c.logLimited("client connection closed", "cause", closedOverLimit.String(), "clients", len(c.clients))
 		l.Close()
@@ -98,23 +107,24 @@
 	if len(c.clients) > c.limits.MaxClients && !c.evict(0) || len(c.clients)+len(c.conns) > c.limits.MaxConnections && !c.closeOldestIdle() {
 		cl.readNext = cl.protocol.declineConnection
 	}
-	cl.handleEvent(c, what)
+	cl.handleEvent(c, flags)
 }
 
-// newcomerTime is what a client has for its first bytes before it may be hung up on to make room for others.
+// newClientGrace is the time that a client has for its first bytes before it may be closed to make room for others.
 const newClientGrace = 500 * millisecond
 
-// evict hangs up on a client to make room: one that has had all and only has to close its side, else one that has not said
-// anything for longer than newcomerTime, else the one that has asked nothing for longest. False: none may be hung up on.
-// Danger: clients that ask once and keep their connections for good would shut all others out.
-func (c *Core) evict(rest Time) bool {
-	rest = max(rest, closeNoticeDelay)
-	for cl := c.longestIdle(rest); cl != nil; cl = c.longestIdle(rest) {
+// evict closes a client connection to make room. It takes first a client that has received everything and only has to
+// close its side, then one that has not completed its startup and is older than newClientGrace, then the one that has
+// been idle longest. It returns false if none may be closed. Without eviction, clients that send one request and keep
+// their connections open would lock out all others.
+func (c *Core) evict(minIdle Time) bool {
+	minIdle = max(minIdle, closeNoticeDelay)
+	for cl := c.longestIdle(minIdle); cl != nil; cl = c.longestIdle(minIdle) {
 		switch {
 		case cl.ending:
 			cl.closeNow(c, closedStayed)
 			return true
-		case !cl.link.CloseIfIdle(cl.evictionMessage(c)): // it has just sent something, or gone
+		case !cl.link.CloseIfIdle(cl.evictionMessage(c)): // it has just sent something, or disconnected
 			cl.activeAt, cl.lastInput = c.now, c.now
 		case cl.greeted:
 			cl.release(c, closedAtRest)
@@ -127,7 +137,8 @@
 	return false
 }
 
-// evictionMessage is what a client is told that is hung up on to make room. One that rests between requests is told nothing.
+// evictionMessage returns what a client is sent that is closed to make room. A client that is idle between requests is
+// sent nothing.
 func (cl *client) evictionMessage(c *Core) []byte {
 	if cl.greeted {
 		return nil
@@ -135,14 +146,14 @@
 	return cl.protocol.noRoomMessage(c.scratch[:0])
 }
 
-// longestIdle gives the client that is the first to be hung up on; nil: all have asked within rest.
-func (c *Core) longestIdle(rest Time) (first *client) {
-	longest, fresh := rest, true
+// longestIdle returns the client that is to be closed first, or nil if all have been active within rest.
+func (c *Core) longestIdle(minIdle Time) (first *client) {
+	longest, fresh := minIdle, true
 	for _, cl := range c.clients {
 		idle := c.now - cl.activeAt
 		switch {
 		case cl.ending:
-			if cl.link.Flushed() && idle >= rest {
+			if cl.link.Flushed() && idle >= minIdle {
 				return cl
 			}
 		case !cl.idle():
@@ -157,25 +168,26 @@
 	return first
 }
 
-// idle: nothing of a command has come, and the last answer is out.
+// idle reports whether no part of a command has arrived and the last answer has been sent.
 func (cl *client) idle() bool {
 	return cl.request < 0 && !cl.ending && len(cl.link.Peek()) == 0 && cl.link.Flushed()
 }
 
-func (cl *client) handleEvent(c *Core, what EventFlags) {
+// handleEvent handles an event of the client's link.
+func (cl *client) handleEvent(c *Core, flags EventFlags) {
 	if cl.request >= 0 && !cl.ending {
 		cl.protocol.inputAvailable(cl, c)
 	}
-	if what&Readable != 0 {
+	if flags&Readable != 0 {
 		cl.lastInput = c.now
 	}
-	if what&Readable != 0 && !cl.ending {
-		if _, speaks := cl.protocol.(postgres); speaks && cl.greeted {
+	if flags&Readable != 0 && !cl.ending {
+		if _, isPostgres := cl.protocol.(postgres); isPostgres && cl.greeted {
 			cl.pipeline.arrivals.scan(cl.link.Peek(), c.now)
 		}
 		cl.read(c)
 	}
-	if what&Closed != 0 {
+	if flags&Closed != 0 {
 		cl.release(c, closedByPeer)
 	}
 }
@@ -186,7 +198,8 @@
 	cl.release(c, cause)
 }
 
-// read takes one command after the other. While a request is in hand, what may not run beside it waits in the ring.
+// read processes one command after another. While a request is pending, a command that may not run concurrently with it
+// waits in the read buffer.
 func (cl *client) read(c *Core) {
 	for !cl.ending {
 		if cl.request >= 0 {
@@ -197,7 +210,8 @@
 		}
 		n := cl.readNext(cl, c, cl.link.Peek())
 		if n == 0 {
-			if cl.link.ReadBufferFull() && !cl.ending && cl.request < 0 { // a long message, and all rings together may not grow any more
+			// the message is long, and the total size of all read buffers may not grow
+			if cl.link.ReadBufferFull() && !cl.ending && cl.request < 0 {
 				cl.protocol.messageTooLarge(cl, c)
 			}
 			return
@@ -212,12 +226,12 @@
 	}
 }
 
-// release is the one place where a client's connection is given back.
+// release is the only place where a client connection is released.
 func (cl *client) release(c *Core, cause closeCause) {
 	if cl.index < 0 {
 		return
 	}
-	if !cl.ending || cause == closedStayed { // else it was counted when it was told that it was over
+	if !cl.ending || cause == closedStayed { // otherwise it was counted when the client was told that the connection ends
 		c.countClose(cl, cause)
 	}
 	last := c.clients[len(c.clients)-1]
@@ -228,7 +242,7 @@
 	cl.abandonAll(c)
 }
 
-// abandonAll gives up all that a client has in hand, if there is anything: it has gone, or ends the connection.
+// abandonAll abandons all pending requests of a client that has disconnected or ends the connection.
 func (cl *client) abandonAll(c *Core) {
 	cl.abandonPipeline(c)
 	if cl.request >= 0 {
@@ -237,15 +251,16 @@
 	}
 }
 
-// abandon is the one place where a request ends without an answer to its client.
+// abandon is the only place where a request ends without the regular answer to its client.
 func (c *Core) abandon(index int32, end requestEnd) {
-	request := &c.requests[index]
+	req := &c.requests[index]
 	c.countRequest(index, end)
-	request.client, request.concluded = nil, true
+	req.client, req.concluded = nil, true
 	c.abandoned = append(c.abandoned, index)
 }
 
-// cancelled: a client has asked, by the key that another connection of its was told, that the request in hand there be given up.
+// handleCancel handles a cancel request: a client asks, with the key that was sent on another of its connections, that
+// the request pending there be cancelled.
 func (c *Core) handleCancel(key []byte) {
 	for _, cl := range c.clients {
 		if !cl.greeted || len(key) != 8 || binary.BigEndian.Uint32(key) != uint32(cl.serial&math.MaxInt32) {
@@ -260,7 +275,8 @@
 	}
 }
 
-// cancelKey is what a client is told to cancel by: its number, and what others cannot guess.
+// cancelKey returns the key that a client needs to cancel a request: the connection's serial number, followed by a part
+// that other clients cannot guess.
 func (c *Core) cancelKey(cl *client) []byte {
 	key := binary.BigEndian.AppendUint32(nil, uint32(cl.serial&math.MaxInt32))
 	h := hmac.New(sha256.New, c.limits.CancelSecret)
@@ -268,17 +284,19 @@
 	return h.Sum(key)[:8]
 }
 
+// write queues output to the client. A client without room for it is closed.
 func (cl *client) write(c *Core, p []byte) {
 	if cl.index < 0 {
 		return
 	}
-	if !cl.link.Write(p) { // it does not read what it is sent
+	if !cl.link.Write(p) { // the client does not read its output
 		cl.closeNow(c, closedUnread)
 		return
 	}
 	c.unflushed = append(c.unflushed, cl.link)
 }
 
+// finish ends a connection after the queued output.
 func (cl *client) finish(c *Core, cause closeCause) {
 	if cl.index >= 0 && !cl.ending {
 		c.countClose(cl, cause)
@@ -287,8 +305,8 @@
 	}
 }
 
-// finishIfIdle is finish for a client that rests. Danger: what was read and is not answered is lost, so one that has sent
-// something by that moment, or has not had all of its answer, is looked at again at the next beat.
+// finishIfIdle is finish for an idle client. Input that was received and is not answered would be lost; so a client
+// that has sent something by that moment, or has not received its whole answer, is examined again at the next sweep.
 func (cl *client) finishIfIdle(c *Core, cause closeCause) {
 	if cl.index >= 0 && !cl.ending && cl.link.CloseWriteIfIdle() {
 		c.countClose(cl, cause)
@@ -296,8 +314,9 @@
 	}
 }
 
-// clientConnected tells whether the client whose request an attempt is for is there, as the system knows this moment.
-// Danger: the front may have been held up since it last looked, and no attempt may begin over 0.1 s after its client went.
+// clientConnected reports whether the client of an attempt's request is still connected, as the system knows at this
+// moment. The front may have been delayed since it last looked, and no attempt may start more than 0.1 s after its
+// client has disconnected.
 func (c *Core) clientConnected(e pendingAttempt) bool {
 	if e.request < 0 || c.requests[e.request].client == nil {
 		return true
@@ -310,21 +329,22 @@
 	return true
 }
 
-// startRequest takes a request in hand, or tells what is wrong with it.
+// startRequest adds a pending request and returns its index, or returns what is wrong with the request.
 func (cl *client) startRequest(c *Core, t metadata.Request, cut pgwire.TimeoutSpan) (index int32, f fault, why string) {
 	kind, ok := c.classes.byName[string(t.Class)]
 	if !ok {
 		return -1, unknownClass, "unknown class"
 	}
-	_, speaks := cl.protocol.(*boltClient)
-	if bolt, ok := c.groups[t.Group]; !ok && len(c.groups) > 0 {
+	_, isBolt := cl.protocol.(*boltClient)
+	if groupIsBolt, ok := c.groups[t.Group]; !ok && len(c.groups) > 0 {
 		return -1, unknownGroup, "unknown cluster"
-	} else if ok && bolt != speaks {
+	} else if ok && groupIsBolt != isBolt {
 		return -1, unknownGroup, "the cluster speaks another protocol"
 	}
 	for k := range c.requests {
-		if req := &c.requests[k]; req.inUse && !req.concluded && len(t.ID) > 0 && bytes.Equal(req.terms.ID, t.ID) {
-			// Danger: a store would turn one of the two away or break off, and count as crowded or broken for it.
+		if req := &c.requests[k]; req.inUse && !req.concluded && len(t.ID) > 0 && bytes.Equal(req.metadata.ID, t.ID) {
+			// A store would refuse one of the two or close the connection, and would be counted as overloaded or broken
+			// for it.
 			return -1, duplicateID, "a request with this id is in hand"
 		}
 	}
@@ -337,68 +357,72 @@
 	c.freeRequests = c.freeRequests[:len(c.freeRequests)-1]
 	c.pending++
 	req := &c.requests[i]
-	*req = request{id: req.id, client: cl, terms: t, cut: cut, classes: c.classes, classIndex: kind, bolt: speaks, arrivedAt: c.now, timeLeft: t.TimeLeft, inUse: true}
+	*req = request{id: req.id, client: cl, metadata: t, cut: cut, classes: c.classes, classIndex: kind, bolt: isBolt, arrivedAt: c.now, timeLeft: t.TimeLeft, inUse: true}
 	c.arrived = append(c.arrived, i)
 	return i, noFault, ""
 }
 
-// handleArrival hands a new request to the door, or to the module where there is none.
+// handleArrival passes a new request to admission control, or to the balancer where there is none.
 func (c *Core) handleArrival(i int32) {
 	req := &c.requests[i]
 	switch {
-	case !req.inUse || req.concluded: // its client left at once
-	case !c.updateClass(req): // it was never sent, so trying again is harmless
+	case !req.inUse || req.concluded: // its client disconnected at once
+	case !c.updateClass(req): // it was never sent, so trying again is safe
 		c.answer(i, req.client.protocol.refusalReply(c.scratch[:0], 0), endRefused)
 	case c.admission == nil:
 		c.submit(i)
 	default:
-		mark := req.terms.Key
-		if len(mark) == 0 {
-			mark = req.terms.Session
+		retryKey := req.metadata.Key
+		if len(retryKey) == 0 {
+			retryKey = req.metadata.Session
 		}
-		c.admission.Arrive(c.now, admission.Arrival{Request: i, Class: req.classIndex, Tenant: req.terms.Tenant, Client: req.client.serial,
-			RetryKey: mark, Group: req.terms.Group, TimeLeft: req.timeLeft - (c.now - req.arrivedAt), MarkedRetry: req.terms.Retry, Bytes: len(req.client.link.Peek())})
+		c.admission.Arrive(c.now, admission.Arrival{Request: i, Class: req.classIndex, Tenant: req.metadata.Tenant, Client: req.client.serial,
+			RetryKey: retryKey, Group: req.metadata.Group, TimeLeft: req.timeLeft - (c.now - req.arrivedAt), MarkedRetry: req.metadata.Retry, Bytes: len(req.client.link.Peek())})
 	}
 }
 
-// submit hands a request to the module.
+// submit passes a request to the balancer.
 func (c *Core) submit(i int32) {
 	req := &c.requests[i]
-	s := &req.terms
+	meta := &req.metadata
 	waited := c.now - req.arrivedAt
-	in := balance.Request{ID: req.id, Class: string(s.Class), Tenant: string(s.Tenant), Group: s.Group,
-		Left: req.timeLeft - waited, Waited: waited, Repeated: s.Retry, WriteAge: -1}
+	in := balance.Request{ID: req.id, Class: string(meta.Class), Tenant: string(meta.Tenant), Group: meta.Group,
+		Left: req.timeLeft - waited, Waited: waited, Repeated: meta.Retry, WriteAge: -1}
 	if need := req.class().Need; need == balance.Write || need == balance.Session {
-		in.Session = string(s.Session)
+		in.Session = string(meta.Session)
 	}
-	if s.HasReadAfter {
-		// Positions are whole milliseconds and rounded up for commits, so one may lie ahead by less than that.
-		in.WriteAge = max(c.now-s.ReadAfter, 0)
+	if meta.HasReadAfter {
+		// Positions are whole milliseconds and rounded up for commits, so one may be ahead of now by less than a
+		// millisecond.
+		in.WriteAge = max(c.now-meta.ReadAfter, 0)
 	}
 	if err := c.balancer.Submit(c.now, in); err != nil {
 		c.answer(i, req.client.protocol.faultReply(c.scratch[:0], unknownClass, err.Error()), endFaulty)
 	}
 }
 
+// refuseRequest answers a request with a refusal.
 func (c *Core) refuseRequest(t task) {
 	if cl := c.requests[t.request].client; cl != nil {
 		c.answer(t.request, cl.protocol.refusalReply(c.scratch[:0], t.at), endRefused)
 	}
 }
 
+// failRequest answers a request that may have run with an error, or with a refusal if it is proven to have had no effect.
 func (c *Core) failRequest(t task) {
 	req := &c.requests[t.request]
 	switch cl := req.client; {
 	case cl == nil:
-	case req.attemptConn != nil && req.attemptConn.protocol.provenNoEffect(req.attemptConn): // the module knows of an attempt; that it had no effect is known here
+	// the balancer only knows that there is an attempt; that it had no effect is known here
+	case req.attemptConn != nil && req.attemptConn.protocol.provenNoEffect(req.attemptConn):
 		c.answer(t.request, cl.protocol.refusalReply(c.scratch[:0], 0), endRefused)
 	default:
 		c.answer(t.request, cl.protocol.failureReply(c.scratch[:0], "not known to have run"), endFailed)
 	}
 }
 
-// answer gives the request's final answer, text, which is the core's own where it was not served, and lets its client's next
-// command follow.
+// answer sends the request's final answer, text, and lets its client's next command follow. Unless end is endServed,
+// the answer is the core's own.
 func (c *Core) answer(i int32, text []byte, end requestEnd) {
 	req := &c.requests[i]
 	if !req.inUse || req.concluded {
@@ -419,7 +443,7 @@
 	c.releaseRequest(i)
 }
 
-// conclude answers the first request that the client has in hand and goes on with what stands behind it.
+// conclude sends the answer to the client's first pending request and continues with what is queued behind it.
 func (cl *client) conclude(c *Core, text []byte, failed bool) {
 	cl.activeAt = c.now
 	cl.request = -1
@@ -441,14 +465,15 @@
 	if cl.index < 0 {
 		return
 	}
-	if !cl.link.Write(text) { // Danger: a request is lost if its client is hung up on for want of room here.
+	if !cl.link.Write(text) { // closing the client for lack of buffer space here would lose the request
 		cl.write(c, cl.protocol.failureReply(c.scratch[:0], "no memory for the answer"))
 		return
 	}
 	c.unflushed = append(c.unflushed, cl.link)
 }
 
-// releaseRequest is the one place where a request's place is given back: after its answer and the return of its last attempt.
+// releaseRequest is the only place where a request's index is released, which happens once it is answered and its last
+// attempt has ended.
 func (c *Core) releaseRequest(i int32) {
 	req := &c.requests[i]
 	if !req.inUse || !req.concluded || req.attemptConn != nil || req.awaitsConn || req.unreported > 0 {
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -5,25 +5,25 @@
 	"log/slog"
 )
 
-const summaryInterval = 60 * 1000 * millisecond // between two lines that count what ended
+const summaryInterval = 60 * 1000 * millisecond // time between two summary lines
 
 // closeCause says why a client's connection ended.
 type closeCause uint8
 
 const (
 	closedByPeer      closeCause = iota // the client closed it, or it broke
-	closedAtGoodbye                     // the client said that it was leaving
-	closedByViolation                   // its stream cannot be followed any more
-	closedByCancel                      // it came to cancel a request, and that is done
-	closedDeclined                      // there was no room for it, and it was told so
-	closedOverLimit                     // there was no room even to tell it so
-	closedAtRest                        // it gave way to another after an answer
-	closedNew                           // it gave way to another before it had said anything
-	closedUngreeted                     // its startup message did not come in time
-	closedStalled                       // it stopped inside a message
-	closedUnread                        // it did not read what it was sent
-	closedAtShutdown                    // the front ends
-	closedStayed                        // it had been told that it was over, and did not close its side
+	closedAtGoodbye                     // the client announced that it disconnects
+	closedByViolation                   // the client violated the protocol, so its stream cannot be parsed further
+	closedByCancel                      // the connection was opened to cancel a request, which is done
+	closedDeclined                      // there was no room for it, and it was sent an error
+	closedOverLimit                     // there was no room even for the error
+	closedAtRest                        // it was evicted while idle after an answer
+	closedNew                           // it was evicted before it had sent anything
+	closedUngreeted                     // its startup message did not arrive in time
+	closedStalled                       // the client stopped within a message
+	closedUnread                        // the client did not read its output
+	closedAtShutdown                    // the front shuts down
+	closedStayed                        // the front had ended the connection, and the client did not close its side
 	numberOfCloseCauses
 )
 
@@ -32,7 +32,7 @@
 
 func (c closeCause) String() string { return closeCauseNames[c] }
 
-// unusual tells whether each such end is logged by itself.
+// unusual reports whether each such end is logged individually.
 func (c closeCause) unusual() bool {
 	switch c {
 	case closedByViolation, closedOverLimit, closedNew, closedUngreeted, closedStalled, closedUnread, closedStayed:
@@ -48,9 +48,9 @@
 	endServed requestEnd = iota
 	endRefused
 	endFailed
-	endFaulty    // it made no sense
+	endFaulty    // it was invalid
 	endCancelled // by its client
-	endAbandoned // its client had gone
+	endAbandoned // its client had disconnected
 	numberOfRequestEnds
 )
 
@@ -58,11 +58,11 @@
 
 func (e requestEnd) String() string { return requestEndNames[e] }
 
-// eventCounts counts what ended since the last line that told of it.
+// eventCounts counts what ended since the last summary line.
 type eventCounts struct {
 	closed    [numberOfCloseCauses]int
 	requests  [numberOfRequestEnds]int
-	late      int // answers given after their clients' time
+	late      int // answers given after their clients' deadlines
 	summaryAt Time
 }
 
@@ -72,20 +72,20 @@
 	if !cause.unusual() && (cl.request < 0 || cause == closedByPeer) {
 		return
 	}
-	request := ""
+	requestID := ""
 	if cl.request >= 0 {
-		request = string(c.requests[cl.request].terms.ID)
+		requestID = string(c.requests[cl.request].metadata.ID)
 	}
-	c.logLimited("client connection closed", "cause", cause.String(), "client", cl.serial, "request", request, "behind", len(cl.pipeline.queue),
+	c.logLimited("client connection closed", "cause", cause.String(), "client", cl.serial, "request", requestID, "behind", len(cl.pipeline.queue),
 		"unread", len(cl.link.Peek()), "answer_out", cl.link.Flushed(), "silent_ms", (c.now-cl.activeAt)/millisecond)
 }
 
-// countRequest counts the end of a request. One that was answered after its time, or given up behind an attempt that may
-// have run, is logged.
+// countRequest counts the end of a request. It logs a request that was answered after its deadline, or that failed
+// after an attempt that may have run.
 func (c *Core) countRequest(index int32, end requestEnd) {
-	request := &c.requests[index]
+	req := &c.requests[index]
 	c.counts.requests[end]++
-	over := c.now - request.arrivedAt - request.timeLeft
+	over := c.now - req.arrivedAt - req.timeLeft
 	isLate := over > 0 && end != endAbandoned
 	if isLate {
 		c.counts.late++
@@ -94,14 +94,14 @@
 		return
 	}
 	store := ""
-	if request.attempts > 0 && int(request.store) < len(c.stores) {
-		store = c.stores[request.store].id
+	if req.attempts > 0 && int(req.store) < len(c.stores) {
+		store = c.stores[req.store].id
 	}
-	c.logLimited("request not served", "request", string(request.terms.ID), "end", end.String(), "took_ms", (c.now-request.arrivedAt)/millisecond,
-		"over_ms", over/millisecond, "attempts", request.attempts, "store", store, "out", request.attemptConn != nil, "waits", request.awaitsConn)
+	c.logLimited("request not served", "request", string(req.metadata.ID), "end", end.String(), "took_ms", (c.now-req.arrivedAt)/millisecond,
+		"over_ms", over/millisecond, "attempts", req.attempts, "store", store, "out", req.attemptConn != nil, "waits", req.awaitsConn)
 }
 
-// summarize logs the counts of what ended, once in each summaryInterval in which something did.
+// summarize logs the counts once in each summaryInterval in which something ended.
 func (c *Core) summarize() {
 	if c.now < c.counts.summaryAt {
 		return
@@ -112,7 +112,7 @@
 	c.counts = eventCounts{summaryAt: c.now + summaryInterval}
 }
 
-// LogCounts logs what ended since the last summary.
+// LogCounts logs the number of connections and requests that ended since the last summary.
 func (c *Core) LogCounts() {
 	attributes := make([]slog.Attr, 0, int(numberOfCloseCauses)+int(numberOfRequestEnds)+1)
 	for end, count := range c.counts.requests {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
-// Package front is the router's core without I/O: it keeps requests, attempts and store connections, speaks the
-// protocol on links that it is handed, and asks the decision module (package balance) what to do. It decides
-// nothing by itself. One loop owns all of it: Step is given the time and what is ready, hands that to the
-// module in one go and carries out what comes back.
+// Package front is the core of one router process, without I/O. It keeps requests, attempts and store connections,
+// implements the wire protocols on the links that it is given, and asks the balancer (package balance) for every
+// routing decision; it makes none itself. A single loop owns all of it: Step is called with the time and the links that
+// are ready, passes these to the balancer as one batch and executes the tasks that result.
 package front
 
 import (
@@ -16,173 +16,202 @@
 	"micatrack/internal/settings"
 )
 
-// Time is in tenths of a millisecond since the Unix epoch, read once and then counted monotonically.
+// Time is in tenths of a millisecond since the Unix epoch. The clock is read once at the start and counted
+// monotonically from there.
 type Time = balance.Time
 
-const millisecond = 10 // Times in a millisecond
+const millisecond = 10 // number of Time units in a millisecond
 
-// Link is one socket. The core owns it from Dial or its Accepted event until it calls Close or Finish, or
-// hears that it is closed.
+// Link is one socket. The core owns it from Dial or its Accepted event until it calls Close, Abort or CloseWrite, or is
+// told that it is closed.
 type Link interface {
-	Peek() []byte           // all that came in and was not discarded
-	Discard(n int)          // drops its first bytes
-	ReadBufferFull() bool   // there is no room for more to come in
-	Write(p []byte) bool    // queues p whole; false: there is no room for it
-	Flush()                 // hands what is queued to the system
-	SentBytes() int64       // bytes that the system has taken so far
-	Flushed() bool          // the system has taken all that was queued
-	Close()                 // at once; what is still queued is dropped
-	Abort()                 // the same, and what the system holds of it is dropped too
-	CloseWrite()            // ends the sending once all that is queued is out, and closes when the peer does; what comes is dropped
-	PeerOpen() bool         // the peer is there, as the system knows this moment
-	CloseWriteIfIdle() bool // is Finish if nothing has come up to that moment that was not discarded, and nothing is queued
-	// CloseAtRest is Close if nothing has come up to that moment that was not discarded. last is sent before if it can be.
+	// Peek returns all input that was received and not discarded.
+	Peek() []byte
+	// Discard drops the first n bytes of the input.
+	Discard(n int)
+	// ReadBufferFull reports whether there is no room for more input.
+	ReadBufferFull() bool
+	// Write queues all of p, or returns false if there is no room for it.
+	Write(p []byte) bool
+	// Flush passes the queued output to the system.
+	Flush()
+	// SentBytes returns the number of bytes that the system has accepted so far.
+	SentBytes() int64
+	// Flushed reports whether the system has accepted all queued output.
+	Flushed() bool
+	// Close closes the socket at once; output that is still queued is dropped.
+	Close()
+	// Abort is Close, and also drops the output that the system holds.
+	Abort()
+	// CloseWrite ends the output after all that is queued, and closes the socket when the peer does; further input is
+	// dropped.
+	CloseWrite()
+	// PeerOpen reports whether the peer is still connected, as the system knows at this moment.
+	PeerOpen() bool
+	// CloseWriteIfIdle is CloseWrite if no undiscarded input has been received up to this moment and no output is
+	// queued. It reports whether it closed.
+	CloseWriteIfIdle() bool
+	// CloseIfIdle is Close if no undiscarded input has been received up to this moment. last is sent before if
+	// possible. It reports whether it closed.
 	CloseIfIdle(last []byte) bool
-	Owner() any // what Own was told last
+	// Owner returns the value of the last SetOwner call.
+	Owner() any
+	// SetOwner stores a value for Owner; nil: the link has no owner.
 	SetOwner(owner any)
 }
 
-// NoRoom: no descriptor, port or memory is left for a connection, which is no fault of the store's.
+// ErrNoResources is returned by Dial if no descriptor, port or memory is left for a connection, which is not the
+// store's fault.
 var ErrNoResources = errors.New("no room for a connection")
 
-// Sockets opens connections. What is written on a link that is not up yet waits; Closed follows if it never
-// will be.
+// Sockets opens connections. Output that is written to a link before it is connected waits; a Closed event follows if
+// the connection fails.
 type Sockets interface {
+	// Dial begins to open a connection to addr. Its error is ErrNoResources if the front lacks a resource.
 	Dial(addr string) (Link, error)
 }
 
-// EventFlags tells what happened to a link; several may have at once.
+// EventFlags tells what happened to a link; several flags may be set at once.
 type EventFlags uint8
 
 const (
-	Accepted EventFlags = 1 << iota
-	Readable
-	Closed
-	Bolt // with Accepted: on the listener for Bolt
+	Accepted EventFlags = 1 << iota // the link is a new client connection
+	Readable                        // input was received
+	Closed                          // the connection is closed or failed
+	Bolt                            // with Accepted: on the listener for Bolt
 )
 
-// Event is one link with news.
+// Event reports what happened to one link.
 type Event struct {
-	Link  Link
-	Flags EventFlags
+	Link  Link       // the link to which it happened
+	Flags EventFlags // what happened
 }
 
-// StoreEntry is one store of the list, with where this front reaches it. The core numbers the stores.
+// StoreEntry is one store of the discovered list, with the address at which this front reaches it. The core assigns the
+// store's number.
 type StoreEntry struct {
-	ID, Addr string
-	Bolt     bool // it speaks Bolt, else PostgreSQL's protocol
+	ID   string // name of the store
+	Addr string // address at which this front reaches it
+	Bolt bool   // whether the store speaks Bolt rather than the PostgreSQL protocol
 	balance.Member
 }
 
-// StoreList is what discovery told.
+// StoreList is an update of the store list from discovery.
 type StoreList struct {
-	Kind    balance.ListKind
-	Entries []StoreEntry
+	Kind    balance.ListKind // whether Entries is the whole list, or how else it is to be read
+	Entries []StoreEntry     // the stores of the update
 }
 
-// Limits bounds what the core holds open.
+// Limits bounds the resources that the core uses and the times that it waits.
 type Limits struct {
-	MaxConnections     int               // sockets of clients and stores together
-	MaxClients         int               // of them at most
-	MaxBufferedReplies int               // bytes of answers that wait for those before them on their connections; 0: defaultKept
-	MaxStoreMessage    int               // bytes of one message of a store
-	ClientIdle         Time              // a client that asked nothing for that long may be hung up on to make room
-	ShutdownGrace      Time              // from Stop on, for that long at least, clients are served on
-	ForceAfter         Time              // from Stop to the end by force, beside the longest deadline; 0: Grace
-	MaxDeadline        Time              // that deadline counts as no more than this there; 0: it counts in full
-	Admission          *admission.Bounds // nil: requests go straight to the module
-	BoltAddress        string            // where Bolt clients reach this front, for ROUTE, if they do not say
-	DrainGrace         Time              // how long an open transaction may go on at a store that drains
-	CancelSecret       []byte            // from which the keys are made by which clients cancel
-	// Saw, if it is set, is told how each attempt and each probe came back, and how long after it set out. Expected is
+	MaxConnections int // sockets of clients and stores together
+	MaxClients     int // client sockets, which count towards MaxConnections
+	// bytes of answers that wait for earlier answers of their connections; 0: defaultMaxBufferedReplies
+	MaxBufferedReplies int
+	MaxStoreMessage    int  // bytes of one message from a store
+	ClientIdle         Time // a client that is idle for this long may be closed to make room
+	ShutdownGrace      Time // clients are served for at least this long after Stop
+	// time from Stop to the forced end, in addition to the longest class deadline; 0: ShutdownGrace
+	ForceAfter   Time
+	MaxDeadline  Time              // bound on that class deadline in the computation of the forced end; 0: no bound
+	Admission    *admission.Bounds // nil: requests go straight to the balancer
+	BoltAddress  string            // address of this front that ROUTE returns if the client names none
+	DrainGrace   Time              // how long an open transaction may continue at a store that drains
+	CancelSecret []byte            // secret from which the cancel keys of clients are derived
+	// OnAttemptEnd, if set, is called with how each attempt and each probe ended and the time that it took. expected is
 	// the expected time of the attempt's class, 0 for a probe.
 	OnAttemptEnd  func(store string, how balance.Ending, expected, took Time)
-	PositionWatch PositionWatch // nil: every question goes to the store itself
+	PositionWatch PositionWatch // nil: all position queries go to the store itself
 }
 
-// PositionWatch may take over the questions of reads that wait for a position. Its methods are called during Step.
+// PositionWatch may take over the position queries for reads that wait for a position. Its methods are called during
+// Step.
 type PositionWatch interface {
-	RequestPosition(store string, need Time, any bool) bool // true: Proxied follows
-	PositionObserved(store string, position Time)           // it has shown that much to this front
-	QueryFailed(store string)                               // a Survey came to nothing
+	// RequestPosition asks whether a store, or with anyStore any store of its group, has reached the position need. If it
+	// returns true, Core.PositionResolved will be called.
+	RequestPosition(store string, need Time, anyStore bool) bool
+	// PositionObserved tells that an answer to this front showed the store at this position.
+	PositionObserved(store string, position Time)
+	// QueryFailed tells that a QueryPosition returned no position.
+	QueryFailed(store string)
 }
 
-// storeUpdate is what others have to say of a store, and what the watch asks for.
+// storeUpdate is information about a store from peers, or a request of the position watch.
 type storeUpdate struct {
-	apply    func(c *Core, i uint32, w storeUpdate)
-	store    string
-	position Time
-	answered bool
+	apply    func(c *Core, i uint32, w storeUpdate) // carries it out; i is the store's number
+	store    string                                 // name of the store
+	position Time                                   // position observed by a peer
+	answered bool                                   // the query is resolved
 }
 
-// task is something that the module asked for.
+// task is an action that the balancer has requested.
 type task struct {
-	run         func(c *Core, t task)
-	request     int32
-	attempt     int
-	store       uint32
-	at          Time
-	minPosition Time
-	anyPosition bool
+	run         func(c *Core, t task) // executes the task
+	request     int32                 // index in Core.requests
+	attempt     int                   // number of the attempt
+	store       uint32                // number of the store
+	at          Time                  // end of the attempt, or the pause of a refusal
+	minPosition Time                  // position that the answer has to show; 0: none
+	anyStore    bool                  // a probe may be answered by any store of the group
 }
 
-// zoneShare is the part of ordinary work that may go to a zone.
+// zoneShare is the share of ordinary work that may go to a zone.
 type zoneShare struct {
 	zone  string
 	share float64
 }
 
-// attemptResult is a result that the module has yet to be handed.
+// attemptResult is a result that the balancer has not been told yet.
 type attemptResult struct {
-	request int32 // -1: of a probe
+	request int32 // -1: the result of a probe
 	attempt int
 	store   uint32
 	result  balance.Result
 }
 
-// Core is one front.
+// Core is the core of one front.
 type Core struct {
 	balancer         *balance.Balancer
-	admission        *admission.Controller // nil: there is none
+	admission        *admission.Controller // nil: no admission control
 	sockets          Sockets
 	log              *slog.Logger
 	host             settings.Process
 	limits           Limits
 	classes          *classTable
-	settings         Settings // in force
+	settings         Settings // the settings in force
 	now              Time
-	nextWake         Time
+	nextWake         Time // when the next sweep and tick are due
 	watchDiscovery   func()
-	requests         []request
-	freeRequests     []int32
-	pending          int
-	stores           []store
-	storeIndex       map[string]uint32
-	freeStores       []uint32
-	groups           map[uint64]bool // that are listed; true: their stores speak Bolt
+	requests         []request         // all entries, in use or free
+	freeRequests     []int32           // indices of the free entries
+	pending          int               // requests in use
+	stores           []store           // by number
+	storeIndex       map[string]uint32 // numbers by name
+	freeStores       []uint32          // numbers of the free entries
+	groups           map[uint64]bool   // groups of the store list; true: their stores speak Bolt
 	clients          []*client
-	lastSerial       uint64 // of the newest client
-	pipelined        int    // commands in all pipelines
-	bufferedBytes    int    // bytes of their replies
+	lastSerial       uint64 // serial number of the newest client
+	pipelined        int    // requests in all pipelines
+	bufferedBytes    int    // bytes of their buffered replies
 	conns            []*conn
-	storeLists       []StoreList
+	storeLists       []StoreList // updates queued for the next step, as are zoneShares and storeUpdates
 	zoneShares       []zoneShare
 	storeUpdates     []storeUpdate
-	arrived          []int32
-	abandoned        []int32
-	results          []attemptResult
-	tasks            []task
-	unflushed        []Link
-	stalledConns     []*conn // whose clients had no room for a piece of a result
-	scratch          []byte  // scratch for what is being written
-	shutdownAt       Time    // 0: not stopping; from then on idle clients are hung up
-	shutdownDeadline Time    // by then all must be answered
+	arrived          []int32         // requests to be passed to admission control or the balancer
+	abandoned        []int32         // requests that ended without an answer, which the balancer is to be told
+	results          []attemptResult // results that the balancer is to be told
+	tasks            []task          // requested by the balancer or admission control and not yet executed
+	unflushed        []Link          // links with output to be flushed at the end of the step
+	stalledConns     []*conn         // connections whose clients had no room for part of a result
+	scratch          []byte          // scratch buffer for output
+	shutdownAt       Time            // from then on idle clients are closed; 0: not stopping
+	shutdownDeadline Time            // all requests must be answered by then
 	counts           eventCounts
-	loggedLines      int // lines in this second; more are dropped
-	loggedSince      Time
+	loggedLines      int  // lines logged in this second; more than a limit are dropped
+	loggedSince      Time // beginning of that second
 }
 
-// New starts a front. watch is called when the module asks discovery for changes.
+// New returns a front with settings c and h. watch is called when the balancer asks discovery for changes.
 func New(now Time, c balance.Settings, h settings.Process, l Limits, s Sockets, watch func(),
 	log *slog.Logger) (*Core, error) {
 	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watchDiscovery: watch,
@@ -195,29 +224,34 @@
 	return f, err
 }
 
-// UpdateStores queues what discovery told for the next Step.
+// UpdateStores queues an update of the store list for the next Step.
 func (c *Core) UpdateStores(l StoreList) { c.storeLists = append(c.storeLists, l) }
 
-// SetZoneShare queues the fleet's plan for a zone for the next Step.
-func (c *Core) SetZoneShare(name string, part float64) {
-	c.zoneShares = append(c.zoneShares, zoneShare{name, part})
+// SetZoneShare queues the fleet's share for a zone for the next Step.
+func (c *Core) SetZoneShare(name string, share float64) {
+	c.zoneShares = append(c.zoneShares, zoneShare{name, share})
 }
 
-// ReportPosition queues a peer's word for what a store has shown. Survey has a store asked for its position. Proxied ends a question
-// that the watch has taken over: it is settled, or the store itself is to be asked.
+// ReportPosition queues a position of a store that a peer has observed.
 func (c *Core) ReportPosition(store string, position Time) {
 	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, position: position, apply: func(c *Core, i uint32, w storeUpdate) {
 		c.balancer.PeerPosition(c.now, i, w.position)
 	}})
 }
+
+// QueryPosition queues a query of a store for its position. PositionObserved or QueryFailed of the position watch
+// follows.
 func (c *Core) QueryPosition(store string) {
 	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, apply: func(c *Core, i uint32, _ storeUpdate) {
 		c.dispatch(i, pendingAttempt{request: -1, positionQuery: true, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
+
+// PositionResolved ends a query that the position watch has taken over. If answered is true the query is resolved;
+// otherwise the store itself is asked.
 func (c *Core) PositionResolved(store string, answered bool) {
 	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, answered: answered, apply: func(c *Core, i uint32, w storeUpdate) {
-		if w.answered { // it says nothing of the store, but that the question is settled
+		if w.answered { // the answer says nothing about the store, only that the query is resolved
 			c.queueResult(attemptResult{-1, 0, i, balance.Result{Ending: balance.Served}})
 			return
 		}
@@ -225,36 +259,37 @@
 	}})
 }
 
-// NextStep is when Step must be called again even if nothing happens.
+// NextStep returns when Step must be called again even if there are no events.
 func (c *Core) NextStep() Time {
-	if len(c.stalledConns) > 0 { // their clients may have read meanwhile, which nothing tells where the system took it all
+	// their clients may have read meanwhile; there is no event for that if the system had accepted all output
+	if len(c.stalledConns) > 0 {
 		return min(c.nextWake, c.now+millisecond)
 	}
 	return c.nextWake
 }
 
-// Stop begins the end. Clients are served on for most of the time that there is, for where they would go
-// another front may be ending as well. Then each is hung up on between two requests, and all that was taken is
-// answered before the front is ended by force.
+// Stop begins the shutdown. Clients are served for most of the available time, since the front to which they would
+// reconnect may be shutting down as well. Then each client is closed between two requests, and all accepted requests
+// are answered before the front is ended by force.
 func (c *Core) Stop(now Time) {
 	if c.shutdownAt == 0 {
 		span := min(c.classes.longest, cmp.Or(c.limits.MaxDeadline, c.classes.longest))
-		// Danger: where limits are short, new connections still come when most of that time is over.
+		// where deadlines are short, new connections still arrive when most of that time is over
 		c.shutdownAt, c.shutdownDeadline = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
-		c.balancer.SetShutdownDeadline(now, c.shutdownDeadline) // Danger: what the end by force finds unanswered is lost.
+		c.balancer.SetShutdownDeadline(now, c.shutdownDeadline) // requests that are unanswered at the forced end are lost
 	}
 }
 
-// Done tells that Stop is complete: no client is left and no request in hand.
+// Done reports whether the shutdown is complete: no client is left and no request is pending.
 func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.pending == 0 }
 
-// PendingRequests gives the requests that have not had their final answer, or whose attempts are still out.
+// PendingRequests returns the number of requests that have not had their final answer or whose attempts have not ended.
 func (c *Core) PendingRequests() int { return c.pending }
 
-// Stopping tells that new connections are no longer expected.
+// Stopping reports whether the front has begun to close idle clients and expects no new connections.
 func (c *Core) Stopping() bool { return c.shutdownAt > 0 && c.now >= c.shutdownAt }
 
-// Step is one turn of the loop.
+// Step runs one iteration of the loop.
 func (c *Core) Step(now Time, events []Event) {
 	c.now = now
 	for _, e := range events {
@@ -271,7 +306,7 @@
 			}
 		}
 	}
-	for n := len(c.stalledConns); n > 0; n-- { // those that still have none are put behind the others
+	for n := len(c.stalledConns); n > 0; n-- { // connections that stall again are appended behind the others
 		k := c.stalledConns[0]
 		c.stalledConns = append(c.stalledConns[:0], c.stalledConns[1:]...)
 		k.resumeStalled(c)
@@ -285,13 +320,14 @@
 	}
 	c.storeLists = c.storeLists[:0]
 	for k := 0; k < len(c.storeUpdates); k++ {
-		if i, ok := c.storeIndex[c.storeUpdates[k].store]; ok && !c.stores[i].bolt { // results in Bolt go out before they are whole
+		// Bolt results are forwarded before they are complete
+		if i, ok := c.storeIndex[c.storeUpdates[k].store]; ok && !c.stores[i].bolt {
 			c.storeUpdates[k].apply(c, i, c.storeUpdates[k])
 		}
 	}
 	c.storeUpdates = c.storeUpdates[:0]
-	beat := now >= c.nextWake
-	if beat {
+	tickDue := now >= c.nextWake
+	if tickDue {
 		c.sweep()
 		c.summarize()
 	}
@@ -312,16 +348,16 @@
 			c.handleArrival(c.arrived[k])
 		}
 		c.arrived = c.arrived[:0]
-		if beat {
+		if tickDue {
 			c.balancer.Tick(now)
 			if c.admission != nil {
 				c.admission.Tick(now)
 			}
-			beat = false
+			tickDue = false
 		}
 		c.admitRequests()
 		c.runTasks()
-		c.admitRequests() // what was answered has made room
+		c.admitRequests() // answers have made room
 	}
 	for _, l := range c.unflushed {
 		l.Flush()
@@ -329,14 +365,14 @@
 	c.unflushed = c.unflushed[:0]
 }
 
-// admitRequests has the door let in what there is room for.
+// admitRequests lets admission control admit the requests for which there is room.
 func (c *Core) admitRequests() {
 	if c.admission != nil {
 		c.admission.AdmitWaiting(c.now)
 	}
 }
 
-// admissionHost is what the core does for the door.
+// admissionHost implements the callbacks of admission control.
 type admissionHost struct{ c *Core }
 
 func (g admissionHost) Admit(request int32) { g.c.submit(request) }
@@ -345,6 +381,7 @@
 	g.c.tasks = append(g.c.tasks, task{run: (*Core).refuseRequest, request: request, at: pause})
 }
 
+// runTasks executes the tasks that the balancer and admission control have requested.
 func (c *Core) runTasks() {
 	for k := 0; k < len(c.tasks); k++ {
 		c.tasks[k].run(c, c.tasks[k])
@@ -352,6 +389,7 @@
 	c.tasks = c.tasks[:0]
 }
 
+// reportResult passes the result of an attempt or a probe to the balancer.
 func (c *Core) reportResult(b attemptResult) {
 	if b.request < 0 {
 		c.balancer.ProbeDone(c.now, b.store, b.result)
@@ -364,10 +402,10 @@
 	c.releaseRequest(b.request)
 }
 
-// applyStoreList hands a list on, with the stores numbered.
+// applyStoreList numbers the stores of a list and passes it to the balancer.
 func (c *Core) applyStoreList(l StoreList) {
 	members := make([]balance.Member, len(l.Entries))
-	named := make(map[uint32]bool, len(l.Entries))
+	listed := make(map[uint32]bool, len(l.Entries))
 	for k := range l.Entries {
 		e := &l.Entries[k]
 		i, ok := c.storeIndex[e.ID]
@@ -399,24 +437,25 @@
 		case balance.Ready:
 			s.drainUntil = 0
 		}
-		named[i], c.groups[e.Group] = true, e.Bolt
+		listed[i], c.groups[e.Group] = true, e.Bolt
 		members[k] = e.Member
 		members[k].Store = i
 	}
 	if l.Kind == balance.ListFull || l.Kind == balance.ListStale {
 		for i := range c.stores {
-			if !named[uint32(i)] {
+			if !listed[uint32(i)] {
 				c.closeIdle(uint32(i))
 			}
 		}
 	}
 	c.balancer.UpdateMembers(c.now, l.Kind, members)
-	for i := range named { // in any order: what was forgotten and named again in one go has been taken up anew
+	// the order does not matter; a store that was forgotten and listed again in one step counts as known again
+	for i := range listed {
 		c.stores[i].forgotten = false
 	}
 }
 
-// logLimited logs a rare change; past a bound in each second lines are dropped, so that trouble cannot drown it.
+// logLimited logs a rare event. Beyond a limit per second lines are dropped, so that a fault cannot flood the log.
 func (c *Core) logLimited(text string, args ...any) {
 	if c.now-c.loggedSince >= 1000*millisecond {
 		c.loggedSince, c.loggedLines = c.now, 0
@@ -426,19 +465,24 @@
 	}
 }
 
-// The rest is balance.Front: what the module asks for waits until the module has seen all that is ready.
+// The methods below implement balance.Front. Their tasks wait until the balancer has processed everything that is
+// ready.
 
-func (c *Core) Send(id string, store uint32, until, least Time) {
+// Send starts an attempt of a request at a store, which ends at until. An answer that shows a position below least does not
+// count; 0: any answer does.
+func (c *Core) Send(id string, store uint32, until, minPosition Time) {
 	if c.admission != nil {
 		c.admission.AttemptStarted(c.now, requestIndex(id))
 	}
-	c.tasks = append(c.tasks, task{run: (*Core).startAttempt, request: requestIndex(id), store: store, at: until, minPosition: least})
+	c.tasks = append(c.tasks, task{run: (*Core).startAttempt, request: requestIndex(id), store: store, at: until, minPosition: minPosition})
 }
 
+// Cancel cancels an attempt of a request.
 func (c *Core) Cancel(id string, attempt int) {
 	c.tasks = append(c.tasks, task{run: (*Core).cancelAttempt, request: requestIndex(id), attempt: attempt})
 }
 
+// Refuse answers a request with a refusal that tells the client to try again after pause.
 func (c *Core) Refuse(id string, pause Time) {
 	if c.admission != nil {
 		pause = c.admission.RetryAfter(c.now, requestIndex(id), pause)
@@ -446,35 +490,45 @@
 	c.tasks = append(c.tasks, task{run: (*Core).refuseRequest, request: requestIndex(id), at: pause})
 }
 
+// Fail answers a request with an error that tells that it may have run. If the store protocol proves that it had no
+// effect, the client is told to try again instead.
 func (c *Core) Fail(id string) {
 	c.tasks = append(c.tasks, task{run: (*Core).failRequest, request: requestIndex(id)})
 }
 
-func (c *Core) Probe(store uint32, need Time, any bool) {
-	c.tasks = append(c.tasks, task{run: (*Core).startProbe, store: store, minPosition: need, anyPosition: any})
+// Probe asks a store for its position. The position watch may answer for it if need is not 0 and it knows that the store,
+// or with anyStore any store of its group, has reached need.
+func (c *Core) Probe(store uint32, need Time, anyStore bool) {
+	c.tasks = append(c.tasks, task{run: (*Core).startProbe, store: store, minPosition: need, anyStore: anyStore})
 }
 
+// CloseIdle closes the idle connections to a store.
 func (c *Core) CloseIdle(store uint32) {
 	c.tasks = append(c.tasks, task{run: func(c *Core, t task) { c.closeIdle(t.store) }, store: store})
 }
 
+// Forget releases the number of a store that the balancer no longer knows.
 func (c *Core) Forget(store uint32) {
 	c.stores[store].forgotten = true
 	c.tasks = append(c.tasks, task{run: (*Core).removeStore, store: store})
 }
 
+// WakeAfter has Step called with a tick of the balancer after that time at the latest.
 func (c *Core) WakeAfter(after Time) { c.nextWake = c.now + after }
 
+// WatchMembers asks discovery for changes of the store list.
 func (c *Core) WatchMembers() { c.watchDiscovery() }
 
+// Log logs a message of the balancer, subject to the limit per second.
 func (c *Core) Log(text string) { c.logLimited(text) }
 
-// requestIndex gives the request's place in the slab, which its name among the module's requests stands for.
+// requestIndex returns the index in Core.requests for which a balancer request id stands.
 func requestIndex(id string) int32 {
 	n, _ := strconv.Atoi(id)
 	return int32(n)
 }
 
+// String returns the numbers of clients, store connections and pending requests.
 func (c *Core) String() string {
-	return fmt.Sprintf("clients %d, store connections %d, jobs %d", len(c.clients), len(c.conns), c.pending)
+	return fmt.Sprintf("clients %d, store connections %d, requests %d", len(c.clients), len(c.conns), c.pending)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -14,16 +14,17 @@
 	"micatrack/internal/settings"
 )
 
-// fakeLink is a link whose other end is the test.
+// fakeLink is a link whose peer is the test.
 type fakeLink struct {
-	in, out                 []byte
-	takenBytes, unsentBytes int // bytes looked at by the test; bytes that the system has not taken
-	queries                 int // queries among the bytes looked at
-	lateSentBytes           int // of those, taken at the last moment
-	owner                   any
-	closed, finished        bool
-	peerGone                bool // its peer has gone, and the core has not been told
-	writeLimit              int  // bytes that Write has room for; 0: any
+	in, out          []byte
+	takenBytes       int // bytes read by the test
+	unsentBytes      int // queued bytes that the system has not accepted
+	queries          int // queries among the bytes read
+	lateSentBytes    int // of the unsent bytes, those accepted just before the close
+	owner            any
+	closed, finished bool
+	peerGone         bool // its peer has disconnected, and the core has not been told
+	writeLimit       int  // bytes that Write has room for; 0: any
 }
 
 func (w *fakeLink) Peek() []byte         { return w.in }
@@ -123,7 +124,7 @@
 	s.core.Step(s.now, events)
 }
 
-// advance lets time go by in the steps that the core asks for.
+// advance advances the time in the steps that the core asks for.
 func (s *harness) advance(span Time) {
 	for end := s.now + span; s.now < end; {
 		s.now = min(max(s.core.NextStep(), s.now+1), end)
@@ -145,7 +146,7 @@
 	return w
 }
 
-// welcomeNewest answers the start of the newest connection.
+// welcomeNewest answers the startup of the newest store connection.
 func (s *harness) welcomeNewest() *fakeLink {
 	if len(s.dials) == 0 {
 		s.t.Fatal("no store was dialled")
@@ -160,17 +161,17 @@
 	s.t.Helper()
 	c := s.core
 	if c.pending != 0 || len(c.clients) != clients || len(c.results)+len(c.tasks)+len(c.arrived) != 0 {
-		s.t.Errorf("not all is given back: %v", c)
+		s.t.Errorf("not everything is released: %v", c)
 	}
 	for i := range c.requests {
 		if req := &c.requests[i]; req.inUse || req.unreported != 0 {
-			s.t.Errorf("job %d is still taken", i)
+			s.t.Errorf("request %d is still in use", i)
 		}
 	}
 	for i := range c.stores {
 		for _, e := range c.stores[i].waiting {
 			if e.request >= 0 {
-				s.t.Errorf("store %d: a trip waits", i)
+				s.t.Errorf("store %d: an attempt waits", i)
 			}
 		}
 	}
@@ -189,7 +190,7 @@
 var value = "T\x00\x00\x00\x0a\x00\x01p\x00\x00\x00" + "D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x02ab" +
 	"C\x00\x00\x00\x0dSELECT 1\x00"
 
-// code gives the SQLSTATE of an answer that is one error and ready, or "value" for the store's value.
+// code returns the SQLSTATE of an answer that is one error and ready, or "value" for the store's value.
 func code(t *testing.T, answer string) string {
 	t.Helper()
 	if answer == value+ready {
@@ -203,32 +204,33 @@
 	return pgwire.SQLState(body)
 }
 
-// TestOutcomes: what each answer of a store is to a request that may run again and to one that may not.
+// TestStoreAnswerOutcomes checks what each answer of a store means to a request that may run again and to one that may
+// not.
 func TestStoreAnswerOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		what         EventFlags
 		stuck        bool
-		read, write  string // the client's answer; "attempt": the request goes on instead
+		read, write  string // the client's answer; "attempt": the request is sent again instead
 	}{
 		{"value", value + status("role", "primary") + ready, 0, false, "value", "value"},
-		{"behind", failed("72000") + ready, 0, false, "trip", "trip"},
-		{"crowded", failed("53300") + ready, 0, false, "trip", "trip"},
-		{"fault", failed("XX000") + ready, 0, false, "trip", "08007"},
-		{"unknown error", failed("22012") + ready, 0, false, "trip", "08007"},
-		{"fatal and gone", failed("53300"), Closed, false, "trip", "trip"},
-		{"broken after it was written", "", Closed, false, "trip", "08007"},
-		{"broken before it was written", "", Closed, true, "trip", "trip"},
-		{"broken as it was written", "?\x00\x00\x00\x04", 0, false, "trip", "08007"},
-		{"broken in the value", value[:20], Closed, false, "trip", "08007"},
-		{"value without its end", value, Closed, false, "trip", "08007"},
-		{"no row", value[:11] + "C\x00\x00\x00\x0dSELECT 0\x00" + ready, 0, false, "trip", "08007"},
-		{"two rows", value[:11] + value[11:24] + value[11:24] + ready, 0, false, "trip", "08007"},
-		{"refusal after a row", value[:24] + failed("53300") + ready, 0, false, "trip", "08007"},
-		{"sense lost after a refusal", failed("53300") + "?\x00\x00\x00\x04", 0, false, "trip", "08007"},
+		{"behind", failed("72000") + ready, 0, false, "attempt", "attempt"},
+		{"overloaded", failed("53300") + ready, 0, false, "attempt", "attempt"},
+		{"fault", failed("XX000") + ready, 0, false, "attempt", "08007"},
+		{"unknown error", failed("22012") + ready, 0, false, "attempt", "08007"},
+		{"fatal and gone", failed("53300"), Closed, false, "attempt", "attempt"},
+		{"broken after it was written", "", Closed, false, "attempt", "08007"},
+		{"broken before it was written", "", Closed, true, "attempt", "attempt"},
+		{"broken while it was written", "?\x00\x00\x00\x04", 0, false, "attempt", "08007"},
+		{"broken in the value", value[:20], Closed, false, "attempt", "08007"},
+		{"value without its end", value, Closed, false, "attempt", "08007"},
+		{"no row", value[:11] + "C\x00\x00\x00\x0dSELECT 0\x00" + ready, 0, false, "attempt", "08007"},
+		{"two rows", value[:11] + value[11:24] + value[11:24] + ready, 0, false, "attempt", "08007"},
+		{"refusal after a row", value[:24] + failed("53300") + ready, 0, false, "attempt", "08007"},
+		{"invalid message after a refusal", failed("53300") + "?\x00\x00\x00\x04", 0, false, "attempt", "08007"},
 		{"load that cannot be read", value + status("load", "\xff") + ready, 0, false, "value", "value"},
-		{"note that is no number", value + status("applied_ms", "soon") + ready, 0, false, "value", "value"},
-		{"length out of bounds", "D\xff\xff\xff\xff", 0, false, "trip", "08007"},
+		{"position that is no number", value + status("applied_ms", "soon") + ready, 0, false, "value", "value"},
+		{"length out of bounds", "D\xff\xff\xff\xff", 0, false, "attempt", "08007"},
 	} {
 		for class, want := range map[string]string{"any": c.read, "once": c.write} {
 			s := newHarness(t, 20)
@@ -241,16 +243,16 @@
 			if c.stuck {
 				st.unsentBytes = 1
 			}
-			if c.name == "broken as it was written" {
+			if c.name == "broken while it was written" {
 				st.unsentBytes, st.lateSentBytes = 1, 1
 			}
 			st.in = append(st.in, c.answer...)
 			s.step(Event{st, Readable | c.what})
-			if want == "trip" {
+			if want == "attempt" {
 				if len(cl.out) > 0 {
 					t.Errorf("%s, %s: answered %q", c.name, class, cl.out)
 				}
-				s.advance(2 * second) // it goes again, which then is not answered, or ends as what never ran
+				s.advance(2 * second) // the next attempt is then not answered, or ends as one that never ran
 				again := s.dials[len(s.dials)-1] != st || strings.Count(string(st.out), "id=1,") > 1
 				if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections && !(again && got == pgwire.OutcomeUnknown) {
 					t.Errorf("%s, %s: ended with %s", c.name, class, got)
@@ -265,8 +267,8 @@
 	}
 }
 
-// TestLongAnswers: a long value is passed on whole; one that says it is longer than there is room for ends at
-// once, though it keeps coming; and a client for whose answer memory is short is told so.
+// TestLongAnswers checks that a long value is forwarded whole, that one whose announced length exceeds the limit ends
+// at once although more of it keeps arriving, and that a client for whose answer there is no memory is sent an error.
 func TestLongAnswers(t *testing.T) {
 	long := func(n int) string {
 		return fmt.Sprintf("%sD\x00%s\x00\x01\x00%s%s%s", value[:11], string([]byte{byte((n + 10) >> 16), byte((n + 10) >> 8), byte(n + 10)}),
@@ -280,11 +282,11 @@
 		s.send(st, text[:min(len(text), 32<<10)])
 	}
 	if got := cl.takeOutput(); got != long(400_000)+ready {
-		t.Fatalf("%d bytes are passed on", len(got))
+		t.Fatalf("%d bytes are forwarded", len(got))
 	}
 	s.send(cl, ask("once", 2))
 	if s.send(st, value[:11], "D\x7f\xff\xff\xff\x00\x01"); !st.closed || code(t, cl.takeOutput()) != pgwire.OutcomeUnknown {
-		t.Error("the end of a value without end is waited for")
+		t.Error("the front waits for the end of an oversized value")
 	}
 	s.send(cl, ask("any", 3))
 	cl.writeLimit = 1000
@@ -329,7 +331,7 @@
 			if !cl.finished {
 				s.send(cl, empty)
 				if cl.takeOutput() != "I\x00\x00\x00\x04"+ready {
-					t.Errorf("%s: the connection cannot be used any more", c.name)
+					t.Errorf("%s: the connection is not usable", c.name)
 				}
 			}
 			s.step(Event{cl, Closed})
@@ -364,7 +366,8 @@
 	}
 }
 
-// TestQueriesInARow: answers keep the order, a write waits for what stands before it, and each is passed on unchanged.
+// TestSequentialQueries checks that answers keep the order of the queries, that a write waits for the queries before
+// it, and that each query is forwarded unchanged.
 func TestSequentialQueries(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -394,19 +397,20 @@
 	st := s.welcomeNewest()
 	s.send(b, ask("any", 1))
 	if got := code(t, b.takeOutput()); got != pgwire.DuplicateObject {
-		t.Errorf("a second one is answered %q", got)
+		t.Errorf("a second request with the id is answered %q", got)
 	}
 	s.send(st, value, ready)
-	s.send(b, ask("any", 1)) // the first one is over
+	s.send(b, ask("any", 1)) // the first request is over
 	s.send(st, value, ready)
 	if a.takeOutput() != value+ready || b.takeOutput() != value+ready {
-		t.Error("not both are served in the end")
+		t.Error("not both requests are served")
 	}
 	s.step(Event{a, Closed}, Event{b, Closed})
 	s.checkReleased(0)
 }
 
-// TestLateAnswer: an attempt that was given up takes its connection along, so what comes late is nobody's answer.
+// TestLateAnswerIsDiscarded checks that a cancelled attempt closes its connection, so that a late answer is not taken
+// for another request's.
 func TestLateAnswerIsDiscarded(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -414,13 +418,13 @@
 	st := s.welcomeNewest()
 	s.step(Event{cl, Closed})
 	if !st.closed {
-		t.Fatal("the trip of a client that left is still out")
+		t.Fatal("the attempt of a disconnected client is not cancelled")
 	}
 	next := s.newClient()
 	s.send(next, ask("any", 2))
 	s.send(st, value, ready)
 	if next.takeOutput() != "" {
-		t.Fatal("a late answer was taken for another job's")
+		t.Fatal("a late answer was taken for another request's")
 	}
 	s.send(s.welcomeNewest(), value, ready)
 	if got := next.takeOutput(); got != value+ready {
@@ -430,8 +434,8 @@
 	s.checkReleased(0)
 }
 
-// TestMoreThanAnAnswer: what stands behind an answer is nobody's, though an attempt waits for the connection or is
-// sent before the loop has heard of it.
+// TestDataAfterAnswer checks that data behind an answer is not taken for an answer to the next request, whether that
+// attempt waits for the connection or is sent before the loop has seen the data.
 func TestDataAfterAnswer(t *testing.T) {
 	for _, more := range []string{value + ready, value[:30], "\x00", ready, failed("53300") + ready} {
 		s := newHarness(t, 20, true)
@@ -445,11 +449,11 @@
 		}
 		s.advance(100)
 		if b.takeOutput() != "" || !first.closed {
-			t.Fatalf("%q behind an answer is taken for another's", more)
+			t.Fatalf("%q behind an answer is taken for another request's answer", more)
 		}
 		second := s.welcomeNewest()
 		s.send(second, value, ready)
-		second.in = []byte(more) // the loop has not heard of it yet
+		second.in = []byte(more) // the loop has not seen it yet
 		s.send(a, ask("any", 3))
 		if a.takeOutput() != "" || !second.closed || strings.Contains(string(second.out), "id=3") {
 			t.Fatalf("%q on an idle connection is taken for an answer", more)
@@ -468,7 +472,7 @@
 	cl := s.newClient()
 	s.send(cl, ask("any", 1))
 	s.dials[0].in = []byte("R\x00\x00\x00\x08\x00\x00\x00\x00" + ready)
-	s.step(Event{s.dials[0], Readable}, Event{cl, Closed}) // both at once, either way round
+	s.step(Event{s.dials[0], Readable}, Event{cl, Closed}) // both in one step; the order must not matter
 	s.checkReleased(0)
 	cl = s.newClient()
 	s.send(cl, ask("any", 2))
@@ -495,7 +499,7 @@
 		fail(s)
 		s.dialError = errors.New("no route")
 		s.advance(2 * second)
-		if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections { // it never ran, so trying again is harmless
+		if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections { // it never ran, so trying again is safe
 			t.Errorf("%s: answered %s", name, got)
 		}
 		s.step(Event{cl, Closed})
@@ -506,8 +510,8 @@
 	}
 }
 
-// TestDescriptors: an idle store connection yields to a client or to another store; past that work is turned
-// back, and a client past the bound is told so.
+// TestDescriptorLimit checks that an idle store connection is closed for a client or for another store's connection.
+// Beyond that requests are refused, and a client past the limit is sent an error.
 func TestDescriptorLimit(t *testing.T) {
 	s := newHarness(t, 5)
 	a, b, c := s.newClient(), s.newClient(), s.newClient()
@@ -518,7 +522,7 @@
 		t.Fatalf("%d connections where 2 have room", len(s.dials))
 	}
 	if got := code(t, c.takeOutput()); got != pgwire.TooManyConnections {
-		t.Fatalf("the third job: %s", got)
+		t.Fatalf("the third request: %s", got)
 	}
 	for _, st := range s.dials {
 		s.send(st, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
@@ -527,7 +531,7 @@
 	d := &fakeLink{in: append(pgwire.AppendStartup(nil, "web", "orders"), ask("any", 1)...)}
 	s.step(Event{d, Accepted | Readable})
 	if got := code(t, d.takeOutput()); got != pgwire.TooManyConnections || !d.finished {
-		t.Fatalf("a client past the bound: %s", got)
+		t.Fatalf("a client past the limit: %s", got)
 	}
 	if len(s.core.conns) > 2 {
 		t.Fatalf("%d store connections", len(s.core.conns))
@@ -538,14 +542,14 @@
 	s.checkReleased(0)
 }
 
-// TestClientsThatKeepTheirConnections: where room is short those yield that asked nothing for longest, after a rest
-// that is the shorter the less room there is; never in the middle of a query that its client goes on with, nor with a
-// request in hand.
+// TestIdleClientEviction checks that, where room is short, the client that has been idle longest is closed, after an
+// idle time that is the shorter the less room there is. A client must not be closed in the middle of a query that it
+// keeps sending, nor with a pending request.
 func TestIdleClientEviction(t *testing.T) {
 	s := newHarness(t, 40, true)
 	busy, half, old, young := s.newClient(), s.newClient(), s.newClient(), s.newClient()
 	s.send(busy, string(pgwire.AppendSimpleQuery(nil, "/* id=1,c=once,d=30000,cluster=3 */ SELECT 'k'")))
-	s.welcomeNewest() // it has the query, and hangs
+	s.welcomeNewest() // it has the query, and does not answer
 	rest := ask("any", 2)
 	goOn := func() { s.send(half, rest[:1]); rest = rest[1:] }
 	goOn()
@@ -556,7 +560,7 @@
 	closed := func(old1, young1 bool) {
 		t.Helper()
 		if old.closed != old1 || young.closed != young1 || half.closed || half.finished || busy.closed {
-			t.Fatalf("closed: old %v, young %v, half %v (told %v), busy %v", old.closed, young.closed, half.closed, half.finished, busy.closed)
+			t.Fatalf("closed: old %v, young %v, half %v (finished %v), busy %v", old.closed, young.closed, half.closed, half.finished, busy.closed)
 		}
 	}
 	s.advance(second)
@@ -571,11 +575,11 @@
 	s.step(Event{silent, Accepted})
 	s.advance(second / 3)
 	if silent.closed {
-		t.Error("one that has not greeted yet is not waited for")
+		t.Error("a new client is closed before its startup")
 	}
 	s.advance(second / 3)
 	if closed(true, false); !silent.closed {
-		t.Error("one that never greeted does not yield first")
+		t.Error("the client that never completed its startup is not closed first")
 	}
 	s.core.limits.MaxClients = 3
 	goOn()
@@ -584,7 +588,7 @@
 	s.core.limits.MaxClients = 2
 	late := &fakeLink{in: pgwire.AppendStartup(nil, "web", "orders")}
 	if s.step(Event{late, Accepted | Readable}); code(t, late.takeOutput()) != pgwire.TooManyConnections {
-		t.Error("none can yield, yet one more is taken in")
+		t.Error("a client is accepted though none can be closed")
 	}
 }
 
@@ -608,23 +612,23 @@
 	s.send(busy, strings.Replace(ask("once", 1), "d=1000", "d=3000", 1))
 	st := s.welcomeNewest()
 	s.core.Stop(s.now)
-	late := s.newClient() // new ones keep coming for a while
+	late := s.newClient() // new clients keep connecting for a while
 	s.send(late, ask("any", 2))
 	s.send(s.welcomeNewest(), value, ready)
 	if got := late.takeOutput(); got != value+ready {
-		t.Fatalf("a job taken after the signal: %q", got)
+		t.Fatalf("a request accepted after the signal: %q", got)
 	}
 	s.advance(2 * second)
 	if idle.finished || late.finished {
-		t.Fatal("clients are hung up on while there is time to serve them")
+		t.Fatal("clients are closed while there is time to serve them")
 	}
 	s.advance(second / 2)
 	if !idle.finished || !late.finished || busy.finished || s.core.Done() {
-		t.Fatal("idle clients are hung up on, busy ones are not")
+		t.Fatal("idle clients are not closed, or busy ones are")
 	}
 	s.send(st, value, ready)
 	if got := busy.takeOutput(); got != value+ready || !busy.finished {
-		t.Fatalf("a job in hand: %q", got)
+		t.Fatalf("a pending request: %q", got)
 	}
 	for _, cl := range []*fakeLink{busy, idle, late} {
 		s.step(Event{cl, Closed})
@@ -634,8 +638,8 @@
 	}
 }
 
-// TestEndByForceBeforeTheLongestLimit: where the longest deadline is past what the end by force waits for, clients
-// are hung up on and all that was taken is answered before it, a request that was in hand at the signal too.
+// TestForcedShutdownBeforeLongestDeadline covers a longest deadline past the forced end of the shutdown. Clients must
+// be closed and all accepted requests answered before it, including a request that was pending at the signal.
 func TestForcedShutdownBeforeLongestDeadline(t *testing.T) {
 	s := newHarness(t, 20)
 	s.core.classes.longest, s.core.limits.MaxDeadline = 13*second, 3*second
@@ -648,20 +652,21 @@
 	s.welcomeNewest()
 	s.advance(end - s.now)
 	if !idle.finished {
-		t.Error("an idle client is not hung up on")
+		t.Error("an idle client is not closed")
 	}
 	if len(before.out) == 0 || len(after.out) == 0 {
 		t.Fatalf("unanswered at the end: %q, %q", before.out, after.out)
 	}
 	if got := code(t, before.takeOutput()); got != "08007" {
-		t.Errorf("what may have run once is answered %s", got)
+		t.Errorf("a request that may run only once is answered %s", got)
 	}
 	if got := code(t, after.takeOutput()); got != "53300" {
-		t.Errorf("what may run again is answered %s", got)
+		t.Errorf("a request that may run again is answered %s", got)
 	}
 }
 
-// TestLastJobs: one that its client would wait for longer than the front may live is answered before.
+// TestRequestPastShutdownDeadline checks that a request whose client would wait past the end of the shutdown is
+// answered before that.
 func TestRequestPastShutdownDeadline(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -710,8 +715,8 @@
 	s.checkReleased(0)
 }
 
-// TestStoresReplacedForGood: a number is given back with all that hangs on it, and what comes late of the old
-// store counts for nobody.
+// TestStoreReplacement checks that a store's number is released with everything that belongs to it, and that late input
+// from the old store does not count for the store that gets the number next.
 func TestStoreReplacement(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -721,15 +726,15 @@
 		line.ID, old.Condition = fmt.Sprint("s", n), balance.Gone
 		s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line, old}})
 		s.step()
-		s.core.Probe(s.core.storeIndex[old.ID], 0, false) // is under way to the old store, and not answered
+		s.core.Probe(s.core.storeIndex[old.ID], 0, false) // in progress at the old store, and not answered
 		s.advance(6 * second)
 	}
 	if n := len(s.core.stores); n > 6 || len(s.core.storeIndex) > 6 {
-		t.Errorf("%d places for stores, %d known", n, len(s.core.storeIndex))
+		t.Errorf("%d store numbers, %d known stores", n, len(s.core.storeIndex))
 	}
 	for _, w := range s.dials {
 		if k, ok := w.owner.(*conn); ok && !w.closed && s.core.stores[k.store].addr != k.addr {
-			t.Error("a connection hangs on a store that is no more")
+			t.Error("a connection to a removed store is left")
 		}
 	}
 	s.send(cl, ask("any", 1))
@@ -737,12 +742,12 @@
 	if got := cl.takeOutput(); got != value+ready {
 		t.Errorf("answer %q", got)
 	}
-	// Forgotten and named again in one go: the number stays, and so does what hangs on it.
+	// Forgotten and listed again in one step: the number stays, and so does everything that belongs to it.
 	i := s.core.storeIndex[line.ID]
 	s.core.Forget(i)
 	s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
 	if s.step(); s.core.storeIndex[line.ID] != i || s.core.stores[i].id != line.ID {
-		t.Error("a store that is named again has lost its number")
+		t.Error("a store that is listed again has lost its number")
 	}
 	s.step(Event{cl, Closed})
 	s.checkReleased(0)
@@ -760,12 +765,12 @@
 	}
 	for _, text := range []string{"x0", "x0=-3", "x0=1.2e9", "x0=1.x", "x1=primary", "x0=99999999999999"} {
 		if got, ok := parseLoadReport(text); ok {
-			t.Errorf("%s: taken as %+v", text, got)
+			t.Errorf("%s: parsed as %+v", text, got)
 		}
 	}
 }
 
-// FuzzBytes: whatever clients and stores send, nothing panics and all is given back.
+// FuzzBytes checks that nothing panics and everything is released, whatever clients and stores send.
 func FuzzBytes(f *testing.F) {
 	f.Add([]byte(ask("any", 1)), []byte(value+ready))
 	f.Add([]byte(ask("once", 1)+ask("any", 2)), []byte(failed("25006")+status("role", "replica")+ready))
@@ -799,12 +804,12 @@
 		s.core.Log("trouble")
 	}
 	if n := strings.Count(out.String(), "\n"); n == 0 || n > 20 {
-		t.Errorf("%d lines in a moment", n)
+		t.Errorf("%d lines within a second", n)
 	}
 }
 
-// TestConnectionsRest: one that has just brought an answer is left alone while another is there; later the newest
-// is used.
+// TestIdleConnectionChoice checks that a connection that has just received an answer is not used while there is
+// another; later the newest is used.
 func TestIdleConnectionChoice(t *testing.T) {
 	s := newHarness(t, 20, true)
 	a, b := s.newClient(), s.newClient()
@@ -819,14 +824,14 @@
 	for n := 3; n < 5; n++ {
 		s.dials[0].takeOutput()
 		if s.send(a, ask("any", n)); s.dials[0].takeOutput() == "" {
-			t.Errorf("job %d went to another connection", n)
+			t.Errorf("request %d went to another connection", n)
 		}
 		s.send(s.dials[0], value, ready)
 		s.advance(50)
 	}
 }
 
-// TestSilentStore: what stood idle while a probe was not answered is not used any more.
+// TestSilentStore checks that connections that were idle while a probe was not answered are not used any more.
 func TestSilentStore(t *testing.T) {
 	s := newHarness(t, 20, true)
 	a, b := s.newClient(), s.newClient()
@@ -847,11 +852,12 @@
 	}
 	s.advance(3000)
 	if !s.dials[0].closed || !s.dials[1].closed {
-		t.Error("a connection that was silent as long as the probe's is kept")
+		t.Error("a connection that was idle as long as the probe's is kept")
 	}
 }
 
-// TestProbeWithoutADescriptor: it waits for a connection to fall free, and else says nothing of the store.
+// TestProbeWithoutADescriptor checks that a probe without a descriptor waits for a connection to become free, and does
+// not count against the store.
 func TestProbeWithoutADescriptor(t *testing.T) {
 	s := newHarness(t, 4, true)
 	a, b := s.newClient(), s.newClient()
@@ -861,16 +867,16 @@
 	s.core.limits.MaxClients = 20
 	s.core.Probe(0, 0, false)
 	if s.advance(3000); len(s.dials) != 1 || len(s.core.stores[0].waiting) != 0 {
-		t.Fatalf("%d connections, %d errands wait", len(s.dials), len(s.core.stores[0].waiting))
+		t.Fatalf("%d connections, %d pending attempts wait", len(s.dials), len(s.core.stores[0].waiting))
 	}
-	s.send(b, ask("any", 2)) // it is tried, and refused for want of a descriptor
+	s.send(b, ask("any", 2)) // it is tried, and refused for lack of a descriptor
 	if got := code(t, b.takeOutput()); got != pgwire.TooManyConnections {
-		t.Errorf("the store is taken for silent: %q", got)
+		t.Errorf("the store counts as silent: %q", got)
 	}
 	s.core.Probe(0, 0, false)
 	s.step()
 	if s.send(st, value, ready); !strings.Contains(string(st.out), "SHOW load") {
-		t.Errorf("the connection that fell free does not carry the probe: %q", st.out)
+		t.Errorf("the connection that became free does not carry the probe: %q", st.out)
 	}
 }
 
@@ -882,7 +888,7 @@
 	s.send(stuck, query[:30])
 	s.core.Stop(s.now)
 	if s.advance(5 * second / 2); cl.finished {
-		t.Fatal("a client is hung up on in the middle of its query")
+		t.Fatal("a client is closed in the middle of its query")
 	}
 	s.send(cl, query[30:])
 	s.send(s.welcomeNewest(), value, ready)
@@ -890,11 +896,11 @@
 		t.Fatalf("answer %q", got)
 	}
 	if s.advance(4 * second); !stuck.finished {
-		t.Error("the rest of a query is waited for without end")
+		t.Error("the front waits for the rest of a query without limit")
 	}
 }
 
-// BenchmarkRequest is one request on the ordinary path, from its query to its answer, without the sockets.
+// BenchmarkRequest measures one request in the normal case, from its query to its answer, without sockets.
 func BenchmarkRequest(b *testing.B) {
 	s := newHarness(b, 20, true)
 	cl := s.newClient()
@@ -917,7 +923,8 @@
 	}
 }
 
-// BenchmarkStores: a request, and a turn of the loop with its beat, among so many stores in groups of three.
+// BenchmarkStores measures a request, and a step with a tick of the balancer, with various numbers of stores in groups
+// of three.
 func BenchmarkStores(b *testing.B) {
 	for _, n := range []int{10, 120, 1000} {
 		s := newHarness(b, 2*n+100, true)
@@ -930,13 +937,13 @@
 		s.step()
 		cl := s.newClient()
 		query, answer := []byte(ask("any", 1)), []byte(value+ready)
-		b.Run(fmt.Sprint("job/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("request/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			open := map[*fakeLink]bool{}
 			for b.Loop() {
 				cl.in, cl.out = append(cl.in[:0], query...), cl.out[:0]
 				s.core.Step(s.now, []Event{{cl, Readable}})
-				for len(s.dials) > 0 { // a new connection comes up at once
+				for len(s.dials) > 0 { // a new connection is established at once
 					w := s.dials[0]
 					s.dials = s.dials[1:]
 					open[w] = true
@@ -954,7 +961,7 @@
 				}
 			}
 		})
-		b.Run(fmt.Sprint("beat/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("tick/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				s.now = max(s.core.NextStep(), s.now+1)
@@ -964,7 +971,7 @@
 	}
 }
 
-// restartWith starts the core anew with one more class, and these stores.
+// restartWith replaces the core by one with one more class, and lists these stores.
 func (s *harness) restartWith(p balance.Class, lines ...StoreEntry) {
 	s.settings.Classes = append(s.settings.Classes, p)
 	var err error
@@ -975,8 +982,8 @@
 	s.step()
 }
 
-// TestRepeatDoesNotWaitPastItsWindow: a repeat that waits for its connection is not written once it can no longer reach its
-// store inside the window, though its client still waits.
+// TestRetryWindowExpiresWhileWaiting checks that a retry that waits for its connection is not written once it can no
+// longer reach its store inside the retry window, though its client still waits.
 func TestRetryWindowExpiresWhileWaiting(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		s := newHarness(t, 20, true)
@@ -992,7 +999,7 @@
 		}
 		w := s.dials[1]
 		if w.takeOutput(); late {
-			s.now += 2 * second // past the window, though not past the limit, and before the core looks around
+			s.now += 2 * second // past the window, though not past the deadline, and before the core's next sweep
 		}
 		s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 		if got := strings.Contains(w.takeOutput(), "id=1"); got == late {
@@ -1001,7 +1008,8 @@
 	}
 }
 
-// TestLeftWhileItsConnectionBreaks: a client goes in the same turn in which the connection breaks that its request waits for.
+// TestClientLeavesAsConnectionBreaks disconnects a client in the same step in which the connection breaks that its
+// request waits for.
 func TestClientLeavesAsConnectionBreaks(t *testing.T) {
 	for _, order := range [][2]int{{0, 1}, {1, 0}} {
 		s := newHarness(t, 20, true)
@@ -1016,14 +1024,14 @@
 		}
 		for _, w := range s.dials {
 			if strings.Contains(w.takeOutput(), "id=2") {
-				t.Error("a request is sent on whose client has gone")
+				t.Error("a request is sent whose client has disconnected")
 			}
 		}
 	}
 }
 
-// TestCancelled: a client's word on another connection ends the request in hand, held or sent, with one answer, and what
-// follows on the connection is served; a key that is not its own does nothing.
+// TestCancelled checks that a cancel request on another connection ends the pending request, queued or sent, with one
+// answer, and that later requests on the connection are served. The key of another client must have no effect.
 func TestCancelled(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		s := newHarness(t, 20)
@@ -1043,7 +1051,7 @@
 		cancel := func(key string) {
 			other := &fakeLink{in: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e" + key)}
 			if s.step(Event{other, Accepted | Readable}); !other.finished {
-				t.Error("it is kept open")
+				t.Error("the cancelling connection is kept open")
 			}
 		}
 		cancel(key[:7] + string(key[7]^1))
@@ -1052,7 +1060,7 @@
 			t.Fatalf("another's key: %q", got)
 		}
 		if cancel(key); sent && !first.closed {
-			t.Error("its attempt goes on")
+			t.Error("its attempt is not cancelled")
 		}
 		if got := code(t, w.takeOutput()); got != pgwire.QueryCanceled {
 			t.Fatalf("cancelled: %s", got)
@@ -1064,17 +1072,18 @@
 		}
 		for _, d := range s.dials {
 			if !sent && strings.Contains(string(d.out), "id=1,") {
-				t.Error("a request that was cancelled is sent on")
+				t.Error("a cancelled request is sent")
 			}
 		}
-		cancel(key) // nothing is in hand
+		cancel(key) // no request is pending
 		if got := w.takeOutput(); got != "" {
 			t.Errorf("after the end: %q", got)
 		}
 	}
 }
 
-// TestLastAnswerNotOut: a client whose last answer the system has not taken yet is not hung up on to make room.
+// TestEvictionSparesUnsentAnswer checks that a client whose last answer the system has not accepted yet is not closed
+// to make room.
 func TestEvictionSparesUnsentAnswer(t *testing.T) {
 	s := newHarness(t, 40, true)
 	slow, other := s.newClient(), s.newClient()
@@ -1088,47 +1097,48 @@
 	}
 }
 
-// TestShortLimitsAndNewConnections: where clients' limits are short, new connections still come when most of them is over.
+// TestShortLimitsAndNewConnections checks that, where clients' deadlines are short, new connections are accepted for
+// long enough after the shutdown signal: they still arrive when most of that time is over.
 func TestShortLimitsAndNewConnections(t *testing.T) {
 	s := newHarness(t, 20)
 	s.core.classes.longest = 2 * second / 10
 	s.core.limits.ShutdownGrace = 6 * second / 10
 	s.core.Stop(s.now)
 	if s.advance(4*second/10 + 1); s.core.Stopping() {
-		t.Error("no more are taken in while they still come")
+		t.Error("no more clients are accepted while they still arrive")
 	}
 	if s.advance(second / 2); !s.core.Stopping() {
-		t.Error("it goes on for ever")
+		t.Error("the shutdown does not end")
 	}
 }
 
-// TestClientsThatDoNotHangUp: one that was hung up on and does not do so itself is let go after a rest, at once where room is
-// needed, and at the end by force.
+// TestClientsThatKeepClosedConnections checks that a client whose connection the front has ended, and which does not
+// close its side, is closed after an idle time, at once where room is needed, and at the forced end.
 func TestClientsThatKeepClosedConnections(t *testing.T) {
 	s := newHarness(t, 20)
 	a, b := s.newClient(), s.newClient()
 	s.send(a, "X\x00\x00\x00\x04")
 	if s.advance(second); !a.finished || a.closed {
-		t.Fatal("it is not waited for")
+		t.Fatal("the client is closed at once")
 	}
 	if s.advance(2 * second); !a.closed || b.closed {
-		t.Error("it is waited for without an end")
+		t.Error("the client is never closed")
 	}
 	c := s.newClient()
 	s.send(c, "X\x00\x00\x00\x04")
 	s.advance(closeNoticeDelay)
 	s.core.limits.MaxClients = 2
 	if d := s.newClient(); !c.closed || b.closed || d.closed {
-		t.Error("it is not the first to yield")
+		t.Error("the client is not the first to be evicted")
 	}
 	s.core.Stop(s.now)
 	if s.advance(6 * second); !b.closed || !s.core.Done() {
-		t.Error("the front's end waits for it")
+		t.Error("the front's shutdown waits for the client")
 	}
 }
 
-// TestBoundedReadWaitsForItsConnection: a read of data no older than a bound waits for its replica's connection; once what
-// the replica was known to have is older than that, it is not sent there.
+// TestBoundedReadWaitsForItsConnection covers a read with a staleness bound that waits for its replica's connection.
+// Once the position known of the replica is older than the bound, the read must not be sent there.
 func TestBoundedReadWaitsForItsConnection(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		s := newHarness(t, 20, true)
@@ -1143,20 +1153,20 @@
 		}
 		w := s.dials[0]
 		if w.takeOutput(); late {
-			s.advance(1100) // the beats too: the store's connection is late, and the read is placed anew meanwhile
+			s.advance(1100) // with ticks: the store's connection is late, and the read is routed again meanwhile
 		}
 		s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready)
 		if got := strings.Contains(w.takeOutput(), "id=1"); got == late {
 			t.Errorf("late %v: written %v", late, got)
 		}
 		if late && len(s.dials) < 2 {
-			t.Error("it does not go to the primary")
+			t.Error("the read does not go to the primary")
 		}
 	}
 }
 
-// TestStoreThatDrainsMeanwhile: a request waits for the connection to a store that is told to drain; it is not sent there
-// once the connection is up, but to another.
+// TestStoreDrainsWhileRequestWaits covers a request that waits for a connection to a store which then drains. Once the
+// connection is established, the request must be sent to another store.
 func TestStoreDrainsWhileRequestWaits(t *testing.T) {
 	s := newHarness(t, 20, true)
 	line := StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}}
@@ -1167,7 +1177,7 @@
 	w := s.dials[0]
 	w.takeOutput()
 	line.ID, line.Addr = "s", "127.0.0.1:1"
-	for _, id := range []string{"r", "s"} { // wherever it went
+	for _, id := range []string{"r", "s"} { // whichever store it went to
 		if c := s.core.conns[0]; s.core.stores[c.store].id == id {
 			line.ID, line.Addr, line.Condition = id, "", balance.Draining
 			s.core.UpdateStores(StoreList{Kind: balance.ListChanges, Entries: []StoreEntry{line}})
@@ -1175,11 +1185,11 @@
 	}
 	s.step()
 	if s.send(w, "R\x00\x00\x00\x08\x00\x00\x00\x00", ready); strings.Contains(w.takeOutput(), "id=1") {
-		t.Error("it is sent to a store that drains")
+		t.Error("the request is sent to a draining store")
 	}
 	s.advance(second / 10)
 	if len(s.dials) < 2 {
-		t.Fatal("it goes nowhere else")
+		t.Fatal("the request is sent to no other store")
 	}
 	s.send(s.welcomeNewest(), value, ready)
 	if got := cl.takeOutput(); got != value+ready {
@@ -1187,8 +1197,8 @@
 	}
 }
 
-// TestAnswerThatStopsShort: a write's answer comes but for its last message. The session's next read does not go where the
-// write is not known to be, though the write's attempt is still out.
+// TestTruncatedWriteAnswer covers a write whose answer arrives without its last message. The session's next read must
+// not go to a store that is not known to have the write, though the write's attempt has not ended.
 func TestTruncatedWriteAnswer(t *testing.T) {
 	for cut := range 3 {
 		s := newHarness(t, 20)
@@ -1205,7 +1215,7 @@
 		s.send(st, parts[cut])
 		s.send(reader, ask("session", 2))
 		for n := range s.core.requests {
-			if req := &s.core.requests[n]; req.inUse && string(req.terms.ID) == "2" && (req.awaitsConn || req.attemptConn != nil) && s.core.stores[req.store].id == "r" {
+			if req := &s.core.requests[n]; req.inUse && string(req.metadata.ID) == "2" && (req.awaitsConn || req.attemptConn != nil) && s.core.stores[req.store].id == "r" {
 				t.Errorf("part %d: the read goes to the replica", cut)
 			}
 		}
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -10,48 +10,49 @@
 )
 
 const (
-	maxPipelined              = 16      // requests of one client that may be in hand behind its first
-	maxPipelinedTotal         = 1024    // the same of all clients
-	maxArrivalMarks           = 16      // arrivals of one client's messages that are told apart
-	defaultMaxBufferedReplies = 1 << 20 // bytes of answers that wait for their turn, where the limits name no other bound
+	maxPipelined              = 16      // pending requests of one client behind its first
+	maxPipelinedTotal         = 1024    // pending requests of all clients behind their first
+	maxArrivalMarks           = 16      // distinct arrival times kept for one client's messages
+	defaultMaxBufferedReplies = 1 << 20 // bytes of answers that wait for their turn, where Limits sets no bound
 )
 
-// pipelinedRequest is a request that is in hand, or answered, behind another of its client. The answers go out in the order of
-// the commands, so its own waits here until all before it are out.
+// pipelinedRequest is a request that is pending or answered behind another of its client. Answers are sent in the order
+// of the commands, so its answer waits here until all earlier ones are sent.
 type pipelinedRequest struct {
-	request int32  // in hand, or -1 once reply is complete
-	size    int    // bytes of the command in the client's ring
+	request int32  // index of the pending request, or -1 once reply is complete
+	size    int    // bytes of the command in the client's read buffer
 	reply   []byte // final answer
 }
 
-// pipeline is what a client has sent behind the request in hand.
+// pipeline holds the requests that a client has sent behind its pending request.
 //
-// Danger: a client counts each request's time from its last byte. Were the commands taken one after the other, the
-// last of n would wait for n-1 deadlines and be lost.
+// A client counts each request's time from its last byte. If commands were processed one after another, the last of n
+// would wait for n-1 deadlines and be lost.
 type pipeline struct {
 	queue       []pipelinedRequest // in the order of the commands
-	parsedBytes int                // bytes of the ring that the request in hand and those behind it have
+	parsedBytes int                // bytes of the read buffer that belong to the pending request and those behind it
 	arrivals    arrivalTimes
 }
 
-// arrivalTimes tells when the last bytes of messages came in that have not been parsed yet. It keeps at most mostMarks moments:
-// past that a message counts as come with the one before it, which is never later than it did.
+// arrivalTimes records when the last bytes of messages arrived that have not been parsed yet. It keeps at most
+// maxArrivalMarks times; beyond that a message counts as arrived with the one before it, which is never later than it
+// did.
 type arrivalTimes struct {
-	scanned int // bytes of the ring that whole messages have
+	scanned int // bytes of the read buffer that belong to complete messages
 	marks   [maxArrivalMarks]arrival
 	count   int
 }
 
-// arrival is the moment by which the ring held end bytes.
+// arrival is the time by which the read buffer held end bytes.
 type arrival struct {
 	end int
 	at  Time
 }
 
-// scan looks for the ends of messages in what the ring holds now.
-func (a *arrivalTimes) scan(ring []byte, now Time) {
-	for a.scanned <= len(ring) {
-		_, _, size, err := pgwire.ParseMessage(ring[a.scanned:], pgwire.MaxQuerySize)
+// scan looks for the ends of complete messages in the read buffer ring.
+func (a *arrivalTimes) scan(buffer []byte, now Time) {
+	for a.scanned <= len(buffer) {
+		_, _, size, err := pgwire.ParseMessage(buffer[a.scanned:], pgwire.MaxQuerySize)
 		if err != nil || size == 0 {
 			return
 		}
@@ -60,7 +61,7 @@
 	}
 }
 
-// record tells that a message ends where the ring holds end bytes.
+// record records that a message ends where the read buffer holds end bytes.
 func (a *arrivalTimes) record(end int, now Time) {
 	if a.count > 0 && (a.count == maxArrivalMarks || a.marks[a.count-1].at == now) {
 		a.marks[a.count-1].end = end
@@ -70,7 +71,7 @@
 	a.count++
 }
 
-// arrivedAt gives the moment by which the ring held end bytes; now if nobody noted it.
+// arrivedAt returns the time by which the read buffer held end bytes, or now if none is recorded.
 func (a *arrivalTimes) arrivedAt(end int, now Time) Time {
 	for _, mark := range a.marks[:a.count] {
 		if mark.end >= end {
@@ -80,7 +81,7 @@
 	return now
 }
 
-// discard tells that the ring's first size bytes are gone.
+// discard adjusts the offsets after the first size bytes of the read buffer were dropped.
 func (a *arrivalTimes) discard(size int) {
 	a.scanned = max(a.scanned-size, 0)
 	kept := 0
@@ -93,7 +94,7 @@
 	a.count = kept
 }
 
-// discard drops the ring's first size bytes, which belong to no request in hand any more.
+// discard drops the first size bytes of the read buffer, which belong to no pending request any more.
 func (cl *client) discard(c *Core, size int) {
 	cl.link.Discard(size)
 	cl.pipeline.arrivals.discard(size)
@@ -105,10 +106,10 @@
 	}
 }
 
-// startPipelined begins the client's next command while others of its are in hand; false: it has to wait for them. What is
-// no sound request waits, so that everything else is said between requests.
+// startPipelined starts the client's next command while others of its are pending. It returns false if the command has
+// to wait for them. A command that is not a valid request waits, so that everything else is answered between requests.
 func (cl *client) startPipelined(c *Core) bool {
-	if _, speaks := cl.protocol.(postgres); !speaks {
+	if _, isPostgres := cl.protocol.(postgres); !isPostgres {
 		return false
 	}
 	if len(cl.pipeline.queue) >= maxPipelined || c.pipelined >= maxPipelinedTotal {
@@ -135,16 +136,16 @@
 	if fault != noFault {
 		return false
 	}
-	request := &c.requests[index]
-	request.offset = offset
-	request.arrivedAt = cl.pipeline.arrivals.arrivedAt(offset+size, c.now)
+	req := &c.requests[index]
+	req.offset = offset
+	req.arrivedAt = cl.pipeline.arrivals.arrivedAt(offset+size, c.now)
 	cl.pipeline.queue = append(cl.pipeline.queue, pipelinedRequest{request: index, size: size})
 	cl.pipeline.parsedBytes += size
 	c.pipelined++
 	return true
 }
 
-// independent tells whether a request may run beside all that its client has in hand.
+// independent reports whether a request may run concurrently with all pending requests of its client.
 func (cl *client) independent(c *Core, class int, query *metadata.Request) bool {
 	if !c.mayRunConcurrently(cl.request, class, query) {
 		return false
@@ -157,10 +158,11 @@
 	return true
 }
 
-// mayRunConcurrently tells whether a request may run beside an earlier one of its connection: reads beside reads, writes never
-// beside writes, and both beside each other where their sessions differ, since no fence holds from one to another.
+// mayRunConcurrently reports whether a request may run concurrently with an earlier one of its connection. Reads may
+// run beside reads; writes never run beside writes; a read and a write run concurrently only if their sessions differ,
+// since no fence applies from one session to another.
 //
-// Danger: within its session a command has to see the effect of those before it, and none of those behind it.
+// Within its session a command has to see the effect of the commands before it, and none of those behind it.
 func (c *Core) mayRunConcurrently(earlier int32, class int, query *metadata.Request) bool {
 	before := &c.requests[earlier]
 	writes, wrote := c.classes.settings[class].Need == balance.Write, before.class().Need == balance.Write
@@ -170,11 +172,11 @@
 	if writes && wrote {
 		return false
 	}
-	return len(query.Session) > 0 && len(before.terms.Session) > 0 &&
-		(query.Group != before.terms.Group || !bytes.Equal(query.Session, before.terms.Session))
+	return len(query.Session) > 0 && len(before.metadata.Session) > 0 &&
+		(query.Group != before.metadata.Group || !bytes.Equal(query.Session, before.metadata.Session))
 }
 
-// bufferReply stores the final answer of a request behind others until its turn comes.
+// bufferReply stores the final answer of a pipelined request until its turn comes.
 func (cl *client) bufferReply(c *Core, index int32, text []byte) {
 	if c.bufferedBytes+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultMaxBufferedReplies) {
 		text = cl.protocol.failureReply(nil, "no memory for the answer")
@@ -189,8 +191,8 @@
 	}
 }
 
-// advance puts the next request of the client in hand, behind the one that was just answered. Answers that waited for
-// their turn go out.
+// advance makes the client's next request the pending one, after the previous one was answered. Answers whose turn has
+// come are sent.
 func (cl *client) advance(c *Core) {
 	cl.request = -1
 	for cl.index >= 0 && len(cl.pipeline.queue) > 0 {
@@ -207,7 +209,7 @@
 	}
 }
 
-// abandonPipeline gives up all that the client has in hand behind its first request.
+// abandonPipeline abandons all requests behind the client's first.
 func (cl *client) abandonPipeline(c *Core) {
 	for _, behind := range cl.pipeline.queue {
 		if behind.request >= 0 {
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -8,13 +8,13 @@
 	"micatrack/internal/pgwire"
 )
 
-// keyed is a query of that class and time on the entry of that key.
+// keyed returns a query of that class and timeout on the entry of that key.
 func keyed(class string, id int, milliseconds int, key string) string {
 	return string(pgwire.AppendSimpleQuery(nil,
 		fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=3 */ SELECT '%s'", id, class, milliseconds, key)))
 }
 
-// carrierOf gives the open connection to the store that carries the request of that id.
+// carrierOf returns the open store connection that carries the request of that id.
 func (s *harness) carrierOf(id int) *fakeLink {
 	s.t.Helper()
 	for _, dial := range s.dials {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// welcomeAll answers the start of all connections to the store.
+// welcomeAll answers the startup of all connections to the store.
 func (s *harness) welcomeAll() {
 	for n := 0; n < len(s.dials); n++ {
 		if dial := s.dials[n]; strings.HasPrefix(string(dial.out), "\x00") {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestPipelinedReadsRunTogether: reads that came behind another are sent on with it, each with its own time; the answers
-// go out in the order of the commands, whichever the store gives first.
+// TestPipelinedReadsRunTogether checks that pipelined reads are sent to the store together, each with its own timeout,
+// and that the answers are sent in the order of the commands, whichever the store gives first.
 func TestPipelinedReadsRunTogether(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -44,7 +44,7 @@
 	s.welcomeAll()
 	first, second, third := s.carrierOf(1), s.carrierOf(2), s.carrierOf(3)
 	if first == nil || second == nil || third == nil {
-		t.Fatal("not all are sent on")
+		t.Fatal("not all are sent")
 	}
 	s.send(third, row("cc")+ready)
 	s.send(second, row("bb")+ready)
@@ -52,21 +52,21 @@
 		t.Fatalf("answered out of order: %q", got)
 	}
 	if s.core.bufferedBytes != 2*len(row("bb")+ready) {
-		t.Errorf("%d bytes kept", s.core.bufferedBytes)
+		t.Errorf("%d bytes buffered", s.core.bufferedBytes)
 	}
 	s.send(first, row("aa")+ready)
 	if got := cl.takeOutput(); got != row("aa")+ready+row("bb")+ready+row("cc")+ready {
 		t.Fatalf("answers %q", got)
 	}
 	if len(cl.in) != 0 || s.core.bufferedBytes != 0 || s.core.pipelined != 0 {
-		t.Errorf("%d bytes unread, %d kept, %d behind", len(cl.in), s.core.bufferedBytes, s.core.pipelined)
+		t.Errorf("%d bytes unread, %d buffered, %d pipelined", len(cl.in), s.core.bufferedBytes, s.core.pipelined)
 	}
 	s.step(Event{cl, Closed})
 	s.checkReleased(0)
 }
 
-// TestPipelinedTimeCountsFromItsLastByte: what waits behind a write of its session is answered as soon as the write is,
-// once its own time is over, and is not sent on then.
+// TestPipelinedDeadlineFromLastByte checks that a read behind a write of its session whose time has run out is answered
+// as soon as the write is, and is not sent then.
 func TestPipelinedDeadlineFromLastByte(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -74,7 +74,7 @@
 	s.send(cl, write, read[:len(read)-1])
 	s.welcomeAll()
 	s.advance(second / 2)
-	s.send(cl, read[len(read)-1:]) // its time begins here
+	s.send(cl, read[len(read)-1:]) // its time starts here
 	s.advance(second * 9 / 10)
 	s.send(s.carrierOf(1), value, ready)
 	if got := cl.takeOutput(); got != value+ready {
@@ -83,10 +83,10 @@
 	s.welcomeAll()
 	carrier := s.carrierOf(2)
 	if carrier == nil {
-		t.Fatal("a read with a tenth of its time left is not sent on")
+		t.Fatal("a read with a tenth of its time left is not sent")
 	}
 	if left := string(carrier.out); !strings.Contains(left, "d=99,") && !strings.Contains(left, "d=98,") {
-		t.Errorf("it tells its store %q", left[strings.Index(left, "id=2"):])
+		t.Errorf("its store is sent the timeout %q", left[strings.Index(left, "id=2"):])
 	}
 	s.send(carrier, value, ready)
 	cl.takeOutput()
@@ -100,14 +100,14 @@
 		t.Errorf("answers %q", got)
 	}
 	if s.carrierOf(4) != nil {
-		t.Error("it is sent on after its time")
+		t.Error("it is sent after its time")
 	}
 	s.step(Event{cl, Closed})
 	s.checkReleased(0)
 }
 
-// TestPipelinedOrderWithinASession: a read waits for the write before it on the same entry, a write for a read; entries
-// of other sessions go on beside them, and writes keep their order.
+// TestPipelinedOrderWithinASession checks that a read waits for the write before it on the same entry, and a write for
+// a read. Entries of other sessions run concurrently, and writes keep their order.
 func TestPipelinedOrderWithinASession(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -126,13 +126,13 @@
 		s.send(cl, c.before, c.behind)
 		s.welcomeAll()
 		if got := s.carrierOf(2) != nil; got != c.together {
-			t.Errorf("%s: together %v", c.name, got)
+			t.Errorf("%s: concurrent %v", c.name, got)
 			continue
 		}
 		s.send(s.carrierOf(1), value, ready)
 		s.welcomeAll()
 		if s.carrierOf(2) == nil {
-			t.Errorf("%s: never sent on", c.name)
+			t.Errorf("%s: never sent", c.name)
 			continue
 		}
 		s.send(s.carrierOf(2), value, ready)
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestPipelineBounds: of what one client sends at once no more than mostBehind requests are in hand behind the first, and
-// answers past the bound of memory are failures; all are answered once, in order.
+// TestPipelineBounds checks that at most maxPipelined requests of one client are pending behind the first, and that
+// answers past the memory bound become failures; all are answered once, in order.
 func TestPipelineBounds(t *testing.T) {
 	s := newHarness(t, 200)
 	s.core.limits.MaxBufferedReplies = 2 * len(value+ready)
@@ -156,7 +156,7 @@
 	}
 	s.send(cl, text)
 	if s.core.pending != maxPipelined+1 {
-		t.Errorf("%d in hand", s.core.pending)
+		t.Errorf("%d pending", s.core.pending)
 	}
 	s.welcomeAll()
 	for id := maxPipelined + 1; id > 0; id-- {
@@ -165,7 +165,7 @@
 			carrier.takeOutput()
 		}
 		if s.core.bufferedBytes > s.core.limits.MaxBufferedReplies+maxPipelined*80 {
-			t.Errorf("%d bytes kept", s.core.bufferedBytes)
+			t.Errorf("%d bytes buffered", s.core.bufferedBytes)
 		}
 	}
 	s.advance(3 * second)
@@ -177,7 +177,8 @@
 	s.checkReleased(0)
 }
 
-// TestPipelineOfOneThatGoesAhead: a client that goes leaves nothing behind of what it had in hand, answered or not.
+// TestPipelineOfDisconnectedClient checks that everything is released that a disconnected client had pending, answered
+// or not.
 func TestPipelineOfDisconnectedClient(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -188,17 +189,17 @@
 	s.step(Event{cl, Closed})
 	for _, carrier := range carriers {
 		if !carrier.closed {
-			t.Error("an attempt goes on")
+			t.Error("an attempt is not cancelled")
 		}
 	}
 	if s.core.bufferedBytes != 0 || s.core.pipelined != 0 {
-		t.Errorf("%d kept, %d behind", s.core.bufferedBytes, s.core.pipelined)
+		t.Errorf("%d buffered, %d pipelined", s.core.bufferedBytes, s.core.pipelined)
 	}
 	s.checkReleased(0)
 }
 
-// TestStopWithAPipeline: at the end all that was read before the connection ends is answered, and it ends behind the last
-// answer; what comes behind the end is not taken.
+// TestShutdownWithPipeline checks that during a shutdown every request that was read before the connection ends is
+// answered, and that the connection ends after the last answer; later input is not accepted.
 func TestShutdownWithPipeline(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -220,15 +221,16 @@
 	}
 	s.send(cl, keyed("any", 4, 5000, "d"))
 	if !cl.finished || s.carrierOf(4) != nil {
-		t.Errorf("ended %v, sent on what came after the end: %v", cl.finished, s.carrierOf(4) != nil)
+		t.Errorf("ended %v, sent input received after the end: %v", cl.finished, s.carrierOf(4) != nil)
 	}
 	s.step(Event{cl, Closed})
 	s.advance(second)
 	s.checkReleased(0)
 }
 
-// TestPipelineAtShutdown forces SIGTERM while one request is in hand and others of the same client have been read behind
-// it. Each that was read before the front ended the connection is answered, in order, and then it is hung up on.
+// TestPipelineAtShutdown forces SIGTERM while one request is pending and others of the same client have been read
+// behind it. Each request that was read before the front ended the connection must be answered, in order, before the
+// client is closed.
 func TestPipelineAtShutdown(t *testing.T) {
 	s := newHarness(t, 20)
 	cl := s.newClient()
@@ -236,7 +238,7 @@
 	s.send(cl, long(1), long(2), ask("any", 3))
 	st := s.welcomeNewest()
 	s.core.Stop(s.now)
-	s.advance(second * 5 / 2) // idle clients are hung up on by now
+	s.advance(second * 5 / 2) // idle clients are closed by now
 	s.send(st, value, ready)
 	for range 3 {
 		if !st.closed && strings.Contains(string(st.out), "id=") {
@@ -247,13 +249,13 @@
 	}
 	s.advance(2 * second)
 	if got := cl.takeOutput(); strings.Count(got, ready) != 3 || !cl.finished {
-		t.Errorf("%d of 3 requests that were read are answered, hung up on %v: %q", strings.Count(got, ready), cl.finished, got)
+		t.Errorf("%d of 3 requests that were read are answered, closed %v: %q", strings.Count(got, ready), cl.finished, got)
 	}
 }
 
-// TestArrivals: moments are told apart up to the bound, past it messages never count as come too late, and one that comes
-// in more pieces than that counts from its last byte.
-func TestArrivals(t *testing.T) {
+// TestArrivalTimes checks that arrival times are distinct up to the bound, that beyond it a message never counts as
+// arrived too late, and that a message in more pieces than the bound counts from its last byte.
+func TestArrivalTimes(t *testing.T) {
 	const size = 10 // bytes of a message
 	message := "S\x00\x00\x00\x09-----"
 	var a arrivalTimes
@@ -270,7 +272,7 @@
 		t.Errorf("after a message was dropped: %+v", a)
 	}
 	if a.arrivedAt(1000, 99) != 99 {
-		t.Error("what was never noted came now")
+		t.Error("an arrival that was never recorded does not count as now")
 	}
 	a = arrivalTimes{}
 	long := "Q\x00\x00\x03\xe8" + strings.Repeat("-", 996)
@@ -278,7 +280,7 @@
 		a.scan([]byte(long[:n]), Time(n))
 	}
 	if got := a.arrivedAt(len(long), 99); got != Time(len(long)) || a.count != 1 {
-		t.Errorf("in pieces: came at %d, of %d", got, len(long))
+		t.Errorf("in pieces: arrived at %d, of %d", got, len(long))
 	}
-	a.scan([]byte("?\xff\xff\xff\xff"), 5) // what cannot be read ends nothing
+	a.scan([]byte("?\xff\xff\xff\xff"), 5) // input that cannot be parsed ends no message
 }
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -8,9 +8,9 @@
 	"micatrack/internal/pgwire"
 )
 
-const messageHeaderSize = 5 // bytes of a message's kind and length
+const messageHeaderSize = 5 // bytes of a message's type and length
 
-// postgres is version 3 of PostgreSQL's protocol, to clients and to stores.
+// postgres implements version 3 of the PostgreSQL protocol, for clients and for stores.
 type postgres struct{}
 
 func (postgres) inputAvailable(*client, *Core) {}
@@ -66,7 +66,8 @@
 	k.write(c, c.scratch)
 }
 
-// broken: what came before something senseless proves nothing, but a store's whole word does.
+// lossEnding returns what is proven about a request on a closed connection. Messages before one that cannot be parsed
+// prove nothing, but a complete error of the store does.
 func (postgres) lossEnding(k *conn, _ *Core) balance.Ending {
 	switch {
 	case k.errorCode != "" && k.parts == 0:
@@ -79,14 +80,14 @@
 
 func (postgres) provenNoEffect(*conn) bool { return false }
 
-// fatal ends a connection whose stream cannot be followed any more.
+// fatal ends a connection whose stream cannot be parsed any further.
 func (cl *client) fatal(c *Core, cause closeCause, code, text string) {
 	c.scratch = pgwire.AppendError(c.scratch[:0], "FATAL", code, text, "")
 	cl.write(c, c.scratch)
 	cl.finish(c, cause)
 }
 
-// declineConnection reads as far as it must to tell a client that there is no room.
+// declineConnection reads as much as is needed to tell a client that there is no room.
 func (postgres) declineConnection(cl *client, c *Core, in []byte) int {
 	code, n, err := pgwire.ParseStartup(in)
 	if err == nil && n > 0 && (code == pgwire.SSLRequest || code == pgwire.GSSENCRequest) {
@@ -137,7 +138,7 @@
 		cl.write(c, pgwire.AppendReady(c.scratch[:0]))
 	case kind == 'Q':
 		cl.handleQuery(c, body)
-	case kind == 'd' || kind == 'c' || kind == 'f': // copy data that nothing waits for
+	case kind == 'd' || kind == 'c' || kind == 'f': // copy data that nothing expects
 	case kind == 'P' || kind == 'B' || kind == 'D' || kind == 'E' || kind == 'C' || kind == 'H':
 		cl.skipToSync = true
 		cl.write(c, pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.FeatureNotSupported, "only simple queries are served", ""))
@@ -149,12 +150,13 @@
 	return n
 }
 
-// reject answers a command that is no request.
+// reject sends an error for a command that is not a request.
 func (cl *client) reject(c *Core, code, text string) {
 	c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", code, text, "")
 	cl.write(c, pgwire.AppendReady(c.scratch))
 }
 
+// handleQuery starts the request of a simple query message.
 func (cl *client) handleQuery(c *Core, body []byte) {
 	text, rest, ok := pgwire.ParseString(body)
 	if !ok || len(rest) > 0 {
@@ -178,6 +180,7 @@
 	cl.request = index
 }
 
+// blank reports whether a query text contains no statement.
 func blank(text []byte) bool {
 	for _, b := range text {
 		if b != ' ' && b != '\t' && b != '\n' && b != '\r' && b != ';' {
@@ -187,14 +190,14 @@
 	return true
 }
 
-// readAnswers looks at the messages that have come in whole. What may be passed on stays in the ring.
+// readAnswers processes the complete messages that have arrived. What may be forwarded stays in the read buffer.
 func (postgres) readAnswers(k *conn, c *Core) {
 	in := k.link.Peek()
 	for k.index >= 0 {
 		kind, body, n, err := pgwire.ParseMessage(in[k.parsedBytes:], c.limits.MaxStoreMessage)
 		if err != nil || n > 0 && !k.onMessage(k, c, kind, body) {
 			if k.ready {
-				k.errorCode = "" // Danger: what came before something senseless proves nothing.
+				k.errorCode = "" // messages before one that cannot be parsed prove nothing
 			}
 			c.logLimited("store connection closed", "store", k.store, "message", string(kind), "code", k.errorCode)
 			k.connectionLost(c)
@@ -207,16 +210,16 @@
 			}
 			if k.answerDone && len(in) == 0 {
 				k.carryNextOrIdle(c)
-			} else if k.link.ReadBufferFull() { // more than a value may be, or all rings together may not grow any more
+			} else if k.link.ReadBufferFull() { // larger than a value may be, or the total size of all read buffers may not grow
 				k.connectionLost(c)
 			}
 			return
 		}
 		k.parsedBytes += n
-		if kind == 'Z' || k.idle || k.answerDone { // all up to here has been used
+		if kind == 'Z' || k.idle || k.answerDone { // all messages so far are processed
 			k.link.Discard(k.parsedBytes)
 			if k.parsedBytes = 0; !k.idle && !k.answerDone {
-				// Danger: what stands behind the end of an answer would be taken for the next one's.
+				// Messages behind the end of an answer would be taken for the next request's answer.
 				k.answerDone, k.onMessage = true, readWhileIdle
 			}
 			in = k.link.Peek()
@@ -224,7 +227,7 @@
 	}
 }
 
-// readStartup follows the connection's start up to its first ReadyForQuery.
+// readStartup handles the messages of a connection's startup up to the first ReadyForQuery.
 func readStartup(k *conn, c *Core, kind byte, body []byte) bool {
 	switch kind {
 	case 'R':
@@ -241,12 +244,13 @@
 	return true
 }
 
-// rests: a connection that nothing is asked on brings changed parameters and notices at most.
+// readWhileIdle handles messages while no request is on the connection, which may only be changed parameters and
+// notices.
 func readWhileIdle(k *conn, c *Core, kind byte, body []byte) bool {
 	return kind == 'S' || kind == 'N'
 }
 
-// readAnswer gathers the answer to a query.
+// readAnswer handles the messages of the answer to a query.
 func readAnswer(k *conn, c *Core, kind byte, body []byte) bool {
 	switch kind {
 	case 'T', 'D', 'C':
@@ -278,8 +282,8 @@
 	return true
 }
 
-// readParameter takes what a store says of itself beside its answer.
-// Danger: a value that cannot be read says nothing, and must not spoil an answer that has run.
+// readParameter reads what a store reports about itself along with an answer. A value that cannot be parsed is ignored;
+// it must not invalidate the answer of a query that has run.
 func (k *conn) readParameter(body []byte) bool {
 	name, rest, ok := pgwire.ParseString(body)
 	value, _, ok2 := pgwire.ParseString(rest)
@@ -301,7 +305,7 @@
 	return true
 }
 
-// parseLoadReport reads the values of a load report that the module goes by; a position counts in seconds there.
+// parseLoadReport parses the values of a load report that the balancer uses. Positions in the report are in seconds.
 func parseLoadReport(text string) (r balance.Report, ok bool) {
 	for text != "" {
 		pair, more, _ := strings.Cut(text, ",")
@@ -316,7 +320,7 @@
 			if err != nil || n < 0 {
 				return balance.Report{}, false
 			}
-			part = (part + "0000")[:4] // cut off, never rounded up
+			part = (part + "0000")[:4] // truncated, never rounded up
 			tenths, err := strconv.ParseUint(part, 10, 16)
 			if err != nil {
 				return balance.Report{}, false
@@ -335,7 +339,7 @@
 	return r, true
 }
 
-// completeAnswer is the end of an answer: what it was to the module, and the value to the client.
+// completeAnswer handles the end of an answer: it reports the result to the balancer and sends the value to the client.
 func (k *conn) completeAnswer(c *Core) bool {
 	e := k.current
 	r := balance.Result{Note: k.report, Load: k.loadReport, Since: k.connectedAt}
@@ -344,7 +348,7 @@
 		r.Ending = balance.Served
 	case k.errorCode == "":
 		return false
-	case k.parts > 0: // a refusal after part of an answer is none
+	case k.parts > 0: // an error after part of an answer is not a refusal
 		r.Ending = balance.Failed
 	default:
 		r.Ending = errorEnding(k.errorCode)
@@ -357,7 +361,7 @@
 		return true
 	}
 	if r.Ending == balance.Served && k.report.Position < c.requests[e.request].minPosition {
-		// Danger: another front's word that this store has the log so far may be wrong, and the read stale.
+		// Another front's report that this store has reached the position may be wrong, and the read would be stale.
 		r.Ending = balance.NotEligible
 	}
 	if r.Ending == balance.Served && !c.requests[e.request].concluded {
@@ -374,7 +378,7 @@
 	return true
 }
 
-// errorEnding tells what a store's error is to the module. What is not known never to have run may have.
+// errorEnding returns the ending that a store's SQLSTATE means. A request not known never to have run may have run.
 func errorEnding(code string) balance.Ending {
 	switch code {
 	case pgwire.ReadOnlyTransaction, pgwire.SnapshotTooOld:
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -6,12 +6,12 @@
 	"micatrack/internal/settings"
 )
 
-// classTable is what the core knows of the settings' classes, numbered as the settings have them. It is replaced as a
-// whole and never changed, so a request goes by the one under which it came.
+// classTable holds the classes of the settings, in the order of the settings. It is replaced as a whole and never
+// changed, so that a request keeps the table that was in force when it arrived.
 type classTable struct {
 	settings []balance.Class
 	byName   map[string]int
-	longest  Time // of the classes' deadlines
+	longest  Time // longest deadline of the classes
 }
 
 func newClassTable(classes []balance.Class) *classTable {
@@ -23,18 +23,19 @@
 	return table
 }
 
-// class is the one under which a request came.
+// class returns the request's class, by the settings in force when the request arrived or was last admitted anew.
 func (r *request) class() *balance.Class { return &r.classes.settings[r.classIndex] }
 
-// Settings is what a front goes by that may change while it runs.
+// Settings holds the settings of a front that may change while it runs.
 type Settings struct {
-	Balancer  balance.Settings
-	Host      settings.Process
-	Admission *admission.Bounds // nil: there is no door
+	Balancer  balance.Settings  // settings of the balancer
+	Host      settings.Process  // settings of the process
+	Admission *admission.Bounds // nil: no admission control
 }
 
-// Configure puts other settings in force, as a whole or, if it returns an error, not at all. Requests that the module
-// has in hand go on by the class that they came under; those that wait at the door are admitted anew.
+// Configure puts other settings in force, either completely or, if it returns an error, not at all. Requests that the
+// balancer has been given keep the class under which they arrived; those that wait for admission are submitted to
+// admission control again.
 func (c *Core) Configure(now Time, s Settings) error {
 	successor, waiting, err := c.nextAdmission(now, &s)
 	if err != nil {
@@ -47,12 +48,12 @@
 	c.arrived = append(c.arrived, waiting...)
 	c.classes = newClassTable(s.Balancer.Classes)
 	c.host, c.settings = s.Host, s
-	c.nextWake = min(c.nextWake, now) // what waits here is looked at in the next step
+	c.nextWake = min(c.nextWake, now) // the next step re-evaluates everything that waits here
 	return nil
 }
 
-// nextAdmission returns the door for other settings, and the requests that wait at the present one, the oldest first, if
-// another takes its place.
+// nextAdmission returns the admission controller for other settings. If it replaces the present one, waiting lists the
+// requests that wait there, the oldest first.
 func (c *Core) nextAdmission(now Time, s *Settings) (next *admission.Controller, waiting []int32, err error) {
 	switch {
 	case s.Admission == nil && c.admission == nil:
@@ -69,10 +70,9 @@
 	return next, c.admission.WaitingRequests(), err
 }
 
-// updateClass gives a request that the module has not been handed its class by the settings in force; false: they do not
-// have it, or it needs other data than the request was taken for.
-//
-// Danger: what may run beside it on its connection was judged by what it needed when it came.
+// updateClass moves a request that the balancer has not been given to the class of that name in the settings in force.
+// It returns false if the class no longer exists, or if it needs other data than before: which requests may run
+// concurrently on a connection was decided by the need at arrival.
 func (c *Core) updateClass(r *request) bool {
 	if r.classes == c.classes {
 		return true
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// settingsWith gives the settings in force with a change.
+// settingsWith returns the settings in force with a change.
 func (s *harness) settingsWith(change func(settings *Settings)) Settings {
 	settings := s.core.settings
 	settings.Balancer.Classes = slices.Clone(settings.Balancer.Classes)
@@ -29,8 +29,9 @@
 	return settings
 }
 
-// TestSettingsWhileAWriteIsOut: a class of writes may be repeated from now on, while one of it is out whose answer is lost.
-// Its client is told that it may have run, and it is not sent again. That of one that comes later is told to come again.
+// TestSettingsWhileAWriteIsOut allows a class of writes to be repeated while an attempt of that class is out whose
+// answer is lost. Its client must be told that it may have run, and it must not be sent again. The client of a later
+// write must be told to try again.
 func TestSettingsWhileAWriteIsOut(t *testing.T) {
 	s := newHarness(t, 100)
 	before := s.newClient()
@@ -51,13 +52,14 @@
 	later.send(cl, ask("once", 1002))
 	later.welcomeNewest()
 	later.step(Event{later.dials[0], Closed})
-	later.advance(2 * second) // its store says nothing more
+	later.advance(2 * second) // its store sends nothing more
 	if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections {
 		t.Errorf("a write that comes later: %s", got)
 	}
 }
 
-// TestSettingsWithoutAClass: a class is taken out while a request of it is out. That one is answered, and no other is taken.
+// TestSettingsWithoutAClass removes a class while a request of it is out. That request must be answered, and no other
+// accepted.
 func TestSettingsWithoutAClass(t *testing.T) {
 	s := newHarness(t, 100)
 	cl := s.newClient()
@@ -74,22 +76,22 @@
 	}
 }
 
-// TestSettingsWhileRequestsWaitAtTheDoor: other tenants, other bounds, and no door at all come into force while requests wait.
-// Each has one answer in its time, and none is sent twice.
+// TestSettingsChangeDuringAdmission puts other tenants, other bounds, or no admission control in force while requests
+// wait for admission. Each must get one answer in its time, and none may be sent twice.
 func TestSettingsChangeDuringAdmission(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings){
 		"tenants": func(settings *Settings) {
 			settings.Balancer.Tenants = []balance.Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 9}}
 		},
-		"fewer places": func(settings *Settings) { settings.Admission.MaxRequests = 5 },
-		"times":        func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
-		"no door":      func(settings *Settings) { settings.Admission = nil },
+		"fewer places":         func(settings *Settings) { settings.Admission.MaxRequests = 5 },
+		"times":                func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
+		"no admission control": func(settings *Settings) { settings.Admission = nil },
 	} {
 		s := newAdmissionHarness(t)
 		clients := startClients(s, 60, "any")
 		held := s.core.admission.Waiting()
 		if held < 20 {
-			t.Fatalf("%s: %d wait at the door", name, held)
+			t.Fatalf("%s: %d wait for admission", name, held)
 		}
 		s.configure(change)
 		s.step()
@@ -100,7 +102,7 @@
 		answered := 0
 		for _, cl := range clients {
 			if got := cl.takeOutput(); len(got) > 0 {
-				code(t, got) // of one answer, or it fails
+				code(t, got) // fails unless it is a single answer
 				answered++
 			}
 		}
@@ -109,7 +111,7 @@
 		}
 		for _, w := range s.dials {
 			if queries := strings.Count(string(w.out), "/* id=1"); queries > 1 {
-				t.Errorf("%s: %d queries on one connection whose store says nothing", name, queries)
+				t.Errorf("%s: %d queries on one connection whose store does not answer", name, queries)
 			}
 		}
 		for _, cl := range clients {
@@ -120,8 +122,8 @@
 	}
 }
 
-// TestClassOfOtherNeedAtTheDoor: a class of reads becomes one of writes while requests of it wait at the door. They were taken
-// as reads, beside others of their connections, so they are refused and never sent.
+// TestClassNeedChangeDuringAdmission turns a class of reads into one of writes while requests of it wait for admission.
+// They were accepted as reads, concurrent with others of their connections, so they must be refused and never sent.
 func TestClassNeedChangeDuringAdmission(t *testing.T) {
 	s := newAdmissionHarness(t)
 	clients := startClients(s, 60, "any")
@@ -142,18 +144,19 @@
 	}
 }
 
-// TestFaultySettings: what is out of range, in the module's part or in the door's, changes nothing.
+// TestFaultySettings checks that a value out of range, in the balancer's part or in that of admission control, changes
+// nothing.
 func TestFaultySettings(t *testing.T) {
 	s := newAdmissionHarness(t)
 	clients := startClients(s, 60, "any")
 	held, classes, entrance := s.core.admission.Waiting(), s.core.classes, s.core.admission
 	for name, change := range map[string]func(settings *Settings){
-		"door":    func(settings *Settings) { settings.Admission.MaxRequests = 0 },
-		"classes": func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
-		"module":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
+		"admission": func(settings *Settings) { settings.Admission.MaxRequests = 0 },
+		"classes":   func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
+		"module":    func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
 	} {
 		if err := s.core.Configure(s.now, s.settingsWith(change)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if s.core.classes != classes || s.core.admission != entrance || s.core.admission.Waiting() != held {
--- a/internal/front/standing_test.go
+++ b/internal/front/standing_test.go
@@ -12,14 +12,14 @@
 	"micatrack/internal/pgwire"
 )
 
-// sendInPieces sends text in pieces of that many bytes, a turn of the loop for each.
+// sendInPieces sends text in pieces of that many bytes, with one step for each.
 func (s *harness) sendInPieces(w *fakeLink, text string, size int) {
 	for ; text != ""; text = text[min(size, len(text)):] {
 		s.send(w, text[:min(size, len(text))])
 	}
 }
 
-// forms are the requests that the protocol page allows, each with the time that its client waits, in ms.
+// forms are the requests that the protocol specification allows, each with the time that its client waits, in ms.
 var forms = []struct {
 	name, text string
 	left       int
@@ -47,10 +47,10 @@
 			strings.Repeat("9f", 64<<10) + "') RETURNING payload", 480},
 }
 
-// TestRequestFormsInPieces forces each form of request that the protocol page allows to come in pieces, down to
-// a byte at a time and from the startup message on, and its answer too, among all that a store may say beside
-// it. The store is sent the statement unchanged but for the time that is left, the client the value; both
-// connections serve on.
+// TestRequestFormsInPieces sends each form of request that the protocol specification allows in pieces, down to one
+// byte at a time and from the startup message on, and its answer too, among all messages that a store may send along
+// with it. The store must be sent the statement unchanged except for the time that is left, and the client the value;
+// both connections must remain usable.
 func TestRequestFormsInPieces(t *testing.T) {
 	const welcome = "R\x00\x00\x00\x08\x00\x00\x00\x00"
 	notes := status("role", "primary") + status("applied_ms", "1767225600100") + status("load",
@@ -73,7 +73,7 @@
 				t.Fatalf("%s in pieces of %d: %q and %d dials", form.name, size, got, len(s.dials))
 			}
 			st := s.dials[0]
-			for n := range 2 { // the same connections serve another one
+			for n := range 2 { // the same connections serve another request
 				if n == 0 {
 					st.takeOutput()
 					s.sendInPieces(st, welcome+status("server_version", "15.0")+ready, size)
@@ -85,7 +85,7 @@
 					t.Fatalf("%s in pieces of %d: the store is sent %.200q, want %.200q", form.name, size, sent, want)
 				}
 				if left > form.left || left < form.left-10 {
-					t.Errorf("%s in pieces of %d: the store is told %d ms, the client waits %d", form.name, size, left,
+					t.Errorf("%s in pieces of %d: the store is sent %d ms, the client waits %d", form.name, size, left,
 						form.left)
 				}
 				s.sendInPieces(st, notice+value+notes+notice+ready, size)
@@ -110,7 +110,7 @@
 
 var told = regexp.MustCompile(`([ ,*])d=(\d+)`)
 
-// withoutTimeout gives the statement of one query message without the time that it tells, and that time.
+// withoutTimeout returns the statement of one query message without its timeout, and that timeout.
 func withoutTimeout(t *testing.T, message string) (text string, left int) {
 	t.Helper()
 	kind, body, n, err := pgwire.ParseMessage([]byte(message), pgwire.MaxQuerySize)
@@ -119,20 +119,20 @@
 	}
 	times := told.FindAllSubmatch(body, -1)
 	if len(times) != 1 {
-		t.Fatalf("%.200q tells %d times", body, len(times))
+		t.Fatalf("%.200q has %d timeouts", body, len(times))
 	}
 	left, err = strconv.Atoi(string(times[0][2]))
 	if err != nil || left < 1 {
-		t.Errorf("%.200q tells no time", body)
+		t.Errorf("%.200q has no timeout", body)
 	}
 	return string(told.ReplaceAll(body[:len(body)-1], []byte("${1}d=?"))), left
 }
 
-// TestTimeoutSentOnRetries forces a request to be sent on up to four times, each attempt ended in
-// another way and after another span, some behind a connection that is late, with the door and without. No
-// attempt tells its store more than what is left to the client then.
+// TestTimeoutSentOnRetries forces a request to be sent up to four times, each attempt ended in another way and after
+// another time, some after a late connection, with admission control and without. No attempt may give its store more
+// time than the client has left at that moment.
 func TestTimeoutSentOnRetries(t *testing.T) {
-	const patience = 1000 // ms
+	const clientTimeout = 1000 // ms
 	ways := map[string]func(s *harness, st *fakeLink){
 		"broken":     func(s *harness, st *fakeLink) { s.step(Event{st, Closed}) },
 		"turned":     func(s *harness, st *fakeLink) { s.send(st, failed("53300"), ready) },
@@ -155,8 +155,8 @@
 					StoreEntry{ID: "r", Addr: "127.0.0.1:2", Member: balance.Member{Group: 3, Condition: balance.Ready, Size: 1}})
 				cl := s.newClient()
 				s.send(cl, string(pgwire.AppendSimpleQuery(nil, fmt.Sprintf("/* id=1,c=x,d=%d,cluster=3 */ SELECT 'k'",
-					patience))))
-				until, attempts, looked := s.now+patience*millisecond, 0, 0
+					clientTimeout))))
+				until, attempts, looked := s.now+clientTimeout*millisecond, 0, 0
 				for s.now < until+second && len(cl.out) == 0 {
 					for ; looked < len(s.dials); looked++ { // a new connection is late
 						w := s.dials[looked]
@@ -172,9 +172,9 @@
 							continue
 						}
 						_, left := withoutTimeout(t, w.takeOutput())
-						written := s.now - millisecond // at the earliest: it is looked for that often
+						written := s.now - millisecond // at the earliest: the connections are examined that often
 						if attempts++; Time(left)*millisecond > until-written {
-							t.Errorf("%s, door %v, %d ms each: attempt %d tells %d ms, %d are left", name, with, span/millisecond,
+							t.Errorf("%s, admission %v, %d ms each: attempt %d is sent %d ms, %d are left", name, with, span/millisecond,
 								attempts, left,
 								(until-written)/millisecond)
 						}
@@ -186,23 +186,23 @@
 					s.advance(millisecond)
 				}
 				if least := map[bool]int{false: 2, true: 1}[span > 200*millisecond]; attempts < least {
-					t.Errorf("%s, door %v, %d ms each: %d attempts", name, with, span/millisecond, attempts)
+					t.Errorf("%s, admission %v, %d ms each: %d attempts", name, with, span/millisecond, attempts)
 				}
 			}
 		}
 	}
 }
 
-// row is a store's value of so many bytes.
+// row returns a store's value of that many bytes.
 func row(text string) string {
 	return value[:11] + "D\x00\x00\x00" + string([]byte{byte(10 + len(text)), 0, 1, 0, 0, 0, byte(len(text))}) +
 		text + value[24:]
 }
 
-// TestAllConnectionsUsedUp forces a front to have no connection left to give: stores hang with one request on
-// each that it may open, or take connections and never welcome it, and its clients have the rest. It turns
-// all further requests away; what hangs ends with its time, and within 4 s of the stores' return attempts
-// begin again, by themselves.
+// TestAllConnectionsUsedUp forces a front to have no connection left: the stores hang with one request on each
+// connection that it may open, or accept connections and never complete their startup, and its clients have the rest.
+// It must refuse all further requests; what hangs must end when its time runs out, and within 4 s of the stores' return
+// attempts must start again by themselves.
 func TestAllConnectionsUsedUp(t *testing.T) {
 	const links, clients, hangs = 12, 8, 10 * second
 	for _, welcomes := range []bool{true, false} {
@@ -213,7 +213,7 @@
 			open = append(open, s.newClient())
 		}
 		answered, looked, asked, sent := 0, 0, 0, Time(0)
-		turn := func(back bool) { // every client that waits for nothing asks, and the stores do what they do now
+		turn := func(back bool) { // each client that waits for nothing sends a request, and the stores act as they do now
 			for _, cl := range open {
 				if got := cl.takeOutput(); got != "" || asked < clients {
 					answered++
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestRefusedOnceWithoutProbes forces one refused connection where settings allow no probes, and has the store take
-// connections again: it is used again within 4 s.
+// TestRefusedOnceWithoutProbes forces one refused connection where the settings allow no probes, and then has the store
+// accept connections again: it must be used again within 4 s.
 func TestRefusedOnceWithoutProbes(t *testing.T) {
 	s := newHarness(t, 20, true)
 	cl := s.newClient()
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -6,42 +6,46 @@
 	"micatrack/balance"
 )
 
-const closeNoticeDelay = 2 * millisecond // what a store does right behind an answer is heard by then
+// closeNoticeDelay is the time within which the front learns that a store has closed a connection right after an answer.
+const closeNoticeDelay = 2 * millisecond
 
-// storeProtocol is how one protocol puts to its stores what the core asks of them. It keeps nothing.
+// storeProtocol is one wire protocol towards stores. Implementations keep no state.
 type storeProtocol interface {
-	appendStartup(dst []byte) []byte                // what a new connection begins with
-	prepareNew(k *conn)                             // prepares a connection that comes up,
-	prepareIdle(k *conn)                            // and one on which nothing is asked
-	sendRequest(k *conn, c *Core, e pendingAttempt) // writes a request's request, or a probe
-	readAnswers(k *conn, c *Core)                   // looks at what has come in
-	lossEnding(k *conn, c *Core) balance.Ending     // what is proven of what a connection that is closed now was asked
-	provenNoEffect(k *conn) bool                    // tells whether it is proven so far that it had no effect
+	appendStartup(dst []byte) []byte                // appends the first message of a new connection
+	prepareNew(k *conn)                             // initializes a new connection
+	prepareIdle(k *conn)                            // initializes a connection that becomes idle
+	sendRequest(k *conn, c *Core, e pendingAttempt) // writes the query of a request, or a probe
+	readAnswers(k *conn, c *Core)                   // processes the input that has arrived
+	// returns what is proven about the request on a connection that is now closed
+	lossEnding(k *conn, c *Core) balance.Ending
+	provenNoEffect(k *conn) bool // reports whether it is proven so far that the request had no effect
 }
 
-// store is one member of the list.
+// store is one store of the list.
 type store struct {
 	id         string
-	forgotten  bool // by the module; its place is free from the next turn on
+	forgotten  bool // the balancer has forgotten it; its number is released in the next step
 	addr       string
 	protocol   storeProtocol
-	bolt       bool             // it speaks Bolt
-	drainUntil Time             // it drains, and an open transaction may go on until then; 0: it does not
-	idle       []*conn          // the newest last
-	waiting    []pendingAttempt // attempts and probes that wait for a connection, the oldest first
+	bolt       bool    // it speaks Bolt
+	drainUntil Time    // the store drains, and an open transaction may continue until then; 0: it does not drain
+	idle       []*conn // idle connections, the newest last
+	// attempts and probes that wait for a connection, the oldest first
+	waiting []pendingAttempt
 }
 
-// pendingAttempt is an attempt, or a probe if it has no request, until a connection carries it.
+// pendingAttempt is an attempt, or a probe if it has no request, that waits for a connection or is carried by one.
 type pendingAttempt struct {
 	request       int32 // -1: a probe
-	attempt       int
-	since, until  Time
-	dialled       bool
-	positionQuery bool // the watch asks, and not the module
+	attempt       int   // number of the attempt
+	since         Time  // when it was dispatched
+	until         Time  // when it ends
+	dialled       bool  // a connection was dialled for it
+	positionQuery bool  // the position watch asked for it, not the balancer
 }
 
-// mayStillStart is the one place that tells whether an errand may still set out.
-// Danger: while it waited for a connection its client may have gone, its time be over, or the module think otherwise.
+// mayStillStart is the only place that decides whether a pending attempt may still start. While it waited for a
+// connection its client may have disconnected, its time may have run out, or the balancer may have decided otherwise.
 func (c *Core) mayStillStart(e pendingAttempt) bool {
 	if c.now >= e.until || e.request < 0 {
 		return c.now < e.until
@@ -52,28 +56,29 @@
 
 // conn is one connection to a store.
 type conn struct {
-	link               Link
-	index              int // in Core.conns; -1: given back
-	store              uint32
-	protocol           storeProtocol
-	bolt               *boltConn
-	addr               string                                                   // that it was dialled at
-	onMessage          func(s *conn, c *Core, kind byte, body []byte) (ok bool) // is handed the store's messages
-	ready              bool
-	idle               bool
-	answerDone         bool // its answer is complete, and it has not been put to use again
-	connectedAt        Time // when it came up
-	since              Time // when it was dialled, sent on its way or fell idle
-	current            pendingAttempt
-	writtenBytes       int64  // bytes written so far, the query's last among them
-	writeReported      bool   // the module has been told that part of a write's answer has come
-	errorCode          string // of the ErrorResponse that has come
-	partStart, partEnd [3]int // the messages of the value in the link's ring
-	parts              int
-	parsedBytes        int // bytes of the answer that were looked at
-	report             balance.Report
-	loadReport         balance.Report
-	probeValue         string // of a probe
+	link          Link
+	index         int    // index in Core.conns; -1: released
+	store         uint32 // number of the store
+	protocol      storeProtocol
+	bolt          *boltConn                                                // nil: the store speaks PostgreSQL's protocol
+	addr          string                                                   // the address that was dialled
+	onMessage     func(s *conn, c *Core, kind byte, body []byte) (ok bool) // handles one message of the store
+	ready         bool                                                     // the startup is complete
+	idle          bool                                                     // it is in its store's idle list
+	answerDone    bool                                                     // its answer is complete, and the connection has not been reused yet
+	connectedAt   Time                                                     // when it was established
+	since         Time                                                     // when it was dialled, was given its request or became idle
+	current       pendingAttempt                                           // the attempt or probe that it carries or carried last
+	writtenBytes  int64                                                    // bytes written so far, up to the end of the latest query
+	writeReported bool                                                     // the balancer has been told that part of a write's answer has arrived
+	errorCode     string                                                   // SQLSTATE of the ErrorResponse received
+	partStart     [3]int                                                   // offsets in the read buffer at which the value's messages begin
+	partEnd       [3]int                                                   // offsets in the read buffer at which they end
+	parts         int                                                      // messages of the value that have arrived
+	parsedBytes   int                                                      // bytes of the answer that were parsed
+	report        balance.Report                                           // of the answer itself
+	loadReport    balance.Report                                           // as old as the store's own load report
+	probeValue    string                                                   // value of a probe's answer
 }
 
 // startAttempt starts an attempt.
@@ -90,15 +95,16 @@
 	c.dispatch(t.store, pendingAttempt{request: t.request, attempt: attempt, since: c.now, until: t.at})
 }
 
+// startProbe asks the position watch, or else the store itself, for a position.
 func (c *Core) startProbe(t task) {
 	s := &c.stores[t.store]
-	if w := c.limits.PositionWatch; w != nil && t.minPosition > 0 && !s.bolt && w.RequestPosition(s.id, t.minPosition, t.anyPosition) {
+	if w := c.limits.PositionWatch; w != nil && t.minPosition > 0 && !s.bolt && w.RequestPosition(s.id, t.minPosition, t.anyStore) {
 		return
 	}
 	c.dispatch(t.store, pendingAttempt{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
 }
 
-// dispatch sends an errand off on the idle connection used last, or lets it wait for a new one.
+// dispatch sends a pending attempt on an idle connection, or queues it for a new one.
 func (c *Core) dispatch(i uint32, e pendingAttempt) {
 	s := &c.stores[i]
 	if !c.mayStillStart(e) || !c.clientConnected(e) {
@@ -106,8 +112,9 @@
 		return
 	}
 	for len(s.idle) > 0 {
-		// Danger: some stores close right behind an answer, and what is sent before that is heard is lost.
-		// So of those that have rested for a moment the newest is used, else the one that has rested longest.
+		// Some stores close a connection right after an answer, and what is sent before the front learns of that is
+		// lost. So the newest of the connections that have been idle for closeNoticeDelay is used, otherwise the one
+		// that has been idle longest.
 		n := len(s.idle) - 1
 		for n > 0 && c.now-s.idle[n].since < closeNoticeDelay {
 			n--
@@ -117,7 +124,7 @@
 			if k.index >= 0 {
 				k.release(c)
 			}
-			continue // it brought what nobody asked for
+			continue // it has received unsolicited data
 		}
 		s.idle = append(s.idle[:n], s.idle[n+1:]...)
 		k.carry(c, e)
@@ -129,7 +136,7 @@
 		link, err = c.sockets.Dial(s.addr)
 	}
 	if err == ErrNoResources {
-		if e.request < 0 { // it can wait for a connection to fall free
+		if e.request < 0 { // a probe can wait for a connection to become free
 			s.waiting = append(s.waiting, e)
 			return
 		}
@@ -152,7 +159,7 @@
 	k.write(c, k.protocol.appendStartup(c.scratch[:0]))
 }
 
-// closeOldestIdle gives up the store connection that stood idle longest; false: there is none.
+// closeOldestIdle closes the store connection that has been idle longest. It returns false if there is none.
 func (c *Core) closeOldestIdle() bool {
 	var oldest *conn
 	for _, k := range c.conns {
@@ -166,7 +173,7 @@
 	return oldest != nil
 }
 
-// failUnsent ends an errand that was never written whole.
+// failUnsent ends a pending attempt that was never written completely.
 func (c *Core) failUnsent(i uint32, e pendingAttempt, how balance.Ending) {
 	if e.request >= 0 {
 		c.requests[e.request].awaitsConn = false
@@ -179,7 +186,7 @@
 	c.queueResult(attemptResult{e.request, e.attempt, i, balance.Result{Ending: how}})
 }
 
-// observeEnd tells who asked for it how an attempt or a probe came back.
+// observeEnd calls Limits.OnAttemptEnd, if set, with how an attempt or a probe ended.
 func (c *Core) observeEnd(i uint32, e pendingAttempt, how balance.Ending) {
 	if c.limits.OnAttemptEnd == nil {
 		return
@@ -191,7 +198,7 @@
 	c.limits.OnAttemptEnd(c.stores[i].id, how, expected, c.now-e.since)
 }
 
-// carry writes the errand's query on a ready connection.
+// carry writes the query of a pending attempt on a ready connection.
 func (k *conn) carry(c *Core, e pendingAttempt) {
 	k.current, k.idle, k.answerDone, k.since = e, false, false, c.now
 	k.writeReported, k.errorCode, k.parts, k.parsedBytes, k.probeValue = false, "", 0, 0, ""
@@ -202,10 +209,11 @@
 	}
 	k.protocol.sendRequest(k, c, e)
 	if k.index >= 0 {
-		k.link.Flush() // Danger: behind all else that this turn has to do, its client may have gone.
+		k.link.Flush() // flushed at once: by the end of this step the request's client may have disconnected
 	}
 }
 
+// write queues output to the store. A connection without room for it counts as lost.
 func (k *conn) write(c *Core, p []byte) {
 	k.writtenBytes += int64(len(p))
 	if !k.link.Write(p) {
@@ -215,22 +223,23 @@
 	c.unflushed = append(c.unflushed, k.link)
 }
 
-func (k *conn) handleEvent(c *Core, what EventFlags) {
+// handleEvent handles an event of the connection's link.
+func (k *conn) handleEvent(c *Core, flags EventFlags) {
 	if k.index < 0 {
 		return
 	}
-	if what&Readable != 0 && k.index >= 0 {
+	if flags&Readable != 0 && k.index >= 0 {
 		k.protocol.readAnswers(k, c)
 	}
-	if what&Closed != 0 && k.index >= 0 {
+	if flags&Closed != 0 && k.index >= 0 {
 		k.connectionLost(c)
 	}
 }
 
-// carryNextOrIdle makes a connection that has nothing to do carry the oldest errand, or lets it stand idle.
+// carryNextOrIdle gives a free connection the oldest pending attempt, or makes it idle.
 func (k *conn) carryNextOrIdle(c *Core) {
 	s := &c.stores[k.store]
-	if k.addr != s.addr { // the store has moved meanwhile
+	if k.addr != s.addr { // the store's address has changed meanwhile
 		k.release(c)
 		c.dispatchOldest(k.store)
 		return
@@ -250,13 +259,15 @@
 	s.idle = append(s.idle, k)
 }
 
-// drainExpired tells that the store drains, that its grace is over, and that the request needs more of it than it was asked.
+// drainExpired reports whether the store drains, its grace period is over, and the request needs more of the store than
+// has been written.
 func (k *conn) drainExpired(c *Core) bool {
 	s := &c.stores[k.store]
 	return k.bolt != nil && k.current.request >= 0 && s.drainUntil > 0 && c.now >= s.drainUntil && !k.bolt.outcome.StaysDuringDrain()
 }
 
-// dispatchOldest starts the oldest errand that waits anew: the connection that would have carried it is no more.
+// dispatchOldest dispatches the oldest waiting attempt again, since the connection that would have carried it is
+// closed.
 func (c *Core) dispatchOldest(i uint32) {
 	if s := &c.stores[i]; len(s.waiting) > 0 {
 		e := s.waiting[0]
@@ -265,17 +276,17 @@
 	}
 }
 
-// connectionLost ends what a connection carried when it broke, or when what came on it made no sense.
+// connectionLost ends the attempt on a connection that broke or received input that cannot be parsed.
 func (k *conn) connectionLost(c *Core) {
 	e, busy := k.current, k.ready && !k.idle && !k.answerDone
 	r := balance.Result{Ending: balance.ConnectionLost, Note: k.report, Load: k.loadReport, Since: k.connectedAt}
-	k.release(c) // Danger: until it is closed the system may take the rest of a query, so Sent counts only then.
+	k.release(c) // until it is closed the system may accept the rest of a query, so SentBytes is final only then
 	switch {
 	case !k.ready:
 		if s := &c.stores[k.store]; len(s.waiting) > 0 {
 			e = s.waiting[0]
 			s.waiting = append(s.waiting[:0], s.waiting[1:]...)
-			c.failUnsent(k.store, e, balance.ConnectFailed) // also when the store says that it has too many
+			c.failUnsent(k.store, e, balance.ConnectFailed) // also when the store reports too many connections
 		}
 		return
 	case k.answerDone:
@@ -288,7 +299,7 @@
 	c.endAttempt(k, e, r)
 }
 
-// queueResult keeps a result for the module.
+// queueResult keeps a result for the balancer.
 func (c *Core) queueResult(b attemptResult) {
 	if b.request >= 0 {
 		c.requests[b.request].unreported++
@@ -299,6 +310,7 @@
 	c.results = append(c.results, b)
 }
 
+// endAttempt ends an attempt or a probe that a connection carried, and queues its result for the balancer.
 func (c *Core) endAttempt(k *conn, e pendingAttempt, r balance.Result) {
 	if e.request >= 0 {
 		c.requests[e.request].attemptConn = nil
@@ -308,12 +320,13 @@
 		c.notifyPosition(w, k.store, e, r)
 	}
 	if e.positionQuery && r.Ending != balance.Served {
-		return // the module has not asked, and would blame the store for an older question
+		return // the balancer did not ask for it, and would blame the store for an older query
 	}
 	c.queueResult(attemptResult{e.request, e.attempt, k.store, r})
 }
 
-// notifyPosition tells the watch what an answer has shown. A commit's position is told rounded up, so it is none.
+// notifyPosition tells the position watch which position an answer has shown. A commit's position does not count, since
+// it is rounded up.
 func (c *Core) notifyPosition(w PositionWatch, i uint32, e pendingAttempt, r balance.Result) {
 	position := r.Load.Position
 	if e.request >= 0 && c.requests[e.request].class().Need != balance.Write {
@@ -327,7 +340,7 @@
 	}
 }
 
-// release is the one place where a store's connection is given back.
+// release is the only place where a store connection is released.
 func (k *conn) release(c *Core) {
 	last := c.conns[len(c.conns)-1]
 	c.conns[k.index], last.index = last, k.index
@@ -335,7 +348,8 @@
 	k.index = -1
 	k.link.SetOwner(nil)
 	if k.ready && !k.idle && !k.answerDone {
-		// Danger: what a cut-off machine has not been sent yet would reach it when the cut is over, past its window.
+		// What a partitioned machine has not been sent yet would reach it when the partition ends, after its time
+		// window.
 		k.link.Abort()
 	} else {
 		k.link.Close()
@@ -352,7 +366,8 @@
 	}
 }
 
-// cancelAttempt gives up an attempt: a connection that carries it is closed, so that no late answer is taken for another's.
+// cancelAttempt cancels an attempt. The connection that carries it is closed, so that a late answer is not taken for
+// another request's.
 func (c *Core) cancelAttempt(t task) {
 	req := &c.requests[t.request]
 	if !req.inUse || t.attempt != req.attempts-1 {
@@ -382,8 +397,8 @@
 	}
 }
 
-// removeStore is the one place where a store's number is given back.
-// Danger: nothing that still comes of the old store may count for the one that has the number next.
+// removeStore is the only place where a store's number is released. Nothing that still arrives from the old store may
+// count for the store that gets the number next.
 func (c *Core) removeStore(t task) {
 	s := &c.stores[t.store]
 	if !s.forgotten || s.id == "" {
@@ -406,22 +421,22 @@
 	c.freeStores = append(c.freeStores, t.store)
 }
 
-// sweep ends all whose time is over.
+// sweep ends everything whose time has run out.
 func (c *Core) sweep() {
 	for i := range c.stores {
 		s := &c.stores[i]
-		keep := s.waiting[:0]
+		remaining := s.waiting[:0]
 		for _, e := range s.waiting {
 			switch {
 			case e.dialled && c.now >= e.since+c.host.DialTimeout:
 				c.failUnsent(uint32(i), e, balance.ConnectFailed)
-			case !c.mayStillStart(e): // Danger: a front that has no descriptor left must not blame the store.
+			case !c.mayStillStart(e): // a front that has no descriptor left must not blame the store
 				c.failUnsent(uint32(i), e, balance.NotSent)
 			default:
-				keep = append(keep, e)
+				remaining = append(remaining, e)
 			}
 		}
-		s.waiting = keep
+		s.waiting = remaining
 	}
 	var silent []*conn
 	for n := len(c.conns) - 1; n >= 0; n-- {
@@ -429,12 +444,13 @@
 		switch {
 		case !k.ready && c.now >= k.since+c.host.DialTimeout:
 			k.release(c)
-		case k.idle && c.now >= k.since+c.host.IdleTimeout*3/4: // well before the store does
+		case k.idle && c.now >= k.since+c.host.IdleTimeout*3/4: // well before the store closes it
 			k.release(c)
-		case k.answerDone: // the beginning of something stands behind its answer
+		case k.answerDone: // the beginning of another message follows its answer
 			k.release(c)
 			c.dispatchOldest(k.store)
-		case k.ready && !k.idle && k.drainExpired(c): // Danger: nothing new may go there, and what is open would go on
+		// nothing new may be sent there, and the open transaction would continue
+		case k.ready && !k.idle && k.drainExpired(c):
 			k.connectionLost(c)
 		case k.ready && !k.idle && c.now >= k.current.until:
 			e, r := k.current, balance.Result{Ending: balance.TimedOut}
@@ -449,8 +465,8 @@
 		}
 	}
 	for _, k := range silent {
-		// Danger: a machine that is cut off leaves its connections open, and each would cost an attempt of its own.
-		// Those that stood idle through a probe's whole silence are as dead as the one that carried it.
+		// A partitioned machine leaves its connections open, and each would cost an attempt of its own. Connections
+		// that were idle for as long as a probe had no answer are as dead as the one that carried the probe.
 		for _, o := range append([]*conn(nil), c.stores[k.store].idle...) {
 			if o.since <= k.current.since {
 				o.release(c)
--- a/internal/front/timeouts.go
+++ b/internal/front/timeouts.go
@@ -1,18 +1,19 @@
 package front
 
 const (
-	// stallLimit ends a connection whose client has stopped inside a message, or before it was greeted. Clients are owed an
-	// error or a close within 3 s.
+	// stallLimit is the time after which a connection is ended whose client has stopped within a message or before its
+	// startup. Clients have to get an error or a close within 3 s.
 	stallLimit = 2500 * millisecond
-	// messageLimit ends one whose client goes on, but takes longer than this over one message.
+	// messageLimit is the time after which a connection is ended whose client keeps sending, but has not completed a
+	// message.
 	messageLimit = 30 * 1000 * millisecond
-	// unreadPatience is for how long a client may take nothing of what it is sent before that is logged,
+	// unreadLogAfter is the time for which a client may read none of its output before that is logged.
 	unreadLogAfter = 1000 * millisecond
-	// unreadLimit before it is hung up on.
+	// unreadLimit is the time for which a client may read none of its output before it is closed.
 	unreadLimit = 30 * 1000 * millisecond
 )
 
-// sweepClients ends the connections of clients whose time is over.
+// sweepClients ends the client connections whose time has run out.
 func (c *Core) sweepClients() {
 	c.makeRoom()
 	for n := len(c.clients) - 1; n >= 0; n-- {
@@ -28,7 +29,7 @@
 	}
 }
 
-// sweepUnread hangs up on a client that takes nothing of what it is sent. One that does so slowly is waited for.
+// sweepUnread closes a client that reads none of its output. One that reads slowly is kept.
 func (c *Core) sweepUnread(cl *client) {
 	if cl.link.Flushed() {
 		cl.unreadSince = 0
@@ -48,32 +49,33 @@
 	}
 }
 
-// makeRoom hangs up on clients that ask nothing while many are connected.
+// makeRoom closes idle clients while many are connected.
 //
-// Danger: what many clients share among them, they may run out of before this front does. Connections that none of them
-// asks on are given back while half of the room for clients is taken; from five to six eighths the sooner the less there is.
+// A resource that many clients share may be used up before this front's own limit is reached. So idle connections are
+// closed while more than half of the room for clients is taken; from five to six eighths of it, the less room is left
+// the sooner.
 func (c *Core) makeRoom() {
-	for n, all := len(c.clients), c.limits.MaxClients; n > all/2; n = len(c.clients) {
-		if !c.evict(c.limits.ClientIdle * Time(max(min(6*all-8*n, all), 0)) / Time(all)) {
+	for n, maxClients := len(c.clients), c.limits.MaxClients; n > maxClients/2; n = len(c.clients) {
+		if !c.evict(c.limits.ClientIdle * Time(max(min(6*maxClients-8*n, maxClients), 0)) / Time(maxClients)) {
 			return
 		}
 	}
 }
 
-// sweepEnding hangs up on a client that was told that its connection is over and does not close its side.
-// Danger: one that never does would hold its descriptor, and the front's end, for ever.
+// sweepEnding closes a client that was told that its connection ends and does not close its side. Otherwise it could
+// hold its descriptor, and delay the front's shutdown, forever.
 func (c *Core) sweepEnding(cl *client) {
-	patience := c.classes.longest
+	limit := c.classes.longest
 	if cl.link.Flushed() {
-		patience = c.limits.ClientIdle
+		limit = c.limits.ClientIdle
 	}
-	if c.now >= cl.activeAt+patience || c.Stopping() && c.now >= c.shutdownDeadline {
+	if c.now >= cl.activeAt+limit || c.Stopping() && c.now >= c.shutdownDeadline {
 		cl.closeNow(c, closedStayed)
 	}
 }
 
-// sweepWaiting ends the connection of a client without a request in hand if the front ends, or if the client has stopped
-// inside a message.
+// sweepWaiting ends the connection of a client without a pending request if the front shuts down, or if the client has
+// stopped within a message.
 func (c *Core) sweepWaiting(cl *client) {
 	inMessage := len(cl.link.Peek()) > 0
 	if !inMessage {
@@ -81,7 +83,7 @@
 	} else if cl.messageSince == 0 {
 		cl.messageSince = c.now
 	}
-	// At the end a message that has come in part is waited for: its client sends the rest without knowing.
+	// During shutdown a partly received message is waited for, since its client sends the rest unaware of the shutdown.
 	switch {
 	case c.Stopping() && c.now >= c.shutdownDeadline:
 		cl.finish(c, closedAtShutdown)
--- a/internal/front/timeouts_test.go
+++ b/internal/front/timeouts_test.go
@@ -6,8 +6,8 @@
 	"micatrack/internal/pgwire"
 )
 
-// TestStalledMessages: a client that stops inside a message is told and closed, wherever it stops; one that goes on is not,
-// but for messageLimit.
+// TestStalledMessages checks that a client that stops within a message is sent an error and closed, wherever it stops.
+// One that keeps sending must not be closed before messageLimit.
 func TestStalledMessages(t *testing.T) {
 	startup, request := string(pgwire.AppendStartup(nil, "web", "orders")), ask("any", 1)
 	for name, text := range map[string]string{
@@ -23,14 +23,14 @@
 		cl.takeOutput()
 		s.advance(stallLimit - 10*millisecond)
 		if cl.finished || cl.closed {
-			t.Errorf("%s: given up too early", name)
+			t.Errorf("%s: closed too early", name)
 		}
 		s.advance(20 * millisecond)
 		if !cl.finished || code(t, cl.takeOutput()) != pgwire.ProtocolViolation {
-			t.Errorf("%s: it is not told", name)
+			t.Errorf("%s: it is sent no error", name)
 		}
 	}
-	for _, silent := range []bool{true, false} { // one that says nothing at all, and one that sends a byte a second
+	for _, silent := range []bool{true, false} { // a client that sends nothing at all, and one that sends a byte a second
 		s := newHarness(t, 40, true)
 		cl := &fakeLink{}
 		s.step(Event{cl, Accepted})
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestClientThatReadsNothing: its connection is given back after unreadLimit, not before, and one that takes a little now and
-// then is waited for.
+// TestClientThatReadsNothing checks that the connection of a client that reads nothing is closed after unreadLimit, not
+// before, and that one that reads a little now and then is kept.
 func TestClientThatReadsNothing(t *testing.T) {
 	s := newHarness(t, 40, true)
 	dead, slow := s.newClient(), s.newClient()
@@ -69,7 +69,7 @@
 		slow.unsentBytes--
 	}
 	if dead.closed || slow.closed {
-		t.Fatal("one that reads nothing is hung up on too early")
+		t.Fatal("one that reads nothing is closed too early")
 	}
 	s.advance(unreadLimit/4 + second)
 	if !dead.closed || slow.closed {
