--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,53 +1,55 @@
-// Package course follows one job that takes several messages: a statement whose result is pulled in pieces, or a
-// transaction. It says what is proven about the job when its trip ends, whether the messages may be played again to
-// another store, and what may still be written to one that drains. It does no I/O and reads no clock.
+// Package outcome tracks one attempt of a request that takes several messages: a statement whose result is pulled in
+// pieces, or a transaction. It tells what is proven about the request when the attempt ends, whether its messages may
+// be sent again to another store, and which messages may still be written to a store that drains. It does no I/O and
+// reads no clock.
 //
-// What is proven rests on two facts of the protocol alone. A statement outside a transaction may have run from the
-// moment its RUN was written whole; whatever was not written whole was never read. A transaction has no effect before
-// its COMMIT was written whole, whatever ran in it: a store that loses the connection, is told to reset or dies rolls it
-// back.
+// The proof rests on two properties of the protocol alone. A statement outside a transaction may have run from the
+// moment its RUN was written completely; a message that was not written completely was never read. A transaction has no
+// effect before its COMMIT was written completely, whatever ran in it: a store that loses the connection, is told to
+// reset or dies rolls it back.
 package outcome
 
 import "micatrack/internal/bolt"
 
-// Proof is what is known of a trip that is over.
+// Proof is what is known about the effect of an attempt that has ended.
 type Proof uint8
 
 const (
-	NeverRan   Proof = iota // it had no effect, and will have none
-	MayHaveRun              // nobody can tell
-	Done                    // the store said that it is complete
+	NeverRan   Proof = iota // the request had no effect and will have none
+	MayHaveRun              // it is not known whether the request had an effect
+	Done                    // the store reported that the request is complete
 )
 
-// Verdict is what becomes of a job whose trip is over without a complete answer.
+// Verdict is what happens to a request whose attempt ended without a complete answer.
 type Verdict uint8
 
 const (
-	Retry   Verdict = iota // the module may send it to another store: all that was written can be written again
-	Refused                // the client has seen a part, so it has to begin anew itself; it may
-	Unknown                // whether it had its effect is not known
-	Failed                 // the store said why; the client is told that
+	Retry   Verdict = iota // the balancer may send it to another store: all that was written can be written again
+	Refused                // the client has seen part of a result, so only the client may start the request again; that is safe
+	Unknown                // it is not known whether the request had an effect
+	Failed                 // the store reported an error, which the client is told
 )
 
-// Tracker is one trip of one job. The zero value is a statement outside a transaction, of which nothing was written.
+// Tracker tracks one attempt of one request. The zero value is a statement outside a transaction of which nothing has
+// been written.
 type Tracker struct {
-	Transaction bool
-	ReadOnly    bool // the client said that it writes nothing, and the store holds it to that
-
-	messagesWritten int  // messages written whole
-	workStarted     bool // the first of them that makes it work
-	commitWritten   bool // COMMIT was written whole
-	finished        bool // its last answer has come
-	failed          bool // it failed in the store
-	provenNoEffect  bool // and that proves that it had no effect
-	refused         bool // the store did not take it up at all: another one may
-	retryable       bool // the store's word for it would have the client try again
-	forwarded       bool // the client was passed a part of an answer
-	unanswered      int  // messages written and not answered
+	Transaction bool // the request is a transaction rather than a single statement
+	ReadOnly    bool // the client declared that it only reads, and the store enforces that
+
+	messagesWritten int  // messages that were written completely
+	workStarted     bool // RUN or BEGIN, which makes the store start work, was written completely
+	commitWritten   bool // COMMIT was written completely
+	finished        bool // the last answer has been received
+	failed          bool // the request failed at the store
+	provenNoEffect  bool // the failure proves that the request had no effect
+	refused         bool // the store did not start the request at all, so another store may
+	retryable       bool // the store's error code tells clients to try again
+	forwarded       bool // part of an answer was forwarded to the client
+	unanswered      int  // messages written and not yet answered
 }
 
-// MessageWritten takes in that a message was written to the store. Whole is false for one of which a part may be missing;
-// nothing may be written behind it.
+// MessageWritten records that a message was written to the store. whole is false for a message that may have been
+// written only in part; nothing may be written after it.
 func (c *Tracker) MessageWritten(w bolt.What, whole bool) {
 	if !whole {
 		return
@@ -62,22 +64,22 @@
 	}
 }
 
-// MessageAnswered takes in the store's answer to the oldest message without one: to which message, how it ended, and for a
-// result whether there is more of it.
+// MessageAnswered records the store's answer to the oldest unanswered message: w is that message, ok tells whether it
+// succeeded, more whether its result has more to pull, and code is the error code of a failure.
 func (c *Tracker) MessageAnswered(w bolt.What, ok, more bool, code []byte) {
 	c.unanswered--
 	switch {
 	case !ok:
-		if !c.failed { // what stands behind a failure is ignored, which is no answer to it
-			// Danger: a failure proves something only by what it names, or by where it came: before COMMIT was
-			// answered it undoes a transaction, for the store ignores all that was pipelined behind it.
-			// And a refusal after a part of an answer is none.
+		if !c.failed { // messages after a failure are ignored, which says nothing about the failure
+			// A failure is proof only by its code or by the message that failed: a failure before the answer to COMMIT
+			// rolls a transaction back, for the store ignores all that was pipelined behind it. A refusal after part of
+			// an answer proves nothing.
 			c.refused = bolt.Refused(code) != bolt.MayHaveRun && (c.Transaction || w == bolt.Run)
 			c.provenNoEffect = c.refused || c.Transaction && w != bolt.Commit
 			c.retryable = bolt.Invites(code)
 		}
 		c.failed = true
-	case c.failed: // what was pipelined behind a failure is ignored
+	case c.failed: // messages pipelined behind a failure are ignored
 	case w == bolt.Commit || w == bolt.Rollback:
 		c.finished = true
 	case !c.Transaction && (w == bolt.Pull || w == bolt.Discard) && !more:
@@ -85,19 +87,20 @@
 	}
 }
 
-// ResultForwarded takes in that the client was passed a part of an answer. From now on no other store's answer may follow it.
+// ResultForwarded records that part of an answer was forwarded to the client. From then on no other store's answer may
+// follow it.
 func (c *Tracker) ResultForwarded() { c.forwarded = true }
 
-// Complete tells that the store's last answer has come, and was good.
+// Complete reports whether the last answer has been received without a failure.
 func (c *Tracker) Complete() bool { return c.finished && !c.failed }
 
-// AnyWritten tells that the store was asked for something whole.
+// AnyWritten reports whether at least one message was written completely to the store.
 func (c *Tracker) AnyWritten() bool { return c.messagesWritten > 0 }
 
-// Idle tells that the store owes no answer: the next message is the client's.
+// Idle reports whether the store owes no answer, so that the next message has to come from the client.
 func (c *Tracker) Idle() bool { return c.unanswered == 0 }
 
-// Proof tells what is known now, should the connection end here.
+// Proof returns what is known about the effect if the connection ends now.
 func (c *Tracker) Proof() Proof {
 	switch {
 	case c.Complete():
@@ -110,13 +113,13 @@
 	return MayHaveRun
 }
 
-// Verdict tells what becomes of the job now that its trip is over. reissuable: a profile that may run again; it does so as
-// long as the client has seen nothing.
+// Verdict returns what happens to the request now that its attempt has ended. reissuable is true for a request of a
+// class that may run more than once; it is sent again as long as the client has seen nothing.
 func (c *Tracker) Verdict(reissuable bool) Verdict {
 	proof := c.Proof()
 	switch {
 	case c.failed && !c.refused && (proof == NeverRan || reissuable || !c.retryable):
-		return Failed // the store's own word, which has nobody try again what may have run
+		return Failed // the store's own error, whose code doesn't make the client repeat what may have run
 	case proof == NeverRan || reissuable:
 		if c.forwarded {
 			return Refused
@@ -126,9 +129,9 @@
 	return Unknown
 }
 
-// AllowedAfterDrain tells whether a message may still be written to a store whose drain's grace is over. New is whatever asks the
-// store for work: a statement, the beginning of a transaction, and COMMIT, which makes all of it last. What ends work
-// or takes up what is done already is not new.
+// AllowedAfterDrain reports whether a message may still be written to a store whose drain grace period is over. Not
+// allowed is whatever asks the store for new work: a statement, the beginning of a transaction, and COMMIT, which makes
+// the transaction durable. Messages that end work or fetch what has been done already are allowed.
 func AllowedAfterDrain(w bolt.What) bool {
 	switch w {
 	case bolt.Rollback, bolt.Reset, bolt.Goodbye, bolt.Pull, bolt.Discard:
@@ -137,8 +140,9 @@
 	return false
 }
 
-// StaysDuringDrain tells what becomes of a job at a store whose grace is over: it stays if all that it needs of the store was
-// written (its COMMIT, or the statement whose result is being pulled), else it ends here and now.
+// StaysDuringDrain reports whether a request may remain at a store whose drain grace period is over. It remains if all
+// that it needs from the store was written (its COMMIT, or the statement whose result is being pulled); otherwise it is
+// ended at once.
 func (c *Tracker) StaysDuringDrain() (stays bool) {
 	if c.Transaction {
 		return c.commitWritten
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -11,13 +11,13 @@
 
 func init() { flag.Set("rapid.seed", "20261201") }
 
-// store is a slow, plain stand-in: it reads whole messages, in order, and has its effect or not.
+// store is a simple model of a store: it reads whole messages in order, and the request has its effect or not.
 type store struct {
 	transaction, open, failed, effect bool
-	word                              string // for a fault
+	word                              string // error code of a fault
 }
 
-// take carries one message out and gives its answer.
+// take executes one message and returns its answer.
 func (s *store) take(w bolt.What, refuse, fault bool) (ok, ignored bool, code string) {
 	switch {
 	case s.failed:
@@ -27,7 +27,7 @@
 		return false, false, bolt.NotALeader
 	case fault:
 		if w == bolt.Run && !s.transaction || w == bolt.Commit {
-			s.effect = true // it broke off in the middle, and nobody can tell
+			s.effect = true // it failed halfway, so the effect is unknown
 		}
 		s.failed, s.open = true, false
 		return false, false, s.word
@@ -43,8 +43,9 @@
 	return true, false, ""
 }
 
-// TestProofHolds: cut off after any byte, with refusals and faults anywhere, the course never says that something never
-// ran that had its effect, and never lets what may have run go again or be turned back where it must not.
+// TestProofHolds cuts the connection after any byte, with refusals and faults at any message. The tracker must never
+// report that a request never ran which had its effect, and must never allow a request that may have run to be sent
+// again or refused as safe to repeat.
 func TestProofHolds(t *testing.T) {
 	again, back, off := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,10 +55,10 @@
 			script = []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull, bolt.Run, bolt.Pull, bolt.Commit}
 		}
 		s := store{transaction: c.Transaction, word: rapid.SampledFrom([]string{"Neo.DatabaseError.General.UnknownError",
-			"Neo.TransientError.Transaction.DeadlockDetected"}).Draw(t, "word")}
+			"Neo.TransientError.Transaction.DeadlockDetected"}).Draw(t, "error code")}
 		wrote := rapid.IntRange(0, len(script)).Draw(t, "written whole")
-		part := wrote < len(script) && rapid.Bool().Draw(t, "and a part of the next")
-		heard := rapid.IntRange(0, wrote).Draw(t, "answers heard")
+		part := wrote < len(script) && rapid.Bool().Draw(t, "part of the next")
+		heard := rapid.IntRange(0, wrote).Draw(t, "answers received")
 		refuse := rapid.IntRange(-1, 2*len(script)).Draw(t, "refused")
 		fault := rapid.IntRange(-1, 2*len(script)).Draw(t, "fault")
 		for i, w := range script[:wrote] {
@@ -69,7 +70,7 @@
 					continue
 				}
 				c.MessageAnswered(w, ok, false, []byte(code))
-				if ok && rapid.Bool().Draw(t, "shown") {
+				if ok && rapid.Bool().Draw(t, "forwarded") {
 					c.ResultForwarded()
 				}
 			}
@@ -84,15 +85,15 @@
 			return
 		}
 		if c.Proof() == NeverRan && s.effect {
-			t.Fatalf("said never to have run: %+v", c)
+			t.Fatalf("reported as never run despite its effect: %+v", c)
 		}
 		switch v := c.Verdict(false); {
 		case (v == Retry || v == Refused) && s.effect:
-			t.Fatalf("verdict %d of what had its effect: %+v", v, c)
+			t.Fatalf("verdict %d for a request that had its effect: %+v", v, c)
 		case v == Failed && s.effect && bolt.Invites([]byte(s.word)):
-			t.Fatalf("the client is told to try again what had its effect: %+v", c)
+			t.Fatalf("the client is told to repeat a request that had its effect: %+v", c)
 		case v == Retry && c.forwarded:
-			t.Fatalf("goes again after the client saw a part: %+v", c)
+			t.Fatalf("sent again after the client saw part of the answer: %+v", c)
 		case v == Retry:
 			again++
 		case v == Refused:
@@ -101,15 +102,16 @@
 			off++
 		}
 		if c.StaysDuringDrain() && c.Transaction && !c.commitWritten {
-			t.Fatal("a transaction without COMMIT stays past the grace")
+			t.Fatal("a transaction without COMMIT stays past the grace period")
 		}
 	})
 	if again == 0 || back == 0 || off == 0 {
-		t.Errorf("again %d, turned back %d, written off %d: some were never seen", again, back, off)
+		t.Errorf("retry %d, refused %d, unknown %d: some never occurred", again, back, off)
 	}
 }
 
-// TestCommitWrittenAnswerLost (a hard case): from COMMIT on, and only from there, a lost connection is written off.
+// TestCommitWrittenAnswerLost guards the boundary at which a lost connection leaves the effect unknown: from the moment
+// COMMIT is written, and not before.
 func TestCommitWrittenAnswerLost(t *testing.T) {
 	c := Tracker{Transaction: true}
 	for _, w := range []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull} {
@@ -121,7 +123,7 @@
 	}
 	c.ResultForwarded()
 	if c.Verdict(false) != Refused {
-		t.Errorf("before COMMIT, a part shown: %+v", c)
+		t.Errorf("before COMMIT, part of the answer forwarded: %+v", c)
 	}
 	c.MessageWritten(bolt.Commit, false)
 	if c.Verdict(false) != Refused {
@@ -134,7 +136,7 @@
 	changed := c
 	changed.MessageAnswered(bolt.Commit, false, false, []byte(bolt.NotALeader))
 	if changed.Verdict(false) != Refused || changed.Proof() != NeverRan {
-		t.Errorf("the old primary turned COMMIT away: %+v", changed)
+		t.Errorf("the old primary refused COMMIT: %+v", changed)
 	}
 	c.MessageAnswered(bolt.Commit, true, false, nil)
 	if !c.Complete() || c.Proof() != Done {
@@ -142,7 +144,8 @@
 	}
 }
 
-// TestRefusalAfterAnAnswer: a store that took a statement up and refuses its result has said nothing of it.
+// TestRefusalAfterAnAnswer guards against taking a refusal as proof that nothing ran when the store had accepted the
+// statement and then refuses its result.
 func TestRefusalAfterAnAnswer(t *testing.T) {
 	c := Tracker{}
 	c.MessageWritten(bolt.Run, true)
@@ -153,11 +156,11 @@
 	}
 	c.MessageAnswered(bolt.Run, true, false, nil)
 	if c.MessageAnswered(bolt.Pull, false, false, []byte(bolt.BehindMark)); c.Verdict(false) != Unknown || c.Verdict(true) != Failed {
-		t.Errorf("refused after it was taken up: %+v", c)
+		t.Errorf("refused after it was accepted: %+v", c)
 	}
 }
 
-// TestAfterTheGrace: what may still be written to a store that drains.
+// TestAfterTheGrace checks which messages may still be written to a store whose drain grace period is over.
 func TestAfterTheGrace(t *testing.T) {
 	for w, may := range map[bolt.What]bool{bolt.Run: false, bolt.BeginTx: false, bolt.Commit: false, bolt.Rollback: true, bolt.Reset: true,
 		bolt.Pull: true, bolt.Discard: true, bolt.Goodbye: true} {
@@ -171,6 +174,6 @@
 	}
 	c.MessageWritten(bolt.Run, true)
 	if !c.StaysDuringDrain() {
-		t.Error("a statement whose result is pulled ends")
+		t.Error("a statement whose result is pulled is ended")
 	}
 }
