--- a/internal/front/admission_test.go
+++ b/internal/front/admission_test.go
@@ -116,11 +116,11 @@
 	if len(again.out) > 0 {
 		t.Errorf("answered at once: %s", code(t, again.takeOutput()))
 	}
-	came := s.now
-	for len(again.out) == 0 && s.now < came+2*second {
+	arrivedAt := s.now
+	for len(again.out) == 0 && s.now < arrivedAt+2*second {
 		s.advance(5 * millisecond)
 	}
-	if got, waited := code(t, again.takeOutput()), s.now-came; got != pgwire.TooManyConnections || waited > second/2 {
+	if got, waited := code(t, again.takeOutput()), s.now-arrivedAt; got != pgwire.TooManyConnections || waited > second/2 {
 		t.Errorf("a request whose time runs out while it waits: %s after %d", got, waited)
 	}
 	s.advance(2 * second)
--- a/internal/front/bolt.go
+++ b/internal/front/bolt.go
@@ -18,11 +18,11 @@
 
 // boltClient is the state of one client connection that speaks Bolt.
 type boltClient struct {
-	version      bolt.Version
-	dialogue     *bolt.Dialogue
-	reader       bolt.Reader
-	requestBytes int // bytes of the read buffer that belong to the pending request
-	// a final answer given while the client awaited none; it answers the client's next message
+	version      bolt.Version   // 0: not negotiated yet
+	dialogue     *bolt.Dialogue // nil until the version is negotiated
+	reader       bolt.Reader    // parses the client's messages
+	requestBytes int            // bytes of the read buffer that belong to the pending request
+	// pendingFailure is a final answer given while the client awaited none; it answers the client's next message.
 	pendingFailure []byte
 	termBytes      []byte // the bytes that the request's metadata fields point into
 }
@@ -77,6 +77,7 @@
 	b.violate(cl, c, bolt.Format, "out of memory")
 }
 
+// noRoomMessage returns nothing, since Bolt has no error before the handshake.
 func (b *boltClient) noRoomMessage([]byte) []byte { return nil }
 
 func (b *boltClient) messageStalled(cl *client, c *Core) {
@@ -308,13 +309,13 @@
 
 // boltConn is the part of a store connection's state that is specific to Bolt.
 type boltConn struct {
-	version         bolt.Version
-	reader          bolt.Reader
+	version         bolt.Version        // 0: the store has not chosen yet
+	reader          bolt.Reader         // parses the store's messages
 	unanswered      []unansweredMessage // messages that the store has yet to answer, the oldest first
-	outcome         outcome.Tracker
-	forwarded       bool // the client has seen part of the request's answer from this connection
-	recordsBuffered bool // records are among the buffered answers, so all of them may be forwarded
-	stalled         bool // the client has no room for what has arrived
+	outcome         outcome.Tracker     // of the current request
+	forwarded       bool                // the client has seen part of the request's answer from this connection
+	recordsBuffered bool                // records are among the buffered answers, so all of them may be forwarded
+	stalled         bool                // the client has no room for what has arrived
 }
 
 // unansweredMessage is a message written to a store that has yet to be answered.
@@ -336,6 +337,7 @@
 	k.write(c, p)
 }
 
+// sendRequest writes the messages of a request that may be written now, or a probe.
 func (boltStore) sendRequest(k *conn, c *Core, e pendingAttempt) {
 	k.bolt.outcome, k.bolt.forwarded, k.bolt.stalled, k.bolt.recordsBuffered = outcome.Tracker{}, false, false, false
 	if e.request < 0 {
@@ -371,7 +373,7 @@
 		}
 		from, to := b.dialogue.Span(i)
 		raw := cl.link.Peek()[from:to]
-		// rewrite the timeout to the time that is left now
+		// Rewrite the timeout to the time that is left now.
 		if w == bolt.BeginTx || w == bolt.Run && !b.dialogue.Transaction() {
 			in := bolt.Reader{Most: maxBoltMessage}
 			body, n, _ := in.Next(raw)
@@ -574,7 +576,7 @@
 	if req.client == nil {
 		return false
 	}
-	// the client reads too slowly: further input stays in the system's buffers
+	// The client reads too slowly: further input stays in the system's buffers.
 	if !req.client.link.Write(k.link.Peek()[:k.parsedBytes]) {
 		k.bolt.stalled = true
 		c.stalledConns = append(c.stalledConns, k)
@@ -595,7 +597,7 @@
 	n := b.dialogue.Shown()
 	b.requestBytes -= n
 	req.client.link.Discard(n)
-	// otherwise the balancer would cancel an attempt that takes long, and send the request to another store
+	// Otherwise the balancer would cancel an attempt that takes long, and send the request to another store.
 	if !k.bolt.forwarded {
 		c.balancer.ResponseStarted(c.now, req.id)
 	}
@@ -707,6 +709,7 @@
 	return balance.ConnectionLost
 }
 
+// provenNoEffect reports whether the request is a transaction without an unanswered COMMIT.
 func (boltStore) provenNoEffect(k *conn) bool {
 	if !k.bolt.outcome.Transaction {
 		return false
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -17,21 +17,25 @@
 // clientProtocol is one wire protocol towards clients. Its methods read a connection's input and encode the core's
 // answers.
 type clientProtocol interface {
-	startConnection(cl *client, c *Core, in []byte) (used int) // reads the first message of a connection
-	// reads the first message of a connection for which there is no room
+	// startConnection reads the first message of a connection.
+	startConnection(cl *client, c *Core, in []byte) (used int)
+	// declineConnection reads the first message of a connection for which there is no room.
 	declineConnection(cl *client, c *Core, in []byte) (used int)
-	// appends the error that tells a client without a handshake that there is no room
+	// noRoomMessage appends the error that tells a client without a handshake that there is no room.
 	noRoomMessage(dst []byte) []byte
-	messageTooLarge(cl *client, c *Core) // ends a connection whose message exceeds the buffer space
-	messageStalled(cl *client, c *Core)  // ends a connection whose client stopped within a message
-	inputAvailable(cl *client, c *Core)  // called when input arrived or there is room again while a request is pending
-	// called with a request's final answer; failed is true if the answer is an error by the core itself
+	// messageTooLarge ends a connection whose message exceeds the buffer space.
+	messageTooLarge(cl *client, c *Core)
+	// messageStalled ends a connection whose client stopped within a message.
+	messageStalled(cl *client, c *Core)
+	// inputAvailable is called when input arrived or there is room again while a request is pending.
+	inputAvailable(cl *client, c *Core)
+	// requestDone is called with a request's final answer; failed is true if the answer is an error by the core itself.
 	requestDone(cl *client, c *Core, failed bool)
-	// appends the complete final answer that tells the client to try again, after pause if that is not 0
+	// refusalReply appends the complete final answer that tells the client to try again, after pause if that is not 0.
 	refusalReply(dst []byte, pause Time) []byte
-	// appends the complete final answer that tells that the request may have run
+	// failureReply appends the complete final answer that tells that the request may have run.
 	failureReply(dst []byte, why string) []byte
-	// appends the complete final answer to an invalid request
+	// faultReply appends the complete final answer to an invalid request.
 	faultReply(dst []byte, f fault, why string) []byte
 }
 
@@ -50,8 +54,8 @@
 type request struct {
 	id          string // decimal index in Core.requests, by which the balancer knows it
 	client      *client
-	metadata    metadata.Request   // its metadata
-	cut         pgwire.TimeoutSpan // where its timeout stands in the query
+	metadata    metadata.Request
+	timeoutSpan pgwire.TimeoutSpan // where its timeout stands in the query
 	bolt        bool               // it was received over Bolt
 	offset      int                // offset of its command in the client's read buffer
 	classes     *classTable        // the classes in force when it arrived
@@ -62,7 +66,7 @@
 	attemptConn *conn              // connection that carries the current attempt
 	awaitsConn  bool               // the current attempt waits for a connection
 	store       uint32             // number of the store of the last attempt
-	// position that the answer to the current attempt has to show; 0: none
+	// minPosition is the position that the answer to the current attempt has to show; 0: none.
 	minPosition Time
 	unreported  int  // attempt results that the balancer has not been told yet
 	concluded   bool // it has had its final answer, or needs none
@@ -85,10 +89,10 @@
 	ending       bool                                            // the front has ended the connection
 	greeted      bool                                            // the startup is complete
 
-	messageSince Time  // when the last sweeps first saw part of a message in the read buffer; 0: there is none
-	unreadSince  Time  // when the last sweeps first saw that it takes none of its output; 0: all output is taken
+	messageSince Time  // when a sweep first saw the message that is partly received; 0: none, as of the last sweep
+	unreadSince  Time  // when a sweep first saw that it takes none of its output; 0: all was taken, as of the last sweep
 	unreadSent   int64 // bytes that the system had accepted then
-	unreadNoted  bool  // the lack of progress has been logged
+	unreadLogged bool  // the lack of progress has been logged
 }
 
 // accept adds a client connection. Where there is no room for it, it will be declined.
@@ -127,7 +131,7 @@
 		case !cl.link.CloseIfIdle(cl.evictionMessage(c)): // it has just sent something, or disconnected
 			cl.activeAt, cl.lastInput = c.now, c.now
 		case cl.greeted:
-			cl.release(c, closedAtRest)
+			cl.release(c, closedIdle)
 			return true
 		default:
 			cl.release(c, closedNew)
@@ -146,7 +150,7 @@
 	return cl.protocol.noRoomMessage(c.scratch[:0])
 }
 
-// longestIdle returns the client that is to be closed first, or nil if all have been active within rest.
+// longestIdle returns the client that is to be closed first, or nil if all have been active within minIdle.
 func (c *Core) longestIdle(minIdle Time) (first *client) {
 	longest, fresh := minIdle, true
 	for _, cl := range c.clients {
@@ -210,7 +214,7 @@
 		}
 		n := cl.readNext(cl, c, cl.link.Peek())
 		if n == 0 {
-			// the message is long, and the total size of all read buffers may not grow
+			// The message is long, and the total size of all read buffers may not grow.
 			if cl.link.ReadBufferFull() && !cl.ending && cl.request < 0 {
 				cl.protocol.messageTooLarge(cl, c)
 			}
@@ -330,19 +334,19 @@
 }
 
 // startRequest adds a pending request and returns its index, or returns what is wrong with the request.
-func (cl *client) startRequest(c *Core, t metadata.Request, cut pgwire.TimeoutSpan) (index int32, f fault, why string) {
-	kind, ok := c.classes.byName[string(t.Class)]
+func (cl *client) startRequest(c *Core, meta metadata.Request, timeoutSpan pgwire.TimeoutSpan) (index int32, f fault, why string) {
+	kind, ok := c.classes.byName[string(meta.Class)]
 	if !ok {
 		return -1, unknownClass, "unknown class"
 	}
 	_, isBolt := cl.protocol.(*boltClient)
-	if groupIsBolt, ok := c.groups[t.Group]; !ok && len(c.groups) > 0 {
+	if groupIsBolt, ok := c.groups[meta.Group]; !ok && len(c.groups) > 0 {
 		return -1, unknownGroup, "unknown cluster"
 	} else if ok && groupIsBolt != isBolt {
 		return -1, unknownGroup, "the cluster speaks another protocol"
 	}
 	for k := range c.requests {
-		if req := &c.requests[k]; req.inUse && !req.concluded && len(t.ID) > 0 && bytes.Equal(req.metadata.ID, t.ID) {
+		if req := &c.requests[k]; req.inUse && !req.concluded && len(meta.ID) > 0 && bytes.Equal(req.metadata.ID, meta.ID) {
 			// A store would refuse one of the two or close the connection, and would be counted as overloaded or broken
 			// for it.
 			return -1, duplicateID, "a request with this id is in hand"
@@ -357,7 +361,7 @@
 	c.freeRequests = c.freeRequests[:len(c.freeRequests)-1]
 	c.pending++
 	req := &c.requests[i]
-	*req = request{id: req.id, client: cl, metadata: t, cut: cut, classes: c.classes, classIndex: kind, bolt: isBolt, arrivedAt: c.now, timeLeft: t.TimeLeft, inUse: true}
+	*req = request{id: req.id, client: cl, metadata: meta, timeoutSpan: timeoutSpan, classes: c.classes, classIndex: kind, bolt: isBolt, arrivedAt: c.now, timeLeft: meta.TimeLeft, inUse: true}
 	c.arrived = append(c.arrived, i)
 	return i, noFault, ""
 }
@@ -408,12 +412,13 @@
 	}
 }
 
-// failRequest answers a request that may have run with an error, or with a refusal if it is proven to have had no effect.
+// failRequest answers a request that may have run with an error, or with a refusal if it is proven to have had
+// no effect.
 func (c *Core) failRequest(t task) {
 	req := &c.requests[t.request]
 	switch cl := req.client; {
 	case cl == nil:
-	// the balancer only knows that there is an attempt; that it had no effect is known here
+	// The balancer only knows that there is an attempt; that it had no effect is known here.
 	case req.attemptConn != nil && req.attemptConn.protocol.provenNoEffect(req.attemptConn):
 		c.answer(t.request, cl.protocol.refusalReply(c.scratch[:0], 0), endRefused)
 	default:
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -17,7 +17,7 @@
 	closedByCancel                      // the connection was opened to cancel a request, which is done
 	closedDeclined                      // there was no room for it, and it was sent an error
 	closedOverLimit                     // there was no room even for the error
-	closedAtRest                        // it was evicted while idle after an answer
+	closedIdle                          // it was evicted while idle after an answer
 	closedNew                           // it was evicted before it had sent anything
 	closedUngreeted                     // its startup message did not arrive in time
 	closedStalled                       // the client stopped within a message
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -106,12 +106,13 @@
 type Limits struct {
 	MaxConnections int // sockets of clients and stores together
 	MaxClients     int // client sockets, which count towards MaxConnections
-	// bytes of answers that wait for earlier answers of their connections; 0: defaultMaxBufferedReplies
+	// MaxBufferedReplies bounds the bytes of answers that wait for earlier answers of their connections;
+	// 0: defaultMaxBufferedReplies.
 	MaxBufferedReplies int
 	MaxStoreMessage    int  // bytes of one message from a store
 	ClientIdle         Time // a client that is idle for this long may be closed to make room
 	ShutdownGrace      Time // clients are served for at least this long after Stop
-	// time from Stop to the forced end, in addition to the longest class deadline; 0: ShutdownGrace
+	// ForceAfter is the time from Stop to the forced end, in addition to the longest class deadline; 0: ShutdownGrace.
 	ForceAfter   Time
 	MaxDeadline  Time              // bound on that class deadline in the computation of the forced end; 0: no bound
 	Admission    *admission.Bounds // nil: requests go straight to the balancer
@@ -261,7 +262,7 @@
 
 // NextStep returns when Step must be called again even if there are no events.
 func (c *Core) NextStep() Time {
-	// their clients may have read meanwhile; there is no event for that if the system had accepted all output
+	// Their clients may have read meanwhile; there is no event for that if the system had accepted all output.
 	if len(c.stalledConns) > 0 {
 		return min(c.nextWake, c.now+millisecond)
 	}
@@ -274,7 +275,7 @@
 func (c *Core) Stop(now Time) {
 	if c.shutdownAt == 0 {
 		span := min(c.classes.longest, cmp.Or(c.limits.MaxDeadline, c.classes.longest))
-		// where deadlines are short, new connections still arrive when most of that time is over
+		// Where deadlines are short, new connections still arrive when most of that time is over.
 		c.shutdownAt, c.shutdownDeadline = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
 		c.balancer.SetShutdownDeadline(now, c.shutdownDeadline) // requests that are unanswered at the forced end are lost
 	}
@@ -449,7 +450,7 @@
 		}
 	}
 	c.balancer.UpdateMembers(c.now, l.Kind, members)
-	// the order does not matter; a store that was forgotten and listed again in one step counts as known again
+	// The order does not matter; a store that was forgotten and listed again in one step counts as known again.
 	for i := range listed {
 		c.stores[i].forgotten = false
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -209,9 +209,10 @@
 func TestStoreAnswerOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		what         EventFlags
-		stuck        bool
-		read, write  string // the client's answer; "attempt": the request is sent again instead
+		flags        EventFlags
+		unsent       bool
+		read         string // the answer to a read's client; "attempt": the request is sent again instead
+		write        string // the same for a write that may run once
 	}{
 		{"value", value + status("role", "primary") + ready, 0, false, "value", "value"},
 		{"behind", failed("72000") + ready, 0, false, "attempt", "attempt"},
@@ -240,14 +241,14 @@
 			if !strings.Contains(string(st.out), "id=1,") {
 				t.Fatalf("%s: store was sent %q", c.name, st.out)
 			}
-			if c.stuck {
+			if c.unsent {
 				st.unsentBytes = 1
 			}
 			if c.name == "broken while it was written" {
 				st.unsentBytes, st.lateSentBytes = 1, 1
 			}
 			st.in = append(st.in, c.answer...)
-			s.step(Event{st, Readable | c.what})
+			s.step(Event{st, Readable | c.flags})
 			if want == "attempt" {
 				if len(cl.out) > 0 {
 					t.Errorf("%s, %s: answered %q", c.name, class, cl.out)
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -49,7 +49,7 @@
 	at  Time
 }
 
-// scan looks for the ends of complete messages in the read buffer ring.
+// scan looks for the ends of complete messages in the read buffer.
 func (a *arrivalTimes) scan(buffer []byte, now Time) {
 	for a.scanned <= len(buffer) {
 		_, _, size, err := pgwire.ParseMessage(buffer[a.scanned:], pgwire.MaxQuerySize)
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -259,10 +259,10 @@
 	const size = 10 // bytes of a message
 	message := "S\x00\x00\x00\x09-----"
 	var a arrivalTimes
-	ring := ""
+	buffer := ""
 	for n := 1; n <= 2*maxArrivalMarks; n++ {
-		ring += message
-		a.scan([]byte(ring), Time(n))
+		buffer += message
+		a.scan([]byte(buffer), Time(n))
 	}
 	if a.arrivedAt(size, 99) != 1 || a.arrivedAt(2*size, 99) != 2 || a.arrivedAt(2*maxArrivalMarks*size, 99) != maxArrivalMarks {
 		t.Errorf("%+v", a)
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -51,12 +51,13 @@
 func (postgres) prepareNew(k *conn)  { k.onMessage = readStartup }
 func (postgres) prepareIdle(k *conn) { k.onMessage = readWhileIdle }
 
+// sendRequest writes a request's query with the time that is left, or a probe.
 func (postgres) sendRequest(k *conn, c *Core, e pendingAttempt) {
 	switch {
 	case e.request >= 0:
 		req := &c.requests[e.request]
 		text, _, _ := pgwire.ParseString(req.client.link.Peek()[req.offset+messageHeaderSize:])
-		c.scratch = req.cut.AppendQuery(c.scratch[:0], text, max((e.until-c.now)/millisecond, 1))
+		c.scratch = req.timeoutSpan.AppendQuery(c.scratch[:0], text, max((e.until-c.now)/millisecond, 1))
 	case c.host.LoadReports == "inline" || c.host.LoadReports == "on_probe":
 		c.scratch = pgwire.AppendSimpleQuery(c.scratch[:0], "SHOW load")
 	default:
@@ -78,6 +79,7 @@
 	return balance.ConnectionLost
 }
 
+// provenNoEffect returns false, since a query that was written may have run.
 func (postgres) provenNoEffect(*conn) bool { return false }
 
 // fatal ends a connection whose stream cannot be parsed any further.
--- a/internal/front/standing_test.go
+++ b/internal/front/robustness_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// row returns a store's value of that many bytes.
+// row returns a store's answer whose value is text.
 func row(text string) string {
 	return value[:11] + "D\x00\x00\x00" + string([]byte{byte(10 + len(text)), 0, 1, 0, 0, 0, byte(len(text))}) +
 		text + value[24:]
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -14,6 +14,7 @@
 	longest  Time // longest deadline of the classes
 }
 
+// newClassTable returns the table of the settings' classes.
 func newClassTable(classes []balance.Class) *classTable {
 	table := &classTable{settings: classes, byName: make(map[string]int, len(classes))}
 	for i := range classes {
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -153,7 +153,7 @@
 	for name, change := range map[string]func(settings *Settings){
 		"admission": func(settings *Settings) { settings.Admission.MaxRequests = 0 },
 		"classes":   func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
-		"module":    func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
+		"balancer":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
 	} {
 		if err := s.core.Configure(s.now, s.settingsWith(change)); err == nil {
 			t.Errorf("%s: accepted", name)
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -11,14 +11,20 @@
 
 // storeProtocol is one wire protocol towards stores. Implementations keep no state.
 type storeProtocol interface {
-	appendStartup(dst []byte) []byte                // appends the first message of a new connection
-	prepareNew(k *conn)                             // initializes a new connection
-	prepareIdle(k *conn)                            // initializes a connection that becomes idle
-	sendRequest(k *conn, c *Core, e pendingAttempt) // writes the query of a request, or a probe
-	readAnswers(k *conn, c *Core)                   // processes the input that has arrived
-	// returns what is proven about the request on a connection that is now closed
+	// appendStartup appends the first message of a new connection.
+	appendStartup(dst []byte) []byte
+	// prepareNew initializes a new connection.
+	prepareNew(k *conn)
+	// prepareIdle initializes a connection that becomes idle.
+	prepareIdle(k *conn)
+	// sendRequest writes the query of a request, or a probe.
+	sendRequest(k *conn, c *Core, e pendingAttempt)
+	// readAnswers processes the input that has arrived.
+	readAnswers(k *conn, c *Core)
+	// lossEnding returns what is proven about the request on a connection that is now closed.
 	lossEnding(k *conn, c *Core) balance.Ending
-	provenNoEffect(k *conn) bool // reports whether it is proven so far that the request had no effect
+	// provenNoEffect reports whether it is proven so far that the request had no effect.
+	provenNoEffect(k *conn) bool
 }
 
 // store is one store of the list.
@@ -30,7 +36,7 @@
 	bolt       bool    // it speaks Bolt
 	drainUntil Time    // the store drains, and an open transaction may continue until then; 0: it does not drain
 	idle       []*conn // idle connections, the newest last
-	// attempts and probes that wait for a connection, the oldest first
+	// waiting holds the attempts and probes that wait for a connection, the oldest first.
 	waiting []pendingAttempt
 }
 
@@ -56,29 +62,30 @@
 
 // conn is one connection to a store.
 type conn struct {
-	link          Link
-	index         int    // index in Core.conns; -1: released
-	store         uint32 // number of the store
-	protocol      storeProtocol
-	bolt          *boltConn                                                // nil: the store speaks PostgreSQL's protocol
-	addr          string                                                   // the address that was dialled
-	onMessage     func(s *conn, c *Core, kind byte, body []byte) (ok bool) // handles one message of the store
-	ready         bool                                                     // the startup is complete
-	idle          bool                                                     // it is in its store's idle list
-	answerDone    bool                                                     // its answer is complete, and the connection has not been reused yet
-	connectedAt   Time                                                     // when it was established
-	since         Time                                                     // when it was dialled, was given its request or became idle
-	current       pendingAttempt                                           // the attempt or probe that it carries or carried last
-	writtenBytes  int64                                                    // bytes written so far, up to the end of the latest query
-	writeReported bool                                                     // the balancer has been told that part of a write's answer has arrived
-	errorCode     string                                                   // SQLSTATE of the ErrorResponse received
-	partStart     [3]int                                                   // offsets in the read buffer at which the value's messages begin
-	partEnd       [3]int                                                   // offsets in the read buffer at which they end
-	parts         int                                                      // messages of the value that have arrived
-	parsedBytes   int                                                      // bytes of the answer that were parsed
-	report        balance.Report                                           // of the answer itself
-	loadReport    balance.Report                                           // as old as the store's own load report
-	probeValue    string                                                   // value of a probe's answer
+	link     Link
+	index    int    // index in Core.conns; -1: released
+	store    uint32 // number of the store
+	protocol storeProtocol
+	bolt     *boltConn // nil: the store speaks PostgreSQL's protocol
+	addr     string    // the address that was dialled
+	// onMessage handles one message of the store.
+	onMessage     func(s *conn, c *Core, kind byte, body []byte) (ok bool)
+	ready         bool           // the startup is complete
+	idle          bool           // it is in its store's idle list
+	answerDone    bool           // its answer is complete, and the connection has not been reused yet
+	connectedAt   Time           // when it was established
+	since         Time           // when it was dialled, was given its request or became idle
+	current       pendingAttempt // the attempt or probe that it carries or carried last
+	writtenBytes  int64          // bytes written so far, up to the end of the latest query
+	writeReported bool           // the balancer has been told that part of a write's answer has arrived
+	errorCode     string         // SQLSTATE of the ErrorResponse received
+	partStart     [3]int         // offsets in the read buffer at which the value's messages begin
+	partEnd       [3]int         // offsets in the read buffer at which they end
+	parts         int            // messages of the value that have arrived
+	parsedBytes   int            // bytes of the answer that were parsed
+	report        balance.Report // of the answer itself
+	loadReport    balance.Report // as old as the store's own load report
+	probeValue    string         // value of a probe's answer
 }
 
 // startAttempt starts an attempt.
@@ -209,7 +216,7 @@
 	}
 	k.protocol.sendRequest(k, c, e)
 	if k.index >= 0 {
-		k.link.Flush() // flushed at once: by the end of this step the request's client may have disconnected
+		k.link.Flush() // at once: by the end of this step the request's client may have disconnected
 	}
 }
 
@@ -449,7 +456,7 @@
 		case k.answerDone: // the beginning of another message follows its answer
 			k.release(c)
 			c.dispatchOldest(k.store)
-		// nothing new may be sent there, and the open transaction would continue
+		// Nothing new may be sent there, and the open transaction would continue.
 		case k.ready && !k.idle && k.drainExpired(c):
 			k.connectionLost(c)
 		case k.ready && !k.idle && c.now >= k.current.until:
--- a/internal/front/timeouts.go
+++ b/internal/front/timeouts.go
@@ -36,12 +36,12 @@
 		return
 	}
 	if sent := cl.link.SentBytes(); cl.unreadSince == 0 || sent != cl.unreadSent {
-		cl.unreadSince, cl.unreadSent, cl.unreadNoted = c.now, sent, false
+		cl.unreadSince, cl.unreadSent, cl.unreadLogged = c.now, sent, false
 		return
 	}
 	unread := c.now - cl.unreadSince
-	if unread >= unreadLogAfter && !cl.unreadNoted {
-		cl.unreadNoted = true
+	if unread >= unreadLogAfter && !cl.unreadLogged {
+		cl.unreadLogged = true
 		c.logLimited("answer not taken", "client", cl.serial, "sent", cl.unreadSent)
 	}
 	if unread >= unreadLimit {
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -14,7 +14,7 @@
 // store is a simple model of a store: it reads whole messages in order, and the request has its effect or not.
 type store struct {
 	transaction, open, failed, effect bool
-	word                              string // error code of a fault
+	errorCode                         string // error code of a fault
 }
 
 // take executes one message and returns its answer.
@@ -30,7 +30,7 @@
 			s.effect = true // it failed halfway, so the effect is unknown
 		}
 		s.failed, s.open = true, false
-		return false, false, s.word
+		return false, false, s.errorCode
 	}
 	switch w {
 	case bolt.BeginTx:
@@ -54,7 +54,7 @@
 		if c.Transaction {
 			script = []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull, bolt.Run, bolt.Pull, bolt.Commit}
 		}
-		s := store{transaction: c.Transaction, word: rapid.SampledFrom([]string{"Neo.DatabaseError.General.UnknownError",
+		s := store{transaction: c.Transaction, errorCode: rapid.SampledFrom([]string{"Neo.DatabaseError.General.UnknownError",
 			"Neo.TransientError.Transaction.DeadlockDetected"}).Draw(t, "error code")}
 		wrote := rapid.IntRange(0, len(script)).Draw(t, "written whole")
 		part := wrote < len(script) && rapid.Bool().Draw(t, "part of the next")
@@ -90,7 +90,7 @@
 		switch v := c.Verdict(false); {
 		case (v == Retry || v == Refused) && s.effect:
 			t.Fatalf("verdict %d for a request that had its effect: %+v", v, c)
-		case v == Failed && s.effect && bolt.Invites([]byte(s.word)):
+		case v == Failed && s.effect && bolt.Invites([]byte(s.errorCode)):
 			t.Fatalf("the client is told to repeat a request that had its effect: %+v", c)
 		case v == Retry && c.forwarded:
 			t.Fatalf("sent again after the client saw part of the answer: %+v", c)
