--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
-// Package front is the router's core without I/O: it keeps requests, attempts and store connections, speaks the
-// protocol on links that it is handed, and asks the decision module (package balance) what to do. It decides
-// nothing by itself. One loop owns all of it: Step is given the time and what is ready, hands that to the
-// module in one go and carries out what comes back.
+// Package front is the core of one router process, without I/O. It keeps requests, attempts and store connections,
+// implements the wire protocols on the links that it is given, and asks the balancer (package balance) for every
+// routing decision; it makes none itself. A single loop owns all of it: Step is called with the time and the links that
+// are ready, passes these to the balancer as one batch and executes the tasks that result.
 package front
 
 import (
@@ -16,251 +16,289 @@
 	"micatrack/internal/settings"
 )
 
-// Time is in tenths of a millisecond since the Unix epoch, read once and then counted monotonically.
+// Time is in tenths of a millisecond since the Unix epoch. The clock is read once at the start and counted
+// monotonically from there.
 type Time = balance.Time
 
-const perMilli = 10 // Times in a millisecond
+const millisecond = 10 // number of Time units in a millisecond
 
-// Link is one socket. The core owns it from Dial or its Accepted event until it calls Close or Finish, or
-// hears that it is closed.
+// Link is one socket. The core owns it from Dial or its Accepted event until it calls Close, Abort or CloseWrite, or is
+// told that it is closed.
 type Link interface {
-	Peek() []byte           // all that came in and was not discarded
-	Discard(n int)          // drops its first bytes
-	ReadBufferFull() bool   // there is no room for more to come in
-	Write(p []byte) bool    // queues p whole; false: there is no room for it
-	Flush()                 // hands what is queued to the system
-	SentBytes() int64       // bytes that the system has taken so far
-	Flushed() bool          // the system has taken all that was queued
-	Close()                 // at once; what is still queued is dropped
-	Abort()                 // the same, and what the system holds of it is dropped too
-	CloseWrite()            // ends the sending once all that is queued is out, and closes when the peer does; what comes is dropped
-	PeerOpen() bool         // the peer is there, as the system knows this moment
-	CloseWriteIfIdle() bool // is Finish if nothing has come up to that moment that was not discarded, and nothing is queued
-	// CloseAtRest is Close if nothing has come up to that moment that was not discarded. last is sent before if it can be.
+	// Peek returns all input that was received and not discarded.
+	Peek() []byte
+	// Discard drops the first n bytes of the input.
+	Discard(n int)
+	// ReadBufferFull reports whether there is no room for more input.
+	ReadBufferFull() bool
+	// Write queues all of p, or returns false if there is no room for it.
+	Write(p []byte) bool
+	// Flush passes the queued output to the system.
+	Flush()
+	// SentBytes returns the number of bytes that the system has accepted so far.
+	SentBytes() int64
+	// Flushed reports whether the system has accepted all queued output.
+	Flushed() bool
+	// Close closes the socket at once; output that is still queued is dropped.
+	Close()
+	// Abort is Close, and also drops the output that the system holds.
+	Abort()
+	// CloseWrite ends the output after all that is queued, and closes the socket when the peer does; further input is
+	// dropped.
+	CloseWrite()
+	// PeerOpen reports whether the peer is still connected, as the system knows at this moment.
+	PeerOpen() bool
+	// CloseWriteIfIdle is CloseWrite if no undiscarded input has been received up to this moment and no output is
+	// queued. It reports whether it closed.
+	CloseWriteIfIdle() bool
+	// CloseIfIdle is Close if no undiscarded input has been received up to this moment. last is sent before if
+	// possible. It reports whether it closed.
 	CloseIfIdle(last []byte) bool
-	Owner() any // what Own was told last
+	// Owner returns the value of the last SetOwner call.
+	Owner() any
+	// SetOwner stores a value for Owner; nil: the link has no owner.
 	SetOwner(owner any)
 }
 
-// NoRoom: no descriptor, port or memory is left for a connection, which is no fault of the store's.
+// ErrNoResources is returned by Dial if no descriptor, port or memory is left for a connection, which is not the
+// store's fault.
 var ErrNoResources = errors.New("no room for a connection")
 
-// Sockets opens connections. What is written on a link that is not up yet waits; Closed follows if it never
-// will be.
+// Sockets opens connections. Output that is written to a link before it is connected waits; a Closed event follows if
+// the connection fails.
 type Sockets interface {
+	// Dial begins to open a connection to addr. Its error is ErrNoResources if the front lacks a resource.
 	Dial(addr string) (Link, error)
 }
 
-// EventFlags tells what happened to a link; several may have at once.
+// EventFlags tells what happened to a link; several flags may be set at once.
 type EventFlags uint8
 
 const (
-	Accepted EventFlags = 1 << iota
-	Readable
-	Closed
-	Bolt // with Accepted: on the listener for Bolt
+	Accepted EventFlags = 1 << iota // the link is a new client connection
+	Readable                        // input was received
+	Closed                          // the connection is closed or failed
+	Bolt                            // with Accepted: on the listener for Bolt
 )
 
-// Event is one link with news.
+// Event reports what happened to one link.
 type Event struct {
-	Link  Link
-	Flags EventFlags
+	Link  Link       // the link to which it happened
+	Flags EventFlags // what happened
 }
 
-// StoreEntry is one store of the list, with where this front reaches it. The core numbers the stores.
+// StoreEntry is one store of the discovered list, with the address at which this front reaches it. The core assigns the
+// store's number.
 type StoreEntry struct {
-	ID, Addr string
-	Bolt     bool // it speaks Bolt, else PostgreSQL's protocol
+	ID   string // name of the store
+	Addr string // address at which this front reaches it
+	Bolt bool   // whether the store speaks Bolt rather than the PostgreSQL protocol
 	balance.Member
 }
 
-// StoreList is what discovery told.
+// StoreList is an update of the store list from discovery.
 type StoreList struct {
-	Kind    balance.ListKind
-	Entries []StoreEntry
+	Kind    balance.ListKind // whether Entries is the whole list, or how else it is to be read
+	Entries []StoreEntry     // the stores of the update
 }
 
-// Limits bounds what the core holds open.
+// Limits bounds the resources that the core uses and the times that it waits.
 type Limits struct {
-	MaxConnections     int               // sockets of clients and stores together
-	MaxClients         int               // of them at most
-	MaxBufferedReplies int               // bytes of answers that wait for those before them on their connections; 0: defaultKept
-	MaxStoreMessage    int               // bytes of one message of a store
-	ClientIdle         Time              // a client that asked nothing for that long may be hung up on to make room
-	ShutdownGrace      Time              // from Stop on, for that long at least, clients are served on
-	ForceAfter         Time              // from Stop to the end by force, beside the longest deadline; 0: Grace
-	MaxDeadline        Time              // that deadline counts as no more than this there; 0: it counts in full
-	Admission          *admission.Bounds // nil: requests go straight to the module
-	BoltAddress        string            // where Bolt clients reach this front, for ROUTE, if they do not say
-	DrainGrace         Time              // how long an open transaction may go on at a store that drains
-	CancelSecret       []byte            // from which the keys are made by which clients cancel
-	// Saw, if it is set, is told how each attempt and each probe came back, and how long after it set out. Expected is
+	MaxConnections int // sockets of clients and stores together
+	MaxClients     int // client sockets, which count towards MaxConnections
+	// MaxBufferedReplies bounds the bytes of answers that wait for earlier answers of their connections;
+	// 0: defaultMaxBufferedReplies.
+	MaxBufferedReplies int
+	MaxStoreMessage    int  // bytes of one message from a store
+	ClientIdle         Time // a client that is idle for this long may be closed to make room
+	ShutdownGrace      Time // clients are served for at least this long after Stop
+	// ForceAfter is the time from Stop to the forced end, in addition to the longest class deadline; 0: ShutdownGrace.
+	ForceAfter   Time
+	MaxDeadline  Time              // bound on that class deadline in the computation of the forced end; 0: no bound
+	Admission    *admission.Bounds // nil: requests go straight to the balancer
+	BoltAddress  string            // address of this front that ROUTE returns if the client names none
+	DrainGrace   Time              // how long an open transaction may continue at a store that drains
+	CancelSecret []byte            // secret from which the cancel keys of clients are derived
+	// OnAttemptEnd, if set, is called with how each attempt and each probe ended and the time that it took. expected is
 	// the expected time of the attempt's class, 0 for a probe.
 	OnAttemptEnd  func(store string, how balance.Ending, expected, took Time)
-	PositionWatch PositionWatch // nil: every question goes to the store itself
+	PositionWatch PositionWatch // nil: all position queries go to the store itself
 }
 
-// PositionWatch may take over the questions of reads that wait for a position. Its methods are called during Step.
+// PositionWatch may take over the position queries for reads that wait for a position. Its methods are called during
+// Step.
 type PositionWatch interface {
-	RequestPosition(store string, need Time, any bool) bool // true: Proxied follows
-	PositionObserved(store string, position Time)           // it has shown that much to this front
-	QueryFailed(store string)                               // a Survey came to nothing
+	// RequestPosition asks whether a store, or with anyStore any store of its group, has reached the position need. If it
+	// returns true, Core.PositionResolved will be called.
+	RequestPosition(store string, need Time, anyStore bool) bool
+	// PositionObserved tells that an answer to this front showed the store at this position.
+	PositionObserved(store string, position Time)
+	// QueryFailed tells that a QueryPosition returned no position.
+	QueryFailed(store string)
 }
 
-// word is what others have to say of a store, and what the watch asks for.
-type word struct {
-	do       func(c *Core, i uint32, w word)
-	store    string
-	position Time
-	answered bool
+// storeUpdate is information about a store from peers, or a request of the position watch.
+type storeUpdate struct {
+	apply    func(c *Core, i uint32, w storeUpdate) // carries it out; i is the store's number
+	store    string                                 // name of the store
+	position Time                                   // position observed by a peer
+	answered bool                                   // the query is resolved
 }
 
-// task is something that the module asked for.
+// task is an action that the balancer has requested.
 type task struct {
-	do      func(c *Core, t task)
-	request int32
-	attempt int
-	store   uint32
-	at      Time
-	least   Time
-	any     bool
+	run         func(c *Core, t task) // executes the task
+	request     int32                 // index in Core.requests
+	attempt     int                   // number of the attempt
+	store       uint32                // number of the store
+	at          Time                  // end of the attempt, or the pause of a refusal
+	minPosition Time                  // position that the answer has to show; 0: none
+	anyStore    bool                  // a probe may be answered by any store of the group
 }
 
-// plan is the part of ordinary work that may go to a zone.
-type plan struct {
-	zone string
-	part float64
+// zoneShare is the share of ordinary work that may go to a zone.
+type zoneShare struct {
+	zone  string
+	share float64
 }
 
-// back is a result that the module has yet to be handed.
-type back struct {
-	request int32 // -1: of a probe
+// attemptResult is a result that the balancer has not been told yet.
+type attemptResult struct {
+	request int32 // -1: the result of a probe
 	attempt int
 	store   uint32
-	r       balance.Result
+	result  balance.Result
 }
 
-// Core is one front.
+// Core is the core of one front.
 type Core struct {
-	module       *balance.Balancer
-	door         *admission.Controller // nil: there is none
-	sockets      Sockets
-	log          *slog.Logger
-	host         settings.Process
-	limits       Limits
-	classes      *classTable
-	settings     Settings // in force
-	now          Time
-	wakeAt       Time
-	watch        func()
-	requests     []request
-	freeRequests []int32
-	inHand       int
-	stores       []store
-	storeOf      map[string]uint32
-	freeStores   []uint32
-	groups       map[uint64]bool // that are listed; true: their stores speak Bolt
-	clients      []*client
-	serial       uint64 // of the newest client
-	behind       int    // commands in all pipelines
-	kept         int    // bytes of their replies
-	conns        []*conn
-	lists        []StoreList
-	plans        []plan
-	words        []word
-	arrivals     []int32
-	leavers      []int32
-	backs        []back
-	tasks        []task
-	dirty        []Link
-	stalled      []*conn // whose clients had no room for a piece of a result
-	out          []byte  // scratch for what is being written
-	stopAt       Time    // 0: not stopping; from then on idle clients are hung up
-	endAt        Time    // by then all must be answered
-	counts       eventCounts
-	logged       int // lines in this second; more are dropped
-	loggedAt     Time
-}
-
-// New starts a front. watch is called when the module asks discovery for changes.
+	balancer         *balance.Balancer
+	admission        *admission.Controller // nil: no admission control
+	sockets          Sockets
+	log              *slog.Logger
+	host             settings.Process
+	limits           Limits
+	classes          *classTable
+	settings         Settings // the settings in force
+	now              Time
+	nextWake         Time // when the next sweep and tick are due
+	watchDiscovery   func()
+	requests         []request         // all entries, in use or free
+	freeRequests     []int32           // indices of the free entries
+	pending          int               // requests in use
+	stores           []store           // by number
+	storeIndex       map[string]uint32 // numbers by name
+	freeStores       []uint32          // numbers of the free entries
+	groups           map[uint64]bool   // groups of the store list; true: their stores speak Bolt
+	clients          []*client
+	lastSerial       uint64 // serial number of the newest client
+	pipelined        int    // requests in all pipelines
+	bufferedBytes    int    // bytes of their buffered replies
+	conns            []*conn
+	storeLists       []StoreList // updates queued for the next step, as are zoneShares and storeUpdates
+	zoneShares       []zoneShare
+	storeUpdates     []storeUpdate
+	arrived          []int32         // requests to be passed to admission control or the balancer
+	abandoned        []int32         // requests that ended without an answer, which the balancer is to be told
+	results          []attemptResult // results that the balancer is to be told
+	tasks            []task          // requested by the balancer or admission control and not yet executed
+	unflushed        []Link          // links with output to be flushed at the end of the step
+	stalledConns     []*conn         // connections whose clients had no room for part of a result
+	scratch          []byte          // scratch buffer for output
+	shutdownAt       Time            // from then on idle clients are closed; 0: not stopping
+	shutdownDeadline Time            // all requests must be answered by then
+	counts           eventCounts
+	loggedLines      int  // lines logged in this second; more than a limit are dropped
+	loggedSince      Time // beginning of that second
+}
+
+// New returns a front with settings c and h. watch is called when the balancer asks discovery for changes.
 func New(now Time, c balance.Settings, h settings.Process, l Limits, s Sockets, watch func(),
 	log *slog.Logger) (*Core, error) {
-	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watch: watch,
+	f := &Core{sockets: s, log: log, host: h, limits: l, now: now, watchDiscovery: watch,
 		classes: newClassTable(c.Classes), settings: Settings{Balancer: c, Host: h, Admission: l.Admission},
-		storeOf: map[string]uint32{}, groups: map[uint64]bool{}}
+		storeIndex: map[string]uint32{}, groups: map[uint64]bool{}}
 	var err error
-	if f.module, err = balance.New(now, c, f); err == nil && l.Admission != nil {
-		f.door, err = admission.New(now, c, *l.Admission, gate{f})
+	if f.balancer, err = balance.New(now, c, f); err == nil && l.Admission != nil {
+		f.admission, err = admission.New(now, c, *l.Admission, admissionHost{f})
 	}
 	return f, err
 }
 
-// UpdateStores queues what discovery told for the next Step.
-func (c *Core) UpdateStores(l StoreList) { c.lists = append(c.lists, l) }
+// UpdateStores queues an update of the store list for the next Step.
+func (c *Core) UpdateStores(l StoreList) { c.storeLists = append(c.storeLists, l) }
 
-// SetZoneShare queues the fleet's plan for a zone for the next Step.
-func (c *Core) SetZoneShare(name string, part float64) { c.plans = append(c.plans, plan{name, part}) }
+// SetZoneShare queues the fleet's share for a zone for the next Step.
+func (c *Core) SetZoneShare(name string, share float64) {
+	c.zoneShares = append(c.zoneShares, zoneShare{name, share})
+}
 
-// ReportPosition queues a peer's word for what a store has shown. Survey has a store asked for its position. Proxied ends a question
-// that the watch has taken over: it is settled, or the store itself is to be asked.
+// ReportPosition queues a position of a store that a peer has observed.
 func (c *Core) ReportPosition(store string, position Time) {
-	c.words = append(c.words, word{store: store, position: position, do: func(c *Core, i uint32, w word) {
-		c.module.PeerPosition(c.now, i, w.position)
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, position: position, apply: func(c *Core, i uint32, w storeUpdate) {
+		c.balancer.PeerPosition(c.now, i, w.position)
 	}})
 }
+
+// QueryPosition queues a query of a store for its position. PositionObserved or QueryFailed of the position watch
+// follows.
 func (c *Core) QueryPosition(store string) {
-	c.words = append(c.words, word{store: store, do: func(c *Core, i uint32, _ word) {
-		c.start(i, errand{request: -1, survey: true, since: c.now, until: c.now + c.host.DialTimeout})
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, apply: func(c *Core, i uint32, _ storeUpdate) {
+		c.dispatch(i, pendingAttempt{request: -1, positionQuery: true, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
+
+// PositionResolved ends a query that the position watch has taken over. If answered is true the query is resolved;
+// otherwise the store itself is asked.
 func (c *Core) PositionResolved(store string, answered bool) {
-	c.words = append(c.words, word{store: store, answered: answered, do: func(c *Core, i uint32, w word) {
-		if w.answered { // it says nothing of the store, but that the question is settled
-			c.owe(back{-1, 0, i, balance.Result{Ending: balance.Served}})
+	c.storeUpdates = append(c.storeUpdates, storeUpdate{store: store, answered: answered, apply: func(c *Core, i uint32, w storeUpdate) {
+		if w.answered { // the answer says nothing about the store, only that the query is resolved
+			c.queueResult(attemptResult{-1, 0, i, balance.Result{Ending: balance.Served}})
 			return
 		}
-		c.start(i, errand{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
+		c.dispatch(i, pendingAttempt{request: -1, since: c.now, until: c.now + c.host.DialTimeout})
 	}})
 }
 
-// NextStep is when Step must be called again even if nothing happens.
+// NextStep returns when Step must be called again even if there are no events.
 func (c *Core) NextStep() Time {
-	if len(c.stalled) > 0 { // their clients may have read meanwhile, which nothing tells where the system took it all
-		return min(c.wakeAt, c.now+perMilli)
+	// Their clients may have read meanwhile; there is no event for that if the system had accepted all output.
+	if len(c.stalledConns) > 0 {
+		return min(c.nextWake, c.now+millisecond)
 	}
-	return c.wakeAt
+	return c.nextWake
 }
 
-// Stop begins the end. Clients are served on for most of the time that there is, for where they would go
-// another front may be ending as well. Then each is hung up on between two requests, and all that was taken is
-// answered before the front is ended by force.
+// Stop begins the shutdown. Clients are served for most of the available time, since the front to which they would
+// reconnect may be shutting down as well. Then each client is closed between two requests, and all accepted requests
+// are answered before the front is ended by force.
 func (c *Core) Stop(now Time) {
-	if c.stopAt == 0 {
+	if c.shutdownAt == 0 {
 		span := min(c.classes.longest, cmp.Or(c.limits.MaxDeadline, c.classes.longest))
-		// Danger: where limits are short, new connections still come when most of that time is over.
-		c.stopAt, c.endAt = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
-		c.module.SetShutdownDeadline(now, c.endAt) // Danger: what the end by force finds unanswered is lost.
+		// Where deadlines are short, new connections still arrive when most of that time is over.
+		c.shutdownAt, c.shutdownDeadline = now+max(span*3/4, c.limits.ShutdownGrace), now+span+cmp.Or(c.limits.ForceAfter, c.limits.ShutdownGrace)
+		c.balancer.SetShutdownDeadline(now, c.shutdownDeadline) // requests that are unanswered at the forced end are lost
 	}
 }
 
-// Done tells that Stop is complete: no client is left and no request in hand.
-func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.inHand == 0 }
+// Done reports whether the shutdown is complete: no client is left and no request is pending.
+func (c *Core) Done() bool { return c.Stopping() && len(c.clients) == 0 && c.pending == 0 }
 
-// PendingRequests gives the requests that have not had their final answer, or whose attempts are still out.
-func (c *Core) PendingRequests() int { return c.inHand }
+// PendingRequests returns the number of requests that have not had their final answer or whose attempts have not ended.
+func (c *Core) PendingRequests() int { return c.pending }
 
-// Stopping tells that new connections are no longer expected.
-func (c *Core) Stopping() bool { return c.stopAt > 0 && c.now >= c.stopAt }
+// Stopping reports whether the front has begun to close idle clients and expects no new connections.
+func (c *Core) Stopping() bool { return c.shutdownAt > 0 && c.now >= c.shutdownAt }
 
-// Step is one turn of the loop.
+// Step runs one iteration of the loop.
 func (c *Core) Step(now Time, events []Event) {
 	c.now = now
 	for _, e := range events {
 		switch o := e.Link.Owner().(type) {
 		case *client:
-			o.notice(c, e.Flags)
+			o.handleEvent(c, e.Flags)
 		case *conn:
-			o.notice(c, e.Flags)
+			o.handleEvent(c, e.Flags)
 		default:
 			if e.Flags&Bolt != 0 {
 				c.accept(e.Link, e.Flags, newBoltClient())
@@ -269,106 +307,109 @@
 			}
 		}
 	}
-	for n := len(c.stalled); n > 0; n-- { // those that still have none are put behind the others
-		k := c.stalled[0]
-		c.stalled = append(c.stalled[:0], c.stalled[1:]...)
-		k.resume(c)
+	for n := len(c.stalledConns); n > 0; n-- { // connections that stall again are appended behind the others
+		k := c.stalledConns[0]
+		c.stalledConns = append(c.stalledConns[:0], c.stalledConns[1:]...)
+		k.resumeStalled(c)
 	}
-	for _, p := range c.plans {
-		c.module.SetZoneShare(now, p.zone, p.part)
+	for _, p := range c.zoneShares {
+		c.balancer.SetZoneShare(now, p.zone, p.share)
 	}
-	c.plans = c.plans[:0]
-	for _, l := range c.lists {
-		c.list(l)
+	c.zoneShares = c.zoneShares[:0]
+	for _, l := range c.storeLists {
+		c.applyStoreList(l)
 	}
-	c.lists = c.lists[:0]
-	for k := 0; k < len(c.words); k++ {
-		if i, ok := c.storeOf[c.words[k].store]; ok && !c.stores[i].bolt { // results in Bolt go out before they are whole
-			c.words[k].do(c, i, c.words[k])
+	c.storeLists = c.storeLists[:0]
+	for k := 0; k < len(c.storeUpdates); k++ {
+		// Bolt results are forwarded before they are complete
+		if i, ok := c.storeIndex[c.storeUpdates[k].store]; ok && !c.stores[i].bolt {
+			c.storeUpdates[k].apply(c, i, c.storeUpdates[k])
 		}
 	}
-	c.words = c.words[:0]
-	beat := now >= c.wakeAt
-	if beat {
+	c.storeUpdates = c.storeUpdates[:0]
+	tickDue := now >= c.nextWake
+	if tickDue {
 		c.sweep()
 		c.summarize()
 	}
-	for once := true; once || len(c.backs)+len(c.arrivals)+len(c.leavers)+len(c.tasks) > 0; once = false {
-		for k := 0; k < len(c.backs); k++ {
-			c.handBack(c.backs[k])
+	for once := true; once || len(c.results)+len(c.arrived)+len(c.abandoned)+len(c.tasks) > 0; once = false {
+		for k := 0; k < len(c.results); k++ {
+			c.reportResult(c.results[k])
 		}
-		c.backs = c.backs[:0]
-		for _, i := range c.leavers {
-			if c.door != nil {
-				c.door.RequestEnded(now, i)
+		c.results = c.results[:0]
+		for _, i := range c.abandoned {
+			if c.admission != nil {
+				c.admission.RequestEnded(now, i)
 			}
-			c.module.ClientGone(now, c.requests[i].id)
-			c.free(i)
+			c.balancer.ClientGone(now, c.requests[i].id)
+			c.releaseRequest(i)
 		}
-		c.leavers = c.leavers[:0]
-		for k := 0; k < len(c.arrivals); k++ {
-			c.arrive(c.arrivals[k])
+		c.abandoned = c.abandoned[:0]
+		for k := 0; k < len(c.arrived); k++ {
+			c.handleArrival(c.arrived[k])
 		}
-		c.arrivals = c.arrivals[:0]
-		if beat {
-			c.module.Tick(now)
-			if c.door != nil {
-				c.door.Tick(now)
+		c.arrived = c.arrived[:0]
+		if tickDue {
+			c.balancer.Tick(now)
+			if c.admission != nil {
+				c.admission.Tick(now)
 			}
-			beat = false
+			tickDue = false
 		}
-		c.open()
-		c.carryOut()
-		c.open() // what was answered has made room
+		c.admitRequests()
+		c.runTasks()
+		c.admitRequests() // answers have made room
 	}
-	for _, l := range c.dirty {
+	for _, l := range c.unflushed {
 		l.Flush()
 	}
-	c.dirty = c.dirty[:0]
+	c.unflushed = c.unflushed[:0]
 }
 
-// open has the door let in what there is room for.
-func (c *Core) open() {
-	if c.door != nil {
-		c.door.AdmitWaiting(c.now)
+// admitRequests lets admission control admit the requests for which there is room.
+func (c *Core) admitRequests() {
+	if c.admission != nil {
+		c.admission.AdmitWaiting(c.now)
 	}
 }
 
-// gate is what the core does for the door.
-type gate struct{ c *Core }
+// admissionHost implements the callbacks of admission control.
+type admissionHost struct{ c *Core }
 
-func (g gate) Admit(request int32) { g.c.take(request) }
-func (g gate) Log(text string)     { g.c.note(text) }
-func (g gate) Reject(request int32, pause Time) {
-	g.c.tasks = append(g.c.tasks, task{do: (*Core).refuse, request: request, at: pause})
+func (g admissionHost) Admit(request int32) { g.c.submit(request) }
+func (g admissionHost) Log(text string)     { g.c.logLimited(text) }
+func (g admissionHost) Reject(request int32, pause Time) {
+	g.c.tasks = append(g.c.tasks, task{run: (*Core).refuseRequest, request: request, at: pause})
 }
 
-func (c *Core) carryOut() {
+// runTasks executes the tasks that the balancer and admission control have requested.
+func (c *Core) runTasks() {
 	for k := 0; k < len(c.tasks); k++ {
-		c.tasks[k].do(c, c.tasks[k])
+		c.tasks[k].run(c, c.tasks[k])
 	}
 	c.tasks = c.tasks[:0]
 }
 
-func (c *Core) handBack(b back) {
+// reportResult passes the result of an attempt or a probe to the balancer.
+func (c *Core) reportResult(b attemptResult) {
 	if b.request < 0 {
-		c.module.ProbeDone(c.now, b.store, b.r)
+		c.balancer.ProbeDone(c.now, b.store, b.result)
 		return
 	}
-	j := &c.requests[b.request]
-	j.owed--
-	b.r.Done = j.final
-	c.module.AttemptDone(c.now, j.id, b.attempt, b.store, b.r)
-	c.free(b.request)
+	req := &c.requests[b.request]
+	req.unreported--
+	b.result.Done = req.concluded
+	c.balancer.AttemptDone(c.now, req.id, b.attempt, b.store, b.result)
+	c.releaseRequest(b.request)
 }
 
-// list hands a list on, with the stores numbered.
-func (c *Core) list(l StoreList) {
+// applyStoreList numbers the stores of a list and passes it to the balancer.
+func (c *Core) applyStoreList(l StoreList) {
 	members := make([]balance.Member, len(l.Entries))
-	named := make(map[uint32]bool, len(l.Entries))
+	listed := make(map[uint32]bool, len(l.Entries))
 	for k := range l.Entries {
 		e := &l.Entries[k]
-		i, ok := c.storeOf[e.ID]
+		i, ok := c.storeIndex[e.ID]
 		if !ok {
 			if len(c.freeStores) == 0 {
 				c.freeStores = append(c.freeStores, uint32(len(c.stores)))
@@ -376,103 +417,119 @@
 			}
 			i = c.freeStores[len(c.freeStores)-1]
 			c.freeStores = c.freeStores[:len(c.freeStores)-1]
-			c.stores[i] = store{id: e.ID, addr: e.Addr, dialect: postgres{}}
+			c.stores[i] = store{id: e.ID, addr: e.Addr, protocol: postgres{}}
 			if e.Bolt {
-				c.stores[i].dialect, c.stores[i].bolt = boltStore{}, true
+				c.stores[i].protocol, c.stores[i].bolt = boltStore{}, true
 			}
-			c.storeOf[e.ID] = i
+			c.storeIndex[e.ID] = i
 		}
 		s := &c.stores[i]
 		if e.Addr != "" && e.Addr != s.addr {
 			s.addr = e.Addr
-			c.hangUp(i)
+			c.closeIdle(i)
 		}
 		switch e.Condition {
 		case balance.Gone:
-			c.hangUp(i)
+			c.closeIdle(i)
 		case balance.Draining:
-			if s.cutAt == 0 {
-				s.cutAt = c.now + c.limits.DrainGrace
+			if s.drainUntil == 0 {
+				s.drainUntil = c.now + c.limits.DrainGrace
 			}
 		case balance.Ready:
-			s.cutAt = 0
+			s.drainUntil = 0
 		}
-		named[i], c.groups[e.Group] = true, e.Bolt
+		listed[i], c.groups[e.Group] = true, e.Bolt
 		members[k] = e.Member
 		members[k].Store = i
 	}
 	if l.Kind == balance.ListFull || l.Kind == balance.ListStale {
 		for i := range c.stores {
-			if !named[uint32(i)] {
-				c.hangUp(uint32(i))
+			if !listed[uint32(i)] {
+				c.closeIdle(uint32(i))
 			}
 		}
 	}
-	c.module.UpdateMembers(c.now, l.Kind, members)
-	for i := range named { // in any order: what was forgotten and named again in one go has been taken up anew
+	c.balancer.UpdateMembers(c.now, l.Kind, members)
+	// The order does not matter; a store that was forgotten and listed again in one step counts as known again.
+	for i := range listed {
 		c.stores[i].forgotten = false
 	}
 }
 
-// note logs a rare change; past a bound in each second lines are dropped, so that trouble cannot drown it.
-func (c *Core) note(text string, args ...any) {
-	if c.now-c.loggedAt >= 1000*perMilli {
-		c.loggedAt, c.logged = c.now, 0
+// logLimited logs a rare event. Beyond a limit per second lines are dropped, so that a fault cannot flood the log.
+func (c *Core) logLimited(text string, args ...any) {
+	if c.now-c.loggedSince >= 1000*millisecond {
+		c.loggedSince, c.loggedLines = c.now, 0
 	}
-	if c.logged++; c.logged <= 20 {
+	if c.loggedLines++; c.loggedLines <= 20 {
 		c.log.Info(text, args...)
 	}
 }
 
-// The rest is balance.Front: what the module asks for waits until the module has seen all that is ready.
+// The methods below implement balance.Front. Their tasks wait until the balancer has processed everything that is
+// ready.
 
-func (c *Core) Send(id string, store uint32, until, least Time) {
-	if c.door != nil {
-		c.door.AttemptStarted(c.now, place(id))
+// Send starts an attempt of a request at a store, which ends at until. An answer that shows a position below least does not
+// count; 0: any answer does.
+func (c *Core) Send(id string, store uint32, until, minPosition Time) {
+	if c.admission != nil {
+		c.admission.AttemptStarted(c.now, requestIndex(id))
 	}
-	c.tasks = append(c.tasks, task{do: (*Core).depart, request: place(id), store: store, at: until, least: least})
+	c.tasks = append(c.tasks, task{run: (*Core).startAttempt, request: requestIndex(id), store: store, at: until, minPosition: minPosition})
 }
 
+// Cancel cancels an attempt of a request.
 func (c *Core) Cancel(id string, attempt int) {
-	c.tasks = append(c.tasks, task{do: (*Core).recall, request: place(id), attempt: attempt})
+	c.tasks = append(c.tasks, task{run: (*Core).cancelAttempt, request: requestIndex(id), attempt: attempt})
 }
 
+// Refuse answers a request with a refusal that tells the client to try again after pause.
 func (c *Core) Refuse(id string, pause Time) {
-	if c.door != nil {
-		pause = c.door.RetryAfter(c.now, place(id), pause)
+	if c.admission != nil {
+		pause = c.admission.RetryAfter(c.now, requestIndex(id), pause)
 	}
-	c.tasks = append(c.tasks, task{do: (*Core).refuse, request: place(id), at: pause})
+	c.tasks = append(c.tasks, task{run: (*Core).refuseRequest, request: requestIndex(id), at: pause})
 }
 
+// Fail answers a request with an error that tells that it may have run. If the store protocol proves that it had no
+// effect, the client is told to try again instead.
 func (c *Core) Fail(id string) {
-	c.tasks = append(c.tasks, task{do: (*Core).failRequest, request: place(id)})
+	c.tasks = append(c.tasks, task{run: (*Core).failRequest, request: requestIndex(id)})
 }
 
-func (c *Core) Probe(store uint32, need Time, any bool) {
-	c.tasks = append(c.tasks, task{do: (*Core).probe, store: store, least: need, any: any})
+// Probe asks a store for its position. The position watch may answer for it if need is not 0 and it knows that the store,
+// or with anyStore any store of its group, has reached need.
+func (c *Core) Probe(store uint32, need Time, anyStore bool) {
+	c.tasks = append(c.tasks, task{run: (*Core).startProbe, store: store, minPosition: need, anyStore: anyStore})
 }
 
+// CloseIdle closes the idle connections to a store.
 func (c *Core) CloseIdle(store uint32) {
-	c.tasks = append(c.tasks, task{do: func(c *Core, t task) { c.hangUp(t.store) }, store: store})
+	c.tasks = append(c.tasks, task{run: func(c *Core, t task) { c.closeIdle(t.store) }, store: store})
 }
 
+// Forget releases the number of a store that the balancer no longer knows.
 func (c *Core) Forget(store uint32) {
 	c.stores[store].forgotten = true
-	c.tasks = append(c.tasks, task{do: (*Core).forget, store: store})
+	c.tasks = append(c.tasks, task{run: (*Core).removeStore, store: store})
 }
 
-func (c *Core) WakeAfter(after Time) { c.wakeAt = c.now + after }
+// WakeAfter has Step called with a tick of the balancer after that time at the latest.
+func (c *Core) WakeAfter(after Time) { c.nextWake = c.now + after }
 
-func (c *Core) WatchMembers() { c.watch() }
+// WatchMembers asks discovery for changes of the store list.
+func (c *Core) WatchMembers() { c.watchDiscovery() }
 
-func (c *Core) Log(text string) { c.note(text) }
+// Log logs a message of the balancer, subject to the limit per second.
+func (c *Core) Log(text string) { c.logLimited(text) }
 
-// place gives the request's place in the slab, which its name among the module's requests stands for.
-func place(id string) int32 {
+// requestIndex returns the index in Core.requests for which a balancer request id stands.
+func requestIndex(id string) int32 {
 	n, _ := strconv.Atoi(id)
 	return int32(n)
 }
 
+// String returns the numbers of clients, store connections and pending requests.
 func (c *Core) String() string {
-	return fmt.Sprintf("clients %d, store connections %d, jobs %d", len(c.clients), len(c.conns), c.inHand)
+	return fmt.Sprintf("clients %d, store connections %d, requests %d", len(c.clients), len(c.conns), c.pending)
 }
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -10,59 +10,60 @@
 )
 
 const (
-	mostBehind    = 16      // requests of one client that may be in hand behind its first
-	mostBehindAll = 1024    // the same of all clients
-	mostMarks     = 16      // arrivals of one client's messages that are told apart
-	defaultKept   = 1 << 20 // bytes of answers that wait for their turn, where the limits name no other bound
+	maxPipelined              = 16      // pending requests of one client behind its first
+	maxPipelinedTotal         = 1024    // pending requests of all clients behind their first
+	maxArrivalMarks           = 16      // distinct arrival times kept for one client's messages
+	defaultMaxBufferedReplies = 1 << 20 // bytes of answers that wait for their turn, where Limits sets no bound
 )
 
-// command is a request that is in hand, or answered, behind another of its client. The answers go out in the order of
-// the commands, so its own waits here until all before it are out.
-type command struct {
-	request int32  // in hand, or -1 once reply is complete
-	size    int    // bytes of the command in the client's ring
+// pipelinedRequest is a request that is pending or answered behind another of its client. Answers are sent in the order
+// of the commands, so its answer waits here until all earlier ones are sent.
+type pipelinedRequest struct {
+	request int32  // index of the pending request, or -1 once reply is complete
+	size    int    // bytes of the command in the client's read buffer
 	reply   []byte // final answer
 }
 
-// pipeline is what a client has sent behind the request in hand.
+// pipeline holds the requests that a client has sent behind its pending request.
 //
-// Danger: a client counts each request's time from its last byte. Were the commands taken one after the other, the
-// last of n would wait for n-1 deadlines and be lost.
+// A client counts each request's time from its last byte. If commands were processed one after another, the last of n
+// would wait for n-1 deadlines and be lost.
 type pipeline struct {
-	behind []command // in the order of the commands
-	parsed int       // bytes of the ring that the request in hand and those behind it have
-	marks  arrivals
+	queue       []pipelinedRequest // in the order of the commands
+	parsedBytes int                // bytes of the read buffer that belong to the pending request and those behind it
+	arrivals    arrivalTimes
 }
 
-// arrivals tells when the last bytes of messages came in that have not been parsed yet. It keeps at most mostMarks moments:
-// past that a message counts as come with the one before it, which is never later than it did.
-type arrivals struct {
-	scanned int // bytes of the ring that whole messages have
-	marks   [mostMarks]arrival
+// arrivalTimes records when the last bytes of messages arrived that have not been parsed yet. It keeps at most
+// maxArrivalMarks times; beyond that a message counts as arrived with the one before it, which is never later than it
+// did.
+type arrivalTimes struct {
+	scanned int // bytes of the read buffer that belong to complete messages
+	marks   [maxArrivalMarks]arrival
 	count   int
 }
 
-// arrival is the moment by which the ring held end bytes.
+// arrival is the time by which the read buffer held end bytes.
 type arrival struct {
 	end int
 	at  Time
 }
 
-// scan looks for the ends of messages in what the ring holds now.
-func (a *arrivals) scan(ring []byte, now Time) {
-	for a.scanned <= len(ring) {
-		_, _, size, err := pgwire.ParseMessage(ring[a.scanned:], pgwire.MaxQuerySize)
+// scan looks for the ends of complete messages in the read buffer.
+func (a *arrivalTimes) scan(buffer []byte, now Time) {
+	for a.scanned <= len(buffer) {
+		_, _, size, err := pgwire.ParseMessage(buffer[a.scanned:], pgwire.MaxQuerySize)
 		if err != nil || size == 0 {
 			return
 		}
 		a.scanned += size
-		a.note(a.scanned, now)
+		a.record(a.scanned, now)
 	}
 }
 
-// note tells that a message ends where the ring holds end bytes.
-func (a *arrivals) note(end int, now Time) {
-	if a.count > 0 && (a.count == mostMarks || a.marks[a.count-1].at == now) {
+// record records that a message ends where the read buffer holds end bytes.
+func (a *arrivalTimes) record(end int, now Time) {
+	if a.count > 0 && (a.count == maxArrivalMarks || a.marks[a.count-1].at == now) {
 		a.marks[a.count-1].end = end
 		return
 	}
@@ -70,8 +71,8 @@
 	a.count++
 }
 
-// came gives the moment by which the ring held end bytes; now if nobody noted it.
-func (a *arrivals) came(end int, now Time) Time {
+// arrivedAt returns the time by which the read buffer held end bytes, or now if none is recorded.
+func (a *arrivalTimes) arrivedAt(end int, now Time) Time {
 	for _, mark := range a.marks[:a.count] {
 		if mark.end >= end {
 			return mark.at
@@ -80,8 +81,8 @@
 	return now
 }
 
-// discard tells that the ring's first size bytes are gone.
-func (a *arrivals) discard(size int) {
+// discard adjusts the offsets after the first size bytes of the read buffer were dropped.
+func (a *arrivalTimes) discard(size int) {
 	a.scanned = max(a.scanned-size, 0)
 	kept := 0
 	for _, mark := range a.marks[:a.count] {
@@ -93,28 +94,28 @@
 	a.count = kept
 }
 
-// discard drops the ring's first size bytes, which belong to no request in hand any more.
+// discard drops the first size bytes of the read buffer, which belong to no pending request any more.
 func (cl *client) discard(c *Core, size int) {
 	cl.link.Discard(size)
-	cl.pipeline.marks.discard(size)
-	cl.pipeline.parsed = max(cl.pipeline.parsed-size, 0)
-	for _, behind := range cl.pipeline.behind {
+	cl.pipeline.arrivals.discard(size)
+	cl.pipeline.parsedBytes = max(cl.pipeline.parsedBytes-size, 0)
+	for _, behind := range cl.pipeline.queue {
 		if behind.request >= 0 {
 			c.requests[behind.request].offset -= size
 		}
 	}
 }
 
-// takeAhead begins the client's next command while others of its are in hand; false: it has to wait for them. What is
-// no sound request waits, so that everything else is said between requests.
-func (cl *client) takeAhead(c *Core) bool {
-	if _, speaks := cl.speech.(postgres); !speaks {
+// startPipelined starts the client's next command while others of its are pending. It returns false if the command has
+// to wait for them. A command that is not a valid request waits, so that everything else is answered between requests.
+func (cl *client) startPipelined(c *Core) bool {
+	if _, isPostgres := cl.protocol.(postgres); !isPostgres {
 		return false
 	}
-	if len(cl.pipeline.behind) >= mostBehind || c.behind >= mostBehindAll {
+	if len(cl.pipeline.queue) >= maxPipelined || c.pipelined >= maxPipelinedTotal {
 		return false
 	}
-	offset := cl.pipeline.parsed
+	offset := cl.pipeline.parsedBytes
 	kind, body, size, err := pgwire.ParseMessage(cl.link.Peek()[offset:], pgwire.MaxQuerySize)
 	if err != nil || size == 0 || kind != 'Q' {
 		return false
@@ -131,37 +132,38 @@
 	if !known || !cl.independent(c, class, &query.Request) {
 		return false
 	}
-	index, fault, _ := cl.begin(c, query.Request, query.TimeoutSpan)
-	if fault != sound {
+	index, fault, _ := cl.startRequest(c, query.Request, query.TimeoutSpan)
+	if fault != noFault {
 		return false
 	}
-	request := &c.requests[index]
-	request.offset = offset
-	request.came = cl.pipeline.marks.came(offset+size, c.now)
-	cl.pipeline.behind = append(cl.pipeline.behind, command{request: index, size: size})
-	cl.pipeline.parsed += size
-	c.behind++
+	req := &c.requests[index]
+	req.offset = offset
+	req.arrivedAt = cl.pipeline.arrivals.arrivedAt(offset+size, c.now)
+	cl.pipeline.queue = append(cl.pipeline.queue, pipelinedRequest{request: index, size: size})
+	cl.pipeline.parsedBytes += size
+	c.pipelined++
 	return true
 }
 
-// independent tells whether a request may run beside all that its client has in hand.
+// independent reports whether a request may run concurrently with all pending requests of its client.
 func (cl *client) independent(c *Core, class int, query *metadata.Request) bool {
-	if !c.beside(cl.request, class, query) {
+	if !c.mayRunConcurrently(cl.request, class, query) {
 		return false
 	}
-	for _, behind := range cl.pipeline.behind {
-		if behind.request >= 0 && !c.beside(behind.request, class, query) {
+	for _, behind := range cl.pipeline.queue {
+		if behind.request >= 0 && !c.mayRunConcurrently(behind.request, class, query) {
 			return false
 		}
 	}
 	return true
 }
 
-// beside tells whether a request may run beside an earlier one of its connection: reads beside reads, writes never
-// beside writes, and both beside each other where their sessions differ, since no fence holds from one to another.
+// mayRunConcurrently reports whether a request may run concurrently with an earlier one of its connection. Reads may
+// run beside reads; writes never run beside writes; a read and a write run concurrently only if their sessions differ,
+// since no fence applies from one session to another.
 //
-// Danger: within its session a command has to see the effect of those before it, and none of those behind it.
-func (c *Core) beside(earlier int32, class int, query *metadata.Request) bool {
+// Within its session a command has to see the effect of the commands before it, and none of those behind it.
+func (c *Core) mayRunConcurrently(earlier int32, class int, query *metadata.Request) bool {
 	before := &c.requests[earlier]
 	writes, wrote := c.classes.settings[class].Need == balance.Write, before.class().Need == balance.Write
 	if !writes && !wrote {
@@ -170,51 +172,51 @@
 	if writes && wrote {
 		return false
 	}
-	return len(query.Session) > 0 && len(before.terms.Session) > 0 &&
-		(query.Group != before.terms.Group || !bytes.Equal(query.Session, before.terms.Session))
+	return len(query.Session) > 0 && len(before.metadata.Session) > 0 &&
+		(query.Group != before.metadata.Group || !bytes.Equal(query.Session, before.metadata.Session))
 }
 
-// keep stores the final answer of a request behind others until its turn comes.
-func (cl *client) keep(c *Core, index int32, text []byte) {
-	if c.kept+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultKept) {
-		text = cl.speech.failure(nil, "no memory for the answer")
+// bufferReply stores the final answer of a pipelined request until its turn comes.
+func (cl *client) bufferReply(c *Core, index int32, text []byte) {
+	if c.bufferedBytes+len(text) > cmp.Or(c.limits.MaxBufferedReplies, defaultMaxBufferedReplies) {
+		text = cl.protocol.failureReply(nil, "no memory for the answer")
 	}
-	for i := range cl.pipeline.behind {
-		behind := &cl.pipeline.behind[i]
+	for i := range cl.pipeline.queue {
+		behind := &cl.pipeline.queue[i]
 		if behind.request == index {
 			behind.request, behind.reply = -1, bytes.Clone(text)
-			c.kept += len(behind.reply)
+			c.bufferedBytes += len(behind.reply)
 			return
 		}
 	}
 }
 
-// advance puts the next request of the client in hand, behind the one that was just answered. Answers that waited for
-// their turn go out.
+// advance makes the client's next request the pending one, after the previous one was answered. Answers whose turn has
+// come are sent.
 func (cl *client) advance(c *Core) {
 	cl.request = -1
-	for cl.at >= 0 && len(cl.pipeline.behind) > 0 {
-		next := cl.pipeline.behind[0]
-		cl.pipeline.behind = append(cl.pipeline.behind[:0], cl.pipeline.behind[1:]...)
-		c.behind--
+	for cl.index >= 0 && len(cl.pipeline.queue) > 0 {
+		next := cl.pipeline.queue[0]
+		cl.pipeline.queue = append(cl.pipeline.queue[:0], cl.pipeline.queue[1:]...)
+		c.pipelined--
 		if next.request >= 0 {
-			cl.request, cl.held = next.request, next.size
+			cl.request, cl.requestBytes = next.request, next.size
 			return
 		}
-		c.kept -= len(next.reply)
+		c.bufferedBytes -= len(next.reply)
 		cl.discard(c, next.size)
 		cl.reply(c, next.reply)
 	}
 }
 
-// drop gives up all that the client has in hand behind its first request.
-func (cl *client) drop(c *Core) {
-	for _, behind := range cl.pipeline.behind {
+// abandonPipeline abandons all requests behind the client's first.
+func (cl *client) abandonPipeline(c *Core) {
+	for _, behind := range cl.pipeline.queue {
 		if behind.request >= 0 {
-			c.giveUp(behind.request, endAbandoned)
+			c.abandon(behind.request, endAbandoned)
 		}
-		c.kept -= len(behind.reply)
+		c.bufferedBytes -= len(behind.reply)
 	}
-	c.behind -= len(cl.pipeline.behind)
-	cl.pipeline.behind = nil
+	c.pipelined -= len(cl.pipeline.queue)
+	cl.pipeline.queue = nil
 }
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -10,15 +10,15 @@
 )
 
 // configure puts changed settings in force.
-func (s *stage) configure(change func(settings *Settings)) {
+func (s *harness) configure(change func(settings *Settings)) {
 	s.t.Helper()
-	if err := s.core.Configure(s.now, s.changed(change)); err != nil {
+	if err := s.core.Configure(s.now, s.settingsWith(change)); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// changed gives the settings in force with a change.
-func (s *stage) changed(change func(settings *Settings)) Settings {
+// settingsWith returns the settings in force with a change.
+func (s *harness) settingsWith(change func(settings *Settings)) Settings {
 	settings := s.core.settings
 	settings.Balancer.Classes = slices.Clone(settings.Balancer.Classes)
 	if settings.Admission != nil {
@@ -29,103 +29,105 @@
 	return settings
 }
 
-// TestSettingsWhileAWriteIsOut: a class of writes may be repeated from now on, while one of it is out whose answer is lost.
-// Its client is told that it may have run, and it is not sent again. That of one that comes later is told to come again.
+// TestSettingsWhileAWriteIsOut allows a class of writes to be repeated while an attempt of that class is out whose
+// answer is lost. Its client must be told that it may have run, and it must not be sent again. The client of a later
+// write must be told to try again.
 func TestSettingsWhileAWriteIsOut(t *testing.T) {
-	s := newStage(t, 100)
-	before := s.client()
-	s.say(before, ask("once", 1001))
-	s.store()
+	s := newHarness(t, 100)
+	before := s.newClient()
+	s.send(before, ask("once", 1001))
+	s.welcomeNewest()
 	s.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
 	s.step(Event{s.dials[0], Closed})
-	s.pass(second / 10)
-	if got := code(t, before.take()); got != pgwire.OutcomeUnknown {
+	s.advance(second / 10)
+	if got := code(t, before.takeOutput()); got != pgwire.OutcomeUnknown {
 		t.Errorf("the write that was out: %s", got)
 	}
 	if n := s.queries(); n != 1 {
 		t.Errorf("%d queries for one attempt", n)
 	}
-	later := newStage(t, 100)
+	later := newHarness(t, 100)
 	later.configure(func(settings *Settings) { settings.Balancer.Classes[2].Repeat = balance.Idempotent })
-	cl := later.client()
-	later.say(cl, ask("once", 1002))
-	later.store()
+	cl := later.newClient()
+	later.send(cl, ask("once", 1002))
+	later.welcomeNewest()
 	later.step(Event{later.dials[0], Closed})
-	later.pass(2 * second) // its store says nothing more
-	if got := code(t, cl.take()); got != pgwire.TooManyConnections {
+	later.advance(2 * second) // its store sends nothing more
+	if got := code(t, cl.takeOutput()); got != pgwire.TooManyConnections {
 		t.Errorf("a write that comes later: %s", got)
 	}
 }
 
-// TestSettingsWithoutAClass: a class is taken out while a request of it is out. That one is answered, and no other is taken.
+// TestSettingsWithoutAClass removes a class while a request of it is out. That request must be answered, and no other
+// accepted.
 func TestSettingsWithoutAClass(t *testing.T) {
-	s := newStage(t, 100)
-	cl := s.client()
-	s.say(cl, ask("any", 1001))
-	store := s.store()
+	s := newHarness(t, 100)
+	cl := s.newClient()
+	s.send(cl, ask("any", 1001))
+	store := s.welcomeNewest()
 	s.configure(func(settings *Settings) { settings.Balancer.Classes = settings.Balancer.Classes[1:] })
-	s.say(store, value, ready)
-	if got := code(t, cl.take()); got != "value" {
+	s.send(store, value, ready)
+	if got := code(t, cl.takeOutput()); got != "value" {
 		t.Errorf("the request that was out: %s", got)
 	}
-	s.say(cl, ask("any", 1002))
-	if got := code(t, cl.take()); got == "value" || got == "" {
+	s.send(cl, ask("any", 1002))
+	if got := code(t, cl.takeOutput()); got == "value" || got == "" {
 		t.Errorf("a request of a class that was taken out: %q", got)
 	}
 }
 
-// TestSettingsWhileRequestsWaitAtTheDoor: other tenants, other bounds, and no door at all come into force while requests wait.
-// Each has one answer in its time, and none is sent twice.
-func TestSettingsWhileRequestsWaitAtTheDoor(t *testing.T) {
+// TestSettingsChangeDuringAdmission puts other tenants, other bounds, or no admission control in force while requests
+// wait for admission. Each must get one answer in its time, and none may be sent twice.
+func TestSettingsChangeDuringAdmission(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings){
 		"tenants": func(settings *Settings) {
 			settings.Balancer.Tenants = []balance.Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 9}}
 		},
-		"fewer places": func(settings *Settings) { settings.Admission.MaxRequests = 5 },
-		"times":        func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
-		"no door":      func(settings *Settings) { settings.Admission = nil },
+		"fewer places":         func(settings *Settings) { settings.Admission.MaxRequests = 5 },
+		"times":                func(settings *Settings) { settings.Balancer.Classes[0].ExpectedTime = 1000 },
+		"no admission control": func(settings *Settings) { settings.Admission = nil },
 	} {
-		s := doorStage(t)
-		clients := crowd(s, 60, "any")
-		held := s.core.door.Waiting()
+		s := newAdmissionHarness(t)
+		clients := startClients(s, 60, "any")
+		held := s.core.admission.Waiting()
 		if held < 20 {
-			t.Fatalf("%s: %d wait at the door", name, held)
+			t.Fatalf("%s: %d wait for admission", name, held)
 		}
 		s.configure(change)
 		s.step()
-		if s.core.door != nil && s.core.door.Waiting() > held {
-			t.Errorf("%s: %d wait, %d before", name, s.core.door.Waiting(), held)
+		if s.core.admission != nil && s.core.admission.Waiting() > held {
+			t.Errorf("%s: %d wait, %d before", name, s.core.admission.Waiting(), held)
 		}
-		s.pass(2 * second)
+		s.advance(2 * second)
 		answered := 0
 		for _, cl := range clients {
-			if got := cl.take(); len(got) > 0 {
-				code(t, got) // of one answer, or it fails
+			if got := cl.takeOutput(); len(got) > 0 {
+				code(t, got) // fails unless it is a single answer
 				answered++
 			}
 		}
-		if answered != len(clients) || s.core.inHand != 0 {
+		if answered != len(clients) || s.core.pending != 0 {
 			t.Errorf("%s: %d of %d have an answer, %v", name, answered, len(clients), s.core)
 		}
 		for _, w := range s.dials {
 			if queries := strings.Count(string(w.out), "/* id=1"); queries > 1 {
-				t.Errorf("%s: %d queries on one connection whose store says nothing", name, queries)
+				t.Errorf("%s: %d queries on one connection whose store does not answer", name, queries)
 			}
 		}
 		for _, cl := range clients {
 			s.step(Event{cl, Closed})
 		}
-		s.pass(4 * second)
-		s.idle(0)
+		s.advance(4 * second)
+		s.checkReleased(0)
 	}
 }
 
-// TestClassOfOtherNeedAtTheDoor: a class of reads becomes one of writes while requests of it wait at the door. They were taken
-// as reads, beside others of their connections, so they are refused and never sent.
-func TestClassOfOtherNeedAtTheDoor(t *testing.T) {
-	s := doorStage(t)
-	clients := crowd(s, 60, "any")
-	held := s.core.door.Waiting()
+// TestClassNeedChangeDuringAdmission turns a class of reads into one of writes while requests of it wait for admission.
+// They were accepted as reads, concurrent with others of their connections, so they must be refused and never sent.
+func TestClassNeedChangeDuringAdmission(t *testing.T) {
+	s := newAdmissionHarness(t)
+	clients := startClients(s, 60, "any")
+	held := s.core.admission.Waiting()
 	sent := s.queries()
 	s.configure(func(settings *Settings) {
 		settings.Balancer.Classes[0].Need, settings.Balancer.Classes[0].Repeat = balance.Write, balance.AtMostOnce
@@ -133,7 +135,7 @@
 	s.step()
 	refused := 0
 	for _, cl := range clients {
-		if got := cl.take(); len(got) > 0 && code(t, got) == pgwire.TooManyConnections {
+		if got := cl.takeOutput(); len(got) > 0 && code(t, got) == pgwire.TooManyConnections {
 			refused++
 		}
 	}
@@ -142,26 +144,27 @@
 	}
 }
 
-// TestFaultySettings: what is out of range, in the module's part or in the door's, changes nothing.
+// TestFaultySettings checks that a value out of range, in the balancer's part or in that of admission control, changes
+// nothing.
 func TestFaultySettings(t *testing.T) {
-	s := doorStage(t)
-	clients := crowd(s, 60, "any")
-	held, classes, entrance := s.core.door.Waiting(), s.core.classes, s.core.door
+	s := newAdmissionHarness(t)
+	clients := startClients(s, 60, "any")
+	held, classes, entrance := s.core.admission.Waiting(), s.core.classes, s.core.admission
 	for name, change := range map[string]func(settings *Settings){
-		"door":    func(settings *Settings) { settings.Admission.MaxRequests = 0 },
-		"classes": func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
-		"module":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
+		"admission": func(settings *Settings) { settings.Admission.MaxRequests = 0 },
+		"classes":   func(settings *Settings) { settings.Balancer.Classes[1].Deadline = 0 },
+		"balancer":  func(settings *Settings) { settings.Balancer.Classes[0].Window = -1 },
 	} {
-		if err := s.core.Configure(s.now, s.changed(change)); err == nil {
-			t.Errorf("%s: taken", name)
+		if err := s.core.Configure(s.now, s.settingsWith(change)); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	if s.core.classes != classes || s.core.door != entrance || s.core.door.Waiting() != held {
+	if s.core.classes != classes || s.core.admission != entrance || s.core.admission.Waiting() != held {
 		t.Error("a part of the faulty settings is in force")
 	}
-	s.pass(2 * second)
+	s.advance(2 * second)
 	for _, cl := range clients {
-		if len(cl.take()) == 0 {
+		if len(cl.takeOutput()) == 0 {
 			t.Error("a client has no answer")
 		}
 	}
