--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,104 +8,117 @@
 	"sort"
 )
 
-// A request as it comes in, and while it waits for a store.
+// Admission of requests, and the queue of those that wait for a store.
 
-// RetryDetector tells a client's further try by the time that it has left.
+// RetryDetector recognizes the retries of clients by the time that they have left.
 type RetryDetector struct {
-	usual Time // that most clients' tries have left
-	votes int  // tries in a row, on balance, that had it
+	usualTimeLeft Time // time left of most tries on arrival
+	votes         int  // matches with usualTimeLeft less mismatches, from 0 to 16
 }
 
-// Observe takes one try with the time it had left when it came: with less than most have it is a further one.
-// Danger: the longest time ever seen is no measure.
-func (t *RetryDetector) Observe(left, slack Time) bool {
-	if off := left - t.usual; max(off, -off) <= slack {
-		t.votes = min(t.votes+1, 16)
-	} else if t.votes--; t.votes < 0 {
-		t.usual, t.votes = left, 1
+// Observe records the time that a try has left on arrival and reports whether it is a retry: one whose time
+// left differs by more than slack from that of most tries. The longest time ever seen would be no measure:
+// a last try may come with more time left than a first one, and first tries would then be taken for
+// retries.
+func (detector *RetryDetector) Observe(timeLeft, slack Time) bool {
+	if diff := timeLeft - detector.usualTimeLeft; max(diff, -diff) <= slack {
+		detector.votes = min(detector.votes+1, 16)
+	} else if detector.votes--; detector.votes < 0 {
+		detector.usualTimeLeft, detector.votes = timeLeft, 1
 	} else {
 		return true
 	}
 	return false
 }
 
+// Submit takes in a new request: it sends it, queues it, or gives its final answer through the Front. It
+// returns an error if the request's class is not in the settings.
 func (b *Balancer) Submit(now Time, in Request) error {
 	b.now = now
-	b.requestRate += float64(b.beat) / float64(second)
-	p, ok := b.classOf[in.Class]
+	b.requestRate += float64(b.tickInterval) / float64(second)
+	classIndex, ok := b.classOf[in.Class]
 	if !ok {
 		return fmt.Errorf("request %s: profile %q is not in the settings", in.ID, in.Class)
 	}
-	if len(b.free) == 0 {
+	if len(b.freeRequests) == 0 {
 		b.requests = append(b.requests, request{})
-		b.free = append(b.free, int32(len(b.requests)-1))
+		b.freeRequests = append(b.freeRequests, int32(len(b.requests)-1))
 	}
-	i := b.free[len(b.free)-1]
-	b.free = b.free[:len(b.free)-1]
+	i := b.freeRequests[len(b.freeRequests)-1]
+	b.freeRequests = b.freeRequests[:len(b.freeRequests)-1]
 	b.requestOf[in.ID] = i
-	j, pr := &b.requests[i], &b.classes[p]
-	*j = request{id: in.ID, class: p, group: b.groupAt(in.Group), slot: -1, came: now,
-		limit: min(now+in.Left, b.closing)}
-	j.wanted = now - in.Waited + min(pr.ExpectedTime+Time(pr.Stretch*float64(in.Work)), pr.Deadline)
-	if pr.tries.Observe(in.Left+in.Waited, b.beat) {
-		j.wanted -= max(pr.Deadline-in.Left-in.Waited, 0)
+	req, class := &b.requests[i], &b.classes[classIndex]
+	*req = request{id: in.ID, class: classIndex, group: b.groupIndex(in.Group), fenceSlot: -1, arrivedAt: now,
+		deadline: min(now+in.Left, b.shutdownAt)}
+	req.expectedBy = now - in.Waited + min(class.ExpectedTime+Time(class.Stretch*float64(in.Work)),
+		class.Deadline)
+	if class.retries.Observe(in.Left+in.Waited, b.tickInterval) {
+		req.expectedBy -= max(class.Deadline-in.Left-in.Waited, 0)
 	}
 	if in.Session != "" {
-		h := fnv.New32a()
-		h.Write([]byte(in.Session))
-		j.slot = int32(h.Sum32() >> (32 - fenceBits))
+		hash := fnv.New32a()
+		hash.Write([]byte(in.Session))
+		req.fenceSlot = int32(hash.Sum32() >> (32 - fenceBits))
 	}
-	if pr.Need == Session && (b.carried || j.slot < 0) && in.WriteAge >= 0 {
-		j.fence = now - in.WriteAge
+	if class.Need == Session && (b.fencesCarried || req.fenceSlot < 0) && in.WriteAge >= 0 {
+		req.fence = now - in.WriteAge
 	}
-	j.rank = pr.Credit / pr.typical
-	b.usual += (pr.Credit - b.usual) / 64
-	if q := b.tenants[in.Tenant]; q != nil {
-		q.bucket = min(q.bucket+q.perTime*float64(now-q.filled), q.perTime*float64(second))
-		q.filled = now
-		if q.bucket--; q.bucket < 0 {
-			q.bucket, j.rank = q.bucket+1, j.rank*b.overShare
+	req.priority = class.Credit / class.typicalTime
+	b.usualCredit += (class.Credit - b.usualCredit) / 64
+	if tenant := b.tenants[in.Tenant]; tenant != nil {
+		tenant.tokens = min(tenant.tokens+tenant.rate*float64(now-tenant.refilledAt), tenant.rate*float64(second))
+		tenant.refilledAt = now
+		if tenant.tokens--; tenant.tokens < 0 {
+			tenant.tokens, req.priority = tenant.tokens+1, req.priority*b.overQuotaCredit
 		}
 	}
-	b.proceed(i, Result{})
+	b.continueRequest(i, Result{})
 	return nil
 }
 
-func (b *Balancer) place(i int32) {
-	j := &b.requests[i]
-	if m := b.choose(j); m >= 0 {
+// dispatch sends the request to a store if one can take it now, and queues it otherwise.
+func (b *Balancer) dispatch(i int32) {
+	req := &b.requests[i]
+	if m := b.chooseMember(req); m >= 0 {
 		b.send(i, m)
 		return
 	}
-	j.held = true
-	g := &b.groups[j.group]
-	if !j.funds { // Danger: each of hundreds of fronts looks on for what little waits there, at a higher cost.
-		j.funds = true
-		g.purse += b.perCredit * b.classes[j.class].Credit / max(b.usual, 1e-6)
+	req.waiting = true
+	group := &b.groups[req.group]
+	// Each waiting request pays once for a part of the search for a primary. Without this bound, each of
+	// hundreds of fronts would go on probing for the few requests that wait there, at a cost above their
+	// credit.
+	if !req.fundedSearch {
+		req.fundedSearch = true
+		group.searchProbes += b.searchProbesPerCredit * b.classes[req.class].Credit / max(b.usualCredit, 1e-6)
 	}
-	// Ranks go by powers of two, and within one the newest first: it has the most time left to be in time.
-	at := sort.Search(len(g.held), func(k int) bool {
-		return math.Ilogb(b.requests[g.held[k]].rank) <= math.Ilogb(j.rank)
+	// The queue is ordered by powers of two of the priority. Within one power the newest request comes first:
+	// it has the most time left to be answered in time.
+	at := sort.Search(len(group.waiting), func(k int) bool {
+		return math.Ilogb(b.requests[group.waiting[k]].priority) <= math.Ilogb(req.priority)
 	})
-	g.held = slices.Insert(g.held, at, i)
+	group.waiting = slices.Insert(group.waiting, at, i)
 }
 
-func (b *Balancer) release(gi int32) {
-	g := &b.groups[gi]
-	keep := 0
-	for _, i := range g.held {
-		j := &b.requests[i]
-		if !j.held || j.group != gi {
-			continue // it went or ended meanwhile
-		} else if !b.mayRepeat(j) { // Danger: what may have run must not wait here past the time of its repeats.
+// dispatchWaiting sends those of the group's waiting requests that a store can take now, in the order of
+// the queue.
+func (b *Balancer) dispatchWaiting(groupIndex int32) {
+	group := &b.groups[groupIndex]
+	kept := 0
+	for _, i := range group.waiting {
+		req := &b.requests[i]
+		if !req.waiting || req.group != groupIndex {
+			continue // it was sent or has ended since it was queued
+		} else if !b.mayRepeat(req) {
+			// A request that may have run must not wait past the time until which it may be repeated.
 			b.giveUp(i)
-		} else if m := b.choose(j); m >= 0 {
-			j.held = false
+		} else if m := b.chooseMember(req); m >= 0 {
+			req.waiting = false
 			b.send(i, m)
 		} else {
-			g.held[keep] = i
-			keep++
+			group.waiting[kept] = i
+			kept++
 		}
 	}
-	g.held = g.held[:keep]
+	group.waiting = group.waiting[:kept]
 }
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -2,168 +2,199 @@
 
 import "cmp"
 
-// One attempt: how it is sent, and what its result tells of its store, its class and its session.
+// Attempts: how one is sent, and what its result says about its store, its class and its session.
 
-func (b *Balancer) send(i, mi int32) {
-	j, m := &b.requests[i], &b.members[mi]
-	p := &b.classes[j.class]
-	j.member, j.sentAt, j.sent, j.out, j.lost = mi, b.now, j.sent+1, true, false
-	j.next = (*Balancer).proceed
-	m.inFlight, m.sentBefore, m.sentLast = m.inFlight+1, m.sentLast, b.now
-	m.scouted = m.scouted || p.Need == Write && !m.proven
-	if m.started > 0 {
-		m.budget -= p.typical
-	}
-	if p.Need == Write && j.slot >= 0 {
-		b.writes[j.slot]++
-	}
-	if j.least = b.need(j); m.position >= j.least || b.checks || mi == b.groups[j.group].primary && m.proven {
-		j.least = 0 // it need not show what it has
+// send starts the request's next attempt at the given member.
+func (b *Balancer) send(i, memberIndex int32) {
+	req, member := &b.requests[i], &b.members[memberIndex]
+	class := &b.classes[req.class]
+	req.member, req.sentAt, req.attempts, req.inFlight, req.overdue =
+		memberIndex, b.now, req.attempts+1, true, false
+	req.onResult = (*Balancer).continueRequest
+	member.inFlight, member.previousSentAt, member.lastSentAt = member.inFlight+1, member.lastSentAt, b.now
+	member.confirming = member.confirming || class.Need == Write && !member.roleConfirmed
+	if member.startedAt > 0 {
+		member.coldBudget -= class.typicalTime
+	}
+	if class.Need == Write && req.fenceSlot >= 0 {
+		b.openWrites[req.fenceSlot]++
+	}
+	if req.minPosition = b.requiredPosition(req); member.position >= req.minPosition || b.storesCheckReads ||
+		memberIndex == b.groups[req.group].primary && member.roleConfirmed {
+		req.minPosition = 0 // the answer need not show any position
 	} else {
-		j.least = m.told // and not only what it needs now: it may wait for a connection
+		// The answer has to show all that the peer reported, not only what the request needs now: the attempt
+		// may wait for a connection, and the need may grow meanwhile.
+		req.minPosition = member.peerPosition
 	}
-	b.front.Send(j.id, m.store, j.limit, j.least)
+	b.front.Send(req.id, member.store, req.deadline, req.minPosition)
 }
 
-// MaySend tells whether an attempt that has had to wait may still set out; if not it comes back, placed anew.
-// Danger: meanwhile its store may drain, what is known there be too old, or its window have passed.
+// MaySend reports whether an attempt that had to wait for a connection may still be sent. If not, the front
+// returns it as NotSent and the request is placed again. Meanwhile its store may have begun to drain, the
+// last known position of the store may have become too old, or the window for repeats may have passed.
 func (b *Balancer) MaySend(now Time, id string) bool {
 	b.now = now
 	i, ok := b.requestOf[id]
-	return ok && b.due(&b.requests[i])
+	return ok && b.maySend(&b.requests[i])
 }
 
-func (b *Balancer) due(j *request) bool {
-	m, p := &b.members[j.member], &b.classes[j.class]
+// maySend is MaySend for a request at hand.
+func (b *Balancer) maySend(req *request) bool {
+	member, class := &b.members[req.member], &b.classes[req.class]
 	switch {
-	case !m.open || p.Repeat == Keyed && j.ranAt > 0 && b.now >= b.edge(j):
+	case !member.accepting || class.Repeat == Keyed && req.mayHaveRunAt > 0 && b.now >= b.repeatDeadline(req):
 		return false
-	case p.Need != Bounded && p.Need != Session || b.checks || j.member == b.groups[j.group].primary && m.proven:
+	case class.Need != Bounded && class.Need != Session || b.storesCheckReads ||
+		req.member == b.groups[req.group].primary && member.roleConfirmed:
 		return true
 	}
-	return max(m.position, j.least) >= b.need(j)
+	return max(member.position, req.minPosition) >= b.requiredPosition(req)
 }
 
-func (b *Balancer) AttemptDone(now Time, id string, n int, store uint32, r Result) {
+// AttemptDone takes in the result of a request's attempt with the given number at a store. A result that
+// does not belong to the attempt in flight is ignored.
+func (b *Balancer) AttemptDone(now Time, id string, attempt int, store uint32, r Result) {
 	b.now = now
 	i, ok := b.requestOf[id]
-	if !ok || !b.requests[i].out || n != b.requests[i].sent-1 || b.members[b.requests[i].member].store != store {
+	if !ok || !b.requests[i].inFlight || attempt != b.requests[i].attempts-1 ||
+		b.members[b.requests[i].member].store != store {
 		return
 	}
-	j := &b.requests[i]
-	gi := j.group
-	j.out = false
-	if b.classes[j.class].Need == Write && j.slot >= 0 {
-		b.writes[j.slot]--
+	req := &b.requests[i]
+	groupIndex := req.group
+	req.inFlight = false
+	if b.classes[req.class].Need == Write && req.fenceSlot >= 0 {
+		b.openWrites[req.fenceSlot]--
 	}
-	b.grade(j, r)
+	b.recordResult(req, r)
 	if !r.Ending.NeverRan() {
-		j.ranAt = cmp.Or(j.ranAt, j.sentAt)
-		if r.Ending != ConnectionLost || float64(now-j.sentAt) > b.classes[j.class].typical/8 {
-			j.further++ // it may have cost the store time; what breaks off far sooner has not
+		req.mayHaveRunAt = cmp.Or(req.mayHaveRunAt, req.sentAt)
+		if r.Ending != ConnectionLost || float64(now-req.sentAt) > b.classes[req.class].typicalTime/8 {
+			// It may have cost the store time. One whose connection was lost far sooner has not.
+			req.ranAttempts++
 		}
 	}
 	if r.Done {
-		j.held, j.ended = false, true
-	} else if !j.ended {
-		j.next(b, i, r)
+		req.waiting, req.ended = false, true
+	} else if !req.ended {
+		req.onResult(b, i, r)
 	}
 	b.recycle(i)
-	b.release(gi)
+	b.dispatchWaiting(groupIndex)
 }
 
+// recycle frees the slot of a request that has ended and has no attempt in flight.
 func (b *Balancer) recycle(i int32) {
-	if j := &b.requests[i]; j.ended && !j.out && j.id != "" {
-		delete(b.requestOf, j.id)
-		j.id = ""
-		b.free = append(b.free, i)
+	if req := &b.requests[i]; req.ended && !req.inFlight && req.id != "" {
+		delete(b.requestOf, req.id)
+		req.id = ""
+		b.freeRequests = append(b.freeRequests, i)
 	}
 }
 
-func (b *Balancer) grade(j *request, r Result) {
-	m, p := &b.members[j.member], &b.classes[j.class]
-	if !j.lost {
-		m.inFlight--
-	}
-	m.backAt = b.now
+// recordResult updates what is known of the member, the class and the session by the result of the
+// request's last attempt.
+func (b *Balancer) recordResult(req *request, r Result) {
+	member, class := &b.members[req.member], &b.classes[req.class]
+	if !req.overdue {
+		member.inFlight--
+	}
+	member.returnedAt = b.now
 	if r.Ending == Served || !r.Ending.NeverRan() {
-		b.RecordWrite(b.now, j.id, r.Note.Position)
-	}
-	took := b.now - j.sentAt
-	// Danger: lost answers look like load, and load like lost answers. A later attempt answered there tells.
-	gone := r.Ending == ConnectionLost || r.Ending == Aborted || r.Ending >= TimedOut && j.sentAt < m.answered
-	if j.spilled && r.Ending == Served && took < p.ExpectedTime*3/4 {
-		b.spill = min(b.spill+1.0/16, 1)
-	} else if j.spilled && r.Ending != NotEligible && !gone {
-		b.spill = max(b.spill*3/4, 1.0/16)
-	}
-	j.spilled, j.barred, m.scouted = false, false, m.scouted && p.Need != Write
+		b.RecordWrite(b.now, req.id, r.Note.Position)
+	}
+	took := b.now - req.sentAt
+	// A lost answer looks like load, and load looks like a lost answer. It was lost if the member has served
+	// an attempt that was sent later.
+	answerLost := r.Ending == ConnectionLost || r.Ending == Aborted ||
+		r.Ending >= TimedOut && req.sentAt < member.servedSentAt
+	if req.spilled && r.Ending == Served && took < class.ExpectedTime*3/4 {
+		b.spillOdds = min(b.spillOdds+1.0/16, 1)
+	} else if req.spilled && r.Ending != NotEligible && !answerLost {
+		b.spillOdds = max(b.spillOdds*3/4, 1.0/16)
+	}
+	req.spilled, req.primaryBarred, member.confirming = false, false, member.confirming && class.Need != Write
 	if r.Ending <= Overloaded || r.Ending == Failed { // the store itself has answered
-		note := r.Note
-		if p.Need == Write {
-			note.Position -= second / 1000 // a commit is told rounded up, a position must not be
+		report := r.Note
+		if class.Need == Write {
+			// The position of a commit is reported rounded up, but a member's position must not be.
+			report.Position -= second / 1000
 		}
-		m.proven = m.proven && note.Role != Replica || p.Need == Write && r.Ending == Served
-		b.learn(j.member, note, b.now)
-		b.learn(j.member, r.Load, 0)
-		b.alive(j.member, r.Since)
+		member.roleConfirmed = member.roleConfirmed && report.Role != Replica ||
+			class.Need == Write && r.Ending == Served
+		b.recordReport(req.member, report, b.now)
+		b.recordReport(req.member, r.Load, 0)
+		b.recordAlive(req.member, r.Since)
 	}
 	switch {
 	case r.Ending == Served:
-		m.refusals, m.shut = 0, 0
-	case r.Ending == NotEligible && j.least > 0:
-		b.wary = b.now + b.cold // Danger: a peer that says too much has reads go there in vain.
-	case r.Ending == NotEligible && p.Need == Write:
-		// Danger: a draining primary turns writes away as a replica while its other answers still claim the
-		// role, so a claim must be newer each time; and until it takes a write, no read relies on it.
-		m.doubted = b.shun(m)
+		member.failures, member.backoffUntil = 0, 0
+	case r.Ending == NotEligible && req.minPosition > 0:
+		// A peer that reports too high a position causes reads to be sent there in vain.
+		b.distrustPeersUntil = b.now + b.warmupTime
+	case r.Ending == NotEligible && class.Need == Write:
+		// A draining primary rejects writes as a replica would while its other answers still claim the primary
+		// role. So each claim has to be newer than the last rejection, and no read relies on the role until the
+		// member has accepted a write.
+		member.ignoreClaimsUntil = b.backoff(member)
 	case r.Ending == Overloaded, r.Ending == ConnectFailed, r.Ending == Aborted, r.Ending == Failed,
 		r.Ending == ConnectionLost:
-		m.shut = b.shun(m)
-		if r.Ending == ConnectFailed { // a single lost connection is no restart
-			m.suspect, m.unreached = b.mayProbe, j.sentAt // with no probes nothing would ever clear it
+		member.backoffUntil = b.backoff(member)
+		if r.Ending == ConnectFailed {
+			// Only a failed attempt to connect hints at a restart; a single lost connection does not. Without
+			// probes nothing would ever clear the suspicion.
+			member.suspect, member.connectFailedAt = b.mayProbe, req.sentAt
 		}
 	}
 	if r.Ending == Served {
-		if m.started == 0 {
-			b.doneWarm += p.typical // Danger: what overloaded members are sent is no measure of what one can do.
+		if member.startedAt == 0 {
+			// Only served attempts count: what overloaded members are sent does not show what a member can do.
+			b.servedWarm += class.typicalTime
 		}
-		if p.Need == Any && r.Note.Role == Replica && 2*took > b.tightest {
-			p.stills -= p.stills / 8
-			if r.Note.Position < j.sentAt+took/4 {
-				p.stills += 1.0 / 8
+		if class.Need == Any && r.Note.Role == Replica && 2*took > b.tightestBound {
+			class.replayStalls -= class.replayStalls / 8
+			if r.Note.Position < req.sentAt+took/4 {
+				class.replayStalls += 1.0 / 8
 			}
 		}
-		m.answered = max(m.answered, j.sentAt)
-		p.typical += (float64(took) - p.typical) / 32
+		member.servedSentAt = max(member.servedSentAt, req.sentAt)
+		class.typicalTime += (float64(took) - class.typicalTime) / 32
 	}
-	if m.inFlight == 0 && b.now-b.scarce < b.cold {
-		// Danger: where stores take few connections, those that fronts keep for later shut the other fronts out.
-		b.front.CloseIdle(m.store)
+	if member.inFlight == 0 && b.now-b.connectionsScarceAt < b.warmupTime {
+		// Where stores accept few connections, idle ones that some fronts keep for later lock out the other
+		// fronts.
+		b.front.CloseIdle(member.store)
 	}
-	if gone || r.Ending == NotEligible || r.Ending == ConnectFailed || r.Ending == NotSent {
+	if answerLost || r.Ending == NotEligible || r.Ending == ConnectFailed || r.Ending == NotSent {
 		return
 	}
-	m.strain += (float64(took)/float64(p.ExpectedTime) - m.strain) / (1 + min(m.limit, 7)) // few tell more each
-	// A mean past about a fifth has a tail that is late; a single answer may take half.
-	most := max(0.22, 0.5/(1+m.limit))
+	// At a low limit there are few answers, so each one weighs more.
+	member.latencyRatio += (float64(took)/float64(class.ExpectedTime) - member.latencyRatio) /
+		(1 + min(member.limit, 7))
+	// If the mean is above about a fifth of the expected time, the slowest answers are late. A single answer
+	// may take half of it.
+	maxRatio := max(0.22, 0.5/(1+member.limit))
 	switch {
-	case m.strain > most || r.Ending == Overloaded:
-		if b.now-m.eased > p.ExpectedTime/2 {
-			m.limit = max(b.least, min(m.limit, float64(m.inFlight+1))*min(0.8, max(0.5, most/m.strain)))
-			m.eased = b.now
+	case member.latencyRatio > maxRatio || r.Ending == Overloaded:
+		if b.now-member.limitCutAt > class.ExpectedTime/2 {
+			member.limit = max(b.minLimit, min(member.limit, float64(member.inFlight+1))*
+				min(0.8, max(0.5, maxRatio/member.latencyRatio)))
+			member.limitCutAt = b.now
 		}
-	case float64(m.inFlight+1) > m.limit/2:
-		m.limit += min(1/m.limit, m.limit*min(1, most/m.strain-1))
+	case float64(member.inFlight+1) > member.limit/2:
+		member.limit += min(1/member.limit, member.limit*min(1, maxRatio/member.latencyRatio-1))
 	}
 }
 
-// RecordWrite tells that a write has been answered, in part at least, or may have run. Its session must see it.
-// Danger: an answer may stop short, be lost or find its client gone, and the write is there all the same.
+// RecordWrite records that a write was answered, at least in part, or may have run, so that the reads of
+// its session will see it. A position of 0 is unknown. The write exists even if its answer stops short, is
+// lost or finds its client gone.
 func (b *Balancer) RecordWrite(now Time, id string, position Time) {
 	b.now = now
-	if i, ok := b.requestOf[id]; ok && b.requests[i].slot >= 0 && b.classes[b.requests[i].class].Need == Write {
-		f := &b.fences[b.requests[i].slot]
-		*f = max(*f, cmp.Or(position, now)) // untold: it lies before now
+	if i, ok := b.requestOf[id]; ok && b.requests[i].fenceSlot >= 0 &&
+		b.classes[b.requests[i].class].Need == Write {
+		f := &b.fences[b.requests[i].fenceSlot]
+		*f = max(*f, cmp.Or(position, now)) // if unknown, it lies before now
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,9 +1,14 @@
-// Package balance holds every decision of the router, for one front.
+// Package balance makes all decisions of the router, for one front: which store gets a request, whether an
+// attempt is repeated, when a store is probed or avoided, and when a request is refused.
 //
-// New is handed the Settings once; List, Take, Returned, Probed, Left, Streams, Beat follow as things happen,
-// one at a time, each with the present moment. The module acts through the Front that New was given.
-// The mechanism is pgpilot's: a session has a fence, the log position of its last write; a read goes to the
-// least busy replica known to have passed what it needs, else to the primary. See docs/design.md.
+// New takes the first Settings and the Front through which the package acts. After that each event is
+// reported by a call of a method (UpdateMembers, Submit, AttemptDone, ProbeDone, ClientGone,
+// ResponseStarted, Tick and so on), one at a time, with the current time. A Balancer is not safe for
+// concurrent use.
+//
+// The mechanism is that of pgpilot: a session has a fence, the log position of its last write. A read goes
+// to the least busy replica that is known to have passed the position the read needs, or else to the
+// primary. See docs/design.md.
 package balance
 
 import (
@@ -15,167 +20,186 @@
 )
 
 const (
-	never        = Time(1) << 60
-	second       = Time(10000)
-	toldBy       = 6 * second // what discovery has counts as told by then, whether or not a call came through
-	fenceBits    = 14
-	probeBudget  = 0.005 // part of the result that probes may cost on the ordinary path
-	searchBudget = 0.125 // part of the credit of what waits that a search for its primary may cost
+	never             = Time(1) << 60
+	second            = Time(10000)
+	discoveryDeadline = 6 * second // a front has to act on what discovery has by then
+	fenceBits         = 14
+	probeBudget       = 0.005 // share of the total credit that routine probes may cost
+	searchBudget      = 0.125 // share of the waiting requests' credit that the search for their primary may cost
 )
 
-// New starts the module with a front's settings. It returns an error if they are out of range.
-func New(now Time, c Settings, f Front) (*Balancer, error) {
-	b := &Balancer{front: f, now: now, mwc: random.New(c.Seed), classOf: map[string]int32{},
-		tenants: map[string]*tenant{}, memberOf: map[uint32]int32{}, groupOf: map[uint64]int32{},
-		requestOf: map[string]int32{}, fences: make([]Time, 1<<fenceBits), writes: make([]int32, 1<<fenceBits),
-		parts: map[string]float64{}, crowded: -never, scarce: -never, spill: 1, closing: never}
-	if err := b.Configure(now, c); err != nil {
+// New returns a Balancer with the given settings that acts through f. It returns an error if they are out
+// of range.
+func New(now Time, settings Settings, f Front) (*Balancer, error) {
+	b := &Balancer{front: f, now: now, random: random.New(settings.Seed), classOf: map[string]int32{},
+		tenants: map[string]*tenantState{}, memberOf: map[uint32]int32{}, groupOf: map[uint64]int32{},
+		requestOf: map[string]int32{}, fences: make([]Time, 1<<fenceBits), openWrites: make([]int32, 1<<fenceBits),
+		zoneShares: map[string]float64{}, overloadedAt: -never, connectionsScarceAt: -never, spillOdds: 1,
+		shutdownAt: never}
+	if err := b.Configure(now, settings); err != nil {
 		return nil, err
 	}
-	b.probeNow = b.probeEvery
-	if b.watchAt = now + b.askPace; !c.ListPushed { // all may be starting together, so it is spread
-		b.watchAt = now + b.chance(b.askWithin/8)
+	b.currentProbeInterval = b.probeInterval
+	if b.nextListAt = now + b.agentInterval; !settings.ListPushed {
+		// All fronts may be starting together, so their first calls are spread out.
+		b.nextListAt = now + b.randomBelow(b.listInterval/8)
 	}
-	f.WakeAfter(b.beat)
+	f.WakeAfter(b.tickInterval)
 	return b, nil
 }
 
-// Configure puts other settings in force, or none of them if it returns an error. Requests in hand keep their
-// class as it was, all else counts for them too. What was learnt, fences and budgets among it, is kept.
-func (b *Balancer) Configure(now Time, c Settings) error {
-	if len(c.Classes) == 0 {
+// Configure replaces the settings, or changes nothing if it returns an error. Requests at hand keep their
+// class as it was; all other settings apply to them too. What was learned is kept, including fences and
+// budgets.
+func (b *Balancer) Configure(now Time, settings Settings) error {
+	if len(settings.Classes) == 0 {
 		return fmt.Errorf("settings: no profiles")
 	}
-	for _, p := range c.Classes {
-		if p.Bound < 0 || p.ExpectedTime <= 0 || p.Deadline <= 0 || p.Window < 0 {
-			return fmt.Errorf("settings: profile %q: bound, window or times out of range", p.Name)
+	for _, class := range settings.Classes {
+		if class.Bound < 0 || class.ExpectedTime <= 0 || class.Deadline <= 0 || class.Window < 0 {
+			return fmt.Errorf("settings: profile %q: bound, window or times out of range", class.Name)
 		}
 	}
-	b.now, b.zone, b.overShare, b.checks, b.carried = now, c.Zone, c.OverQuotaCredit, c.StoresCheckReads, c.FencesCarried
-	b.askWithin, b.onlyDrains, b.priced = c.ListInterval, c.OnlyDrainingBinds, c.CrossZonePrice > 0
-	b.startShare, b.cold, b.coldPart, b.span = c.StartCapacity, c.WarmupTime, c.ColdOverloadFactor, c.ColdOverloadSpan
-	b.mostAttempts, b.mayProbe, b.mayCancel = max(c.MaxAttempts, 1), c.MayProbe, c.MayCancel
-	b.mostPause, b.askPace = c.MaxRetryAfter, cmp.Or(c.AgentGrace/4, never)
-	b.least = 3 / float64(max(c.Fronts, 1))
-	b.setClasses(c.Classes)
-	b.setTenants(c)
+	b.now, b.zone, b.overQuotaCredit, b.storesCheckReads, b.fencesCarried =
+		now, settings.Zone, settings.OverQuotaCredit, settings.StoresCheckReads, settings.FencesCarried
+	b.listInterval, b.onlyDrainingBinds, b.crossZonePriced =
+		settings.ListInterval, settings.OnlyDrainingBinds, settings.CrossZonePrice > 0
+	b.startCapacity, b.warmupTime, b.coldOverloadFactor, b.coldOverloadSpan =
+		settings.StartCapacity, settings.WarmupTime, settings.ColdOverloadFactor, settings.ColdOverloadSpan
+	b.maxAttempts, b.mayProbe, b.mayCancel = max(settings.MaxAttempts, 1), settings.MayProbe, settings.MayCancel
+	b.maxRetryAfter, b.agentInterval = settings.MaxRetryAfter, cmp.Or(settings.AgentGrace/4, never)
+	b.minLimit = 3 / float64(max(settings.Fronts, 1))
+	b.setClasses(settings.Classes)
+	b.setTenants(settings)
 	for i := range b.members {
-		b.members[i].far = b.priced && b.members[i].zone != b.zone
+		b.members[i].crossZone = b.crossZonePriced && b.members[i].zone != b.zone
 	}
-	// Answers must come within the slack after the limit, so the module looks around twice in it.
-	b.beat = max(c.EventInterval, min(2*c.EventInterval, c.AnswerSlack/2), 1)
-	// Eight short attempts in a span, over all fronts, tip no store.
-	b.trickle = 2 * float64(b.quickest) / float64(max(b.span, 1)) / float64(max(c.Fronts, 1))
-	b.probeEvery = max(min(b.tightest, b.quickest)/3, b.beat)
-	b.probesPerRequest = probeBudget / max(c.ProbePrice, probeBudget/10)
-	b.perCredit = searchBudget / max(c.ProbePrice, probeBudget/10)
+	// A final answer is due within AnswerSlack after the deadline, so requests are reviewed twice in that
+	// time.
+	b.tickInterval = max(settings.EventInterval, min(2*settings.EventInterval, settings.AnswerSlack/2), 1)
+	// Eight short attempts in a ColdOverloadSpan, over all fronts, do not overload any store.
+	b.minColdRate = 2 * float64(b.shortestExpected) / float64(max(b.coldOverloadSpan, 1)) /
+		float64(max(settings.Fronts, 1))
+	b.probeInterval = max(min(b.tightestBound, b.shortestExpected)/3, b.tickInterval)
+	b.probesPerRequest = probeBudget / max(settings.ProbePrice, probeBudget/10)
+	b.searchProbesPerCredit = searchBudget / max(settings.ProbePrice, probeBudget/10)
 	return nil
 }
 
-// setClasses gives a class that has changed a place of its own. The one that it had stays for as long as a
-// request in hand has it. Danger: a write that may have run might be sent again by rules that came later.
+// setClasses gives each changed class a new slot. The old slot stays for as long as a request at hand uses
+// it. Without this, a write that may have run could be sent again by rules that came into force later.
 func (b *Balancer) setClasses(classes []Class) {
-	taken, before, places := make([]bool, len(b.classes)), b.classOf, slices.Clone(b.classes)
+	inUse, before, previous := make([]bool, len(b.classes)), b.classOf, slices.Clone(b.classes)
 	for i := range b.requests {
 		if b.requests[i].id != "" {
-			taken[b.requests[i].class] = true
+			inUse[b.requests[i].class] = true
 		}
 	}
-	for _, p := range classes {
-		if i, known := before[p.Name]; known && places[i].Class == p {
-			taken[i] = true
+	for _, class := range classes {
+		if i, known := before[class.Name]; known && previous[i].Class == class {
+			inUse[i] = true
 		}
 	}
-	b.classOf, b.tightest, b.quickest, b.usual = make(map[string]int32, len(classes)), never, never, 0
-	for _, p := range classes {
-		i, known := before[p.Name]
-		if !known || places[i].Class != p {
-			next := class{typical: float64(p.ExpectedTime) / 4, stills: 1}
+	b.classOf, b.tightestBound, b.shortestExpected, b.usualCredit =
+		make(map[string]int32, len(classes)), never, never, 0
+	for _, class := range classes {
+		i, known := before[class.Name]
+		if !known || previous[i].Class != class {
+			next := classState{typicalTime: float64(class.ExpectedTime) / 4, replayStalls: 1}
 			if known {
-				next = places[i]
+				next = previous[i]
 			}
-			next.Class = p
-			if i = int32(slices.Index(taken, false)); i < 0 {
+			next.Class = class
+			if i = int32(slices.Index(inUse, false)); i < 0 {
 				i = int32(len(b.classes))
-				b.classes, taken = append(b.classes, class{}), append(taken, true)
+				b.classes, inUse = append(b.classes, classState{}), append(inUse, true)
 			}
-			b.classes[i], taken[i] = next, true
+			b.classes[i], inUse[i] = next, true
 		}
-		b.classOf[p.Name] = i
-		b.quickest, b.usual = min(b.quickest, p.ExpectedTime), b.usual+p.Credit/float64(len(classes))
-		if p.Need == Bounded {
-			b.tightest = min(b.tightest, p.Bound)
+		b.classOf[class.Name] = i
+		b.shortestExpected, b.usualCredit =
+			min(b.shortestExpected, class.ExpectedTime), b.usualCredit+class.Credit/float64(len(classes))
+		if class.Need == Bounded {
+			b.tightestBound = min(b.tightestBound, class.Bound)
 		}
 	}
 }
 
-// setTenants keeps what the buckets of those hold who were there before.
-func (b *Balancer) setTenants(c Settings) {
+// setTenants replaces the tenants. Those that were there before keep the tokens in their buckets.
+func (b *Balancer) setTenants(settings Settings) {
 	before := b.tenants
-	b.tenants = make(map[string]*tenant, len(c.Tenants))
-	for _, q := range c.Tenants {
-		rate := q.Quota / float64(second) / float64(max(c.Fronts, 1))
-		next := &tenant{perTime: rate, bucket: rate * float64(second), filled: b.now}
-		if t := before[q.Name]; t != nil {
-			next.bucket, next.filled = min(t.bucket, next.bucket), t.filled
+	b.tenants = make(map[string]*tenantState, len(settings.Tenants))
+	for _, tenant := range settings.Tenants {
+		rate := tenant.Quota / float64(second) / float64(max(settings.Fronts, 1))
+		next := &tenantState{rate: rate, tokens: rate * float64(second), refilledAt: b.now}
+		if current := before[tenant.Name]; current != nil {
+			next.tokens, next.refilledAt = min(current.tokens, next.tokens), current.refilledAt
 		}
-		b.tenants[q.Name] = next
+		b.tenants[tenant.Name] = next
 	}
 }
 
-// chance draws from 0 to n-1 with a multiply-with-carry generator.
-func (b *Balancer) chance(n Time) Time { return b.mwc.Below(n) }
+// randomBelow returns a pseudorandom number from 0 to n-1, from a multiply-with-carry generator.
+func (b *Balancer) randomBelow(n Time) Time { return b.random.Below(n) }
 
-func (b *Balancer) odds(part float64) bool { return float64(b.chance(1<<20)) < part*(1<<20) }
+// randomHit returns true with the given probability.
+func (b *Balancer) randomHit(part float64) bool { return float64(b.randomBelow(1<<20)) < part*(1<<20) }
 
+// Tick does the periodic work: it asks for the member list when that is due, refills the budgets of cold
+// members, suspects silent members, sends probes, and reviews all requests. It also asks the Front for the
+// next tick.
 func (b *Balancer) Tick(now Time) {
 	b.now = now
-	b.front.WakeAfter(b.beat)
-	b.requestRate -= b.requestRate * float64(b.beat) / float64(second)
-	every := float64(len(b.members)) * float64(b.beat) / max(b.requestRate*b.probesPerRequest, 1e-6)
-	b.probeNow = max(Time(every), b.probeEvery)
-	if now >= b.watchAt {
-		b.watchAt = now + min(b.askWithin/2, b.askPace)
+	b.front.WakeAfter(b.tickInterval)
+	b.requestRate -= b.requestRate * float64(b.tickInterval) / float64(second)
+	interval := float64(len(b.members)) * float64(b.tickInterval) / max(b.requestRate*b.probesPerRequest, 1e-6)
+	b.currentProbeInterval = max(Time(interval), b.probeInterval)
+	if now >= b.nextListAt {
+		b.nextListAt = now + min(b.listInterval/2, b.agentInterval)
 		b.front.WatchMembers()
 	}
 	warm := 0.0
-	for gi := range b.groups {
-		g := &b.groups[gi]
-		if b.primary(g) >= 0 {
-			g.sought, g.purse = 0, 0
-		} else if g.sought == 0 && len(g.held) > 0 {
-			g.sought = now
+	for groupIndex := range b.groups {
+		group := &b.groups[groupIndex]
+		if b.primary(group) >= 0 {
+			group.primarySoughtSince, group.searchProbes = 0, 0
+		} else if group.primarySoughtSince == 0 && len(group.waiting) > 0 {
+			group.primarySoughtSince = now
 		}
-		for _, i := range g.members {
-			m := &b.members[i]
-			if m.started > 0 {
-				// Danger: all fronts push a cold store over. Each sends it its part of what like warm ones are sent.
-				rate := max(b.flow*m.size*b.warmth(m)*b.coldPart, b.trickle)
-				// Danger: a read that asks first has to win its chance twice. So one that is won stands while it may ask.
-				if m.budget += rate * float64(b.beat); b.now-m.won > b.quickest/10 {
-					m.budget = min(m.budget, rate*float64(b.span)/2)
+		for _, i := range group.members {
+			member := &b.members[i]
+			if member.startedAt > 0 {
+				// All fronts together can overload a cold store. So each sends it its part of what comparable warm
+				// members are sent.
+				rate := max(b.warmRate*member.size*b.capacityShare(member)*b.coldOverloadFactor, b.minColdRate)
+				// A read that probes the store first would have to win the random draw for it twice. So a draw that
+				// was won stays valid for as long as the read may be probing.
+				if member.coldBudget += rate * float64(b.tickInterval); b.now-member.budgetWonAt > b.shortestExpected/10 {
+					member.coldBudget = min(member.coldBudget, rate*float64(b.coldOverloadSpan)/2)
 				}
-			} else if m.open {
-				warm += m.size
+			} else if member.accepting {
+				warm += member.size
 			}
-			// Accrual: its silence is unusual for the gaps seen before.
-			if m.asked > 0 && !m.suspect && float64(now-m.asked) > m.reply+4*m.vary+float64(2*b.beat) {
-				m.suspect = true
-				b.front.Log(fmt.Sprintf("store %d is suspected", m.store))
+			// Accrual failure detection: the silence is unusually long, compared with the gaps seen before.
+			if member.unansweredSince > 0 && !member.suspect &&
+				float64(now-member.unansweredSince) > member.replyMean+4*member.replyDeviation+float64(2*b.tickInterval) {
+				member.suspect = true
+				b.front.Log(fmt.Sprintf("store %d is suspected", member.store))
 			}
-			b.probe(m, g)
+			b.probeIfDue(member, group)
 		}
 	}
 	if warm > 0 {
-		b.flow += (b.doneWarm/(warm*float64(b.beat)) - b.flow) * float64(b.beat) / float64(max(b.span, b.beat))
+		b.warmRate += (b.servedWarm/(warm*float64(b.tickInterval)) - b.warmRate) * float64(b.tickInterval) /
+			float64(max(b.coldOverloadSpan, b.tickInterval))
 	}
-	b.doneWarm = 0
+	b.servedWarm = 0
 	for i := range b.requests {
 		if b.requests[i].id != "" && !b.requests[i].ended {
-			b.review(int32(i))
+			b.reviewRequest(int32(i))
 		}
 	}
 	for g := range b.groups {
-		b.release(int32(g))
+		b.dispatchWaiting(int32(g))
 	}
 }
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -1,44 +1,52 @@
 package balance
 
-// How much a store may be sent: warm ones by a limit that adapts, cold ones by a budget shared by all fronts.
+// How much work a member may be sent: a warm one by an adaptive concurrency limit, a cold one by a budget
+// that is shared by all fronts.
 
-// warmth is the part of its capacity that a member surely has.
-func (b *Balancer) warmth(m *member) float64 {
-	if m.started == 0 || b.now-m.started >= b.cold {
-		m.started = 0
+// capacityShare returns the share of its capacity that a member has at least, up to 1. It marks the member
+// as warm when the warm-up time is over.
+func (b *Balancer) capacityShare(member *memberState) float64 {
+	if member.startedAt == 0 || b.now-member.startedAt >= b.warmupTime {
+		member.startedAt = 0
 		return 1
 	}
-	return b.startShare + (1-b.startShare)*float64(max(b.now-m.started, 0))/float64(b.cold)
+	return b.startCapacity + (1-b.startCapacity)*float64(max(b.now-member.startedAt, 0))/float64(b.warmupTime)
 }
 
-// room tells whether the member takes one more attempt in good time.
-func (b *Balancer) room(m *member, p *class) bool {
-	if m.started == 0 {
-		if m.limit >= 1 || m.inFlight == 0 && float64(b.now-m.backAt) >= p.typical*(1/m.limit-1) {
-			return float64(m.inFlight) < m.limit
+// hasCapacity reports whether the member can take one more attempt of the class in good time. For a cold
+// member with less budget than an attempt needs, each call is a random draw.
+func (b *Balancer) hasCapacity(member *memberState, class *classState) bool {
+	if member.startedAt == 0 {
+		if member.limit >= 1 ||
+			member.inFlight == 0 && float64(b.now-member.returnedAt) >= class.typicalTime*(1/member.limit-1) {
+			return float64(member.inFlight) < member.limit
 		}
-		// Danger: hundreds of fronts with one each crowd a store. Under one attempt a front rests after each; what
-		// only a primary takes has nowhere else to go meanwhile, and rests after every two.
-		return p.Need >= Fresh && m.inFlight < 2 && float64(b.now-m.sentBefore) >= 2*p.typical/m.limit
+		// One attempt from each of hundreds of fronts overloads a store. So at a limit below one a front pauses
+		// after each attempt. Requests that only a primary can take have nowhere else to go meanwhile, and
+		// pause after every two.
+		return class.Need >= Fresh && member.inFlight < 2 &&
+			float64(b.now-member.previousSentAt) >= 2*class.typicalTime/member.limit
 	}
-	if m.inFlight > 0 && float64(m.inFlight) >= m.limit*min(1, 2*b.warmth(m)) {
+	if member.inFlight > 0 && float64(member.inFlight) >= member.limit*min(1, 2*b.capacityShare(member)) {
 		return false
 	}
-	// Danger: one attempt from each of hundreds of fronts is too much. What is saved is a chance, won or lost.
-	if m.budget < p.typical && !b.odds(m.budget/p.typical) {
-		m.budget = min(m.budget, 0)
+	// One attempt from each of hundreds of fronts is too much for a cold store. So a budget below the cost of
+	// an attempt is the chance to send one; the draw uses it up whether it is won or lost.
+	if member.coldBudget < class.typicalTime && !b.randomHit(member.coldBudget/class.typicalTime) {
+		member.coldBudget = min(member.coldBudget, 0)
 		return false
 	}
-	if m.budget < p.typical {
-		m.budget, m.won = p.typical, b.now
+	if member.coldBudget < class.typicalTime {
+		member.coldBudget, member.budgetWonAt = class.typicalTime, b.now
 	}
 	return true
 }
 
-// overload: a request found no room. It counts as seen for twice the shortest expected time.
-func (b *Balancer) overload() {
-	if b.now-b.crowded > 2*b.quickest {
+// recordOverload records that a request found no member with capacity. Overload counts as present for twice
+// the shortest expected time from then on.
+func (b *Balancer) recordOverload() {
+	if b.now-b.overloadedAt > 2*b.shortestExpected {
 		b.front.Log("overload seen")
 	}
-	b.crowded = b.now
+	b.overloadedAt = b.now
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -2,95 +2,111 @@
 
 import "math"
 
-// The choice of a store: past the fence, with room, the least busy; else the primary.
+// The choice of a store: the least busy one that has passed the fence and has capacity, or else the
+// primary.
 
-// need is the position that a read has to see.
-func (b *Balancer) need(j *request) Time {
-	if p := &b.classes[j.class]; p.Need == Bounded {
-		return b.now - p.Bound
-	} else if p.Need == Session && !b.carried && j.slot >= 0 {
-		j.fence = max(j.fence, b.fences[j.slot]) // Danger: its session may have written while it was held.
-		if b.writes[j.slot] > 0 {
-			// Danger: the answer of a write that is out may be lost, and what it told counts as known soon after.
-			return max(j.fence, b.now-second/10+b.beat)
+// requiredPosition returns the log position that a read has to see.
+func (b *Balancer) requiredPosition(req *request) Time {
+	if class := &b.classes[req.class]; class.Need == Bounded {
+		return b.now - class.Bound
+	} else if class.Need == Session && !b.fencesCarried && req.fenceSlot >= 0 {
+		// The session may have written while the request was waiting.
+		req.fence = max(req.fence, b.fences[req.fenceSlot])
+		if b.openWrites[req.fenceSlot] > 0 {
+			// The answer of a write in flight may have been lost, and the write counts as known to the session a
+			// tenth of a second after its answer.
+			return max(req.fence, b.now-second/10+b.tickInterval)
 		}
 	}
-	return j.fence
+	return req.fence
 }
 
-// choose gives the member for the request's next attempt, or -1 if it has to wait.
-func (b *Balancer) choose(j *request) int32 {
-	g, p := &b.groups[j.group], &b.classes[j.class]
-	primary := b.primary(g)
-	if p.Need >= Fresh {
-		if primary < 0 || !b.members[primary].proven && (p.Need != Write || b.members[primary].scouted) {
-			return -1 // a denied primary takes one write; the rest follow once it is taken
-		} else if b.room(&b.members[primary], p) {
+// chooseMember returns the index of the member for the request's next attempt, or -1 if it has to wait.
+func (b *Balancer) chooseMember(req *request) int32 {
+	group, class := &b.groups[req.group], &b.classes[req.class]
+	primary := b.primary(group)
+	if class.Need >= Fresh {
+		if primary < 0 || !b.members[primary].roleConfirmed &&
+			(class.Need != Write || b.members[primary].confirming) {
+			// A primary that has denied its role is sent a single write. The rest follow once that is accepted.
+			return -1
+		} else if b.hasCapacity(&b.members[primary], class) {
 			return primary
 		}
-		b.overload()
+		b.recordOverload()
 		return -1
 	}
-	need, sizes := b.need(j), b.elsewhere(g)
-	best, least, full := [2]int32{-1, -1}, [2]float64{}, false // known to be past the need; likely to be
-	for _, i := range g.members {
-		m := &b.members[i]
-		if i == g.primary && m.proven || !b.usable(m) {
+	required, divertible := b.requiredPosition(req), b.divertibleSize(group)
+	// Index 0: members known to have reached the required position; index 1: members that likely have.
+	best, lowest, full := [2]int32{-1, -1}, [2]float64{}, false
+	for _, i := range group.members {
+		member := &b.members[i]
+		if i == group.primary && member.roleConfirmed || !b.usable(member) {
 			continue
 		}
-		// Danger: one that comes back stands idle and would draw all. It gets its part of its fair share.
-		if m.part < 1 && sizes > 0 && !b.odds(m.part*m.size/sizes) {
+		// A member of a zone that comes back into use is idle and would attract all requests. So it gets only
+		// the planned part of its fair share.
+		if member.zoneShare < 1 && divertible > 0 && !b.randomHit(member.zoneShare*member.size/divertible) {
 			continue
 		}
-		// What it lagged by when last heard it may lag by still. Where stores check reads that is enough.
-		reach := m.position + b.now - m.heard
-		past := m.position >= need || b.checks && m.heard > 0 && reach >= need ||
-			m.told >= need && p.Repeat == Idempotent && b.now >= b.wary
-		if !past && m.heard > 0 && reach+p.ExpectedTime/10 < need {
+		// A member may still lag by as much as when its position was last seen. Where stores check reads
+		// themselves, this estimate is enough.
+		estimated := member.position + b.now - member.positionSeenAt
+		fresh := member.position >= required ||
+			b.storesCheckReads && member.positionSeenAt > 0 && estimated >= required ||
+			member.peerPosition >= required && class.Repeat == Idempotent && b.now >= b.distrustPeersUntil
+		if !fresh && member.positionSeenAt > 0 && estimated+class.ExpectedTime/10 < required {
 			continue
 		}
-		if !b.room(m, p) {
-			full = full || past
+		if !b.hasCapacity(member, class) {
+			full = full || fresh
 			continue
 		}
-		// How busy, for what it can do. Danger: fronts with few attempts find all idle, and all choose alike.
-		v := (float64(m.inFlight) - math.Log(float64(b.chance(1<<20)+1)/(1<<20))) / (m.size * b.warmth(m))
-		if m.far {
-			v *= 2 // a crossing is paid for, so the own place may be somewhat busier
+		// The score is the load in relation to capacity, with a random part: fronts with few attempts see all
+		// members idle, and would otherwise all choose the same one.
+		score := (float64(member.inFlight) - math.Log(float64(b.randomBelow(1<<20)+1)/(1<<20))) /
+			(member.size * b.capacityShare(member))
+		if member.crossZone {
+			// Traffic between zones has a price, so members of the own zone may be somewhat busier.
+			score *= 2
 		}
-		if p.stills > 0.5 && p.ExpectedTime > 2*b.tightest {
-			// Danger: long requests that stop the log, spread, keep all replicas behind. All fronts fill one first.
-			v = float64(m.store)
+		if class.replayStalls > 0.5 && class.ExpectedTime > 2*b.tightestBound {
+			// Long requests stop the log replay of a replica. Spread over all replicas, they would keep all of
+			// them behind. So all fronts fill the one with the lowest store number first.
+			score = float64(member.store)
 		}
-		k := 0
-		if !past {
-			k = 1
+		tier := 0
+		if !fresh {
+			tier = 1
 		}
-		if best[k] < 0 || v < least[k] {
-			best[k], least[k] = i, v
+		if best[tier] < 0 || score < lowest[tier] {
+			best[tier], lowest[tier] = i, score
 		}
 	}
 	if best[0] >= 0 {
 		return best[0]
 	}
-	if best[1] >= 0 && b.mayProbe && b.now-j.came < p.ExpectedTime/10 {
-		// Danger: each of many fronts has few answers, positions grow old, reads spill. So a likely one is asked.
-		if m := &b.members[best[1]]; b.now-m.probed > b.probeEvery/2 && j.asks < 2 {
-			j.asks++
-			b.ask(m, need, true)
+	if best[1] >= 0 && b.mayProbe && b.now-req.arrivedAt < class.ExpectedTime/10 {
+		// Each of many fronts sees few answers. The positions it knows grow old, and its reads would spill to
+		// the primary. So a member that has likely caught up is probed first.
+		if member := &b.members[best[1]]; b.now-member.probedAt > b.probeInterval/2 && req.probes < 2 {
+			req.probes++
+			b.sendProbe(member, required, true)
 		}
 		return -1
 	}
-	if !j.barred && primary >= 0 && b.members[primary].proven && b.room(&b.members[primary], p) {
-		// Danger: where replicas lag, hundreds of fronts spill to the primary together, each too little to see
-		// it fill, and the writes drown. So a read spills by the odds that spilled ones came back in good time.
-		if j.spilled = b.odds(b.spill); j.spilled {
+	if !req.primaryBarred && primary >= 0 && b.members[primary].roleConfirmed &&
+		b.hasCapacity(&b.members[primary], class) {
+		// Where replicas lag, hundreds of fronts would spill reads to the primary together, each too few to see
+		// it fill, and overwhelm its writes. So a read spills with a probability that follows how often spilled
+		// reads came back in good time.
+		if req.spilled = b.randomHit(b.spillOdds); req.spilled {
 			return primary
 		}
-		j.barred = true
+		req.primaryBarred = true
 	}
 	if full || primary >= 0 {
-		b.overload()
+		b.recordOverload()
 	}
 	return -1
 }
--- a/balance/configure_test.go
+++ b/balance/configure_test.go
@@ -7,13 +7,13 @@
 )
 
 // configure puts other settings in force, in the module and in the model.
-func (w *world) configure(c Settings) {
-	w.t.Helper()
-	w.note("configure %+v", c.Classes)
-	if err := w.b.Configure(w.now, c); err != nil {
-		w.t.Fatal(err)
+func (front *modelFront) configure(c Settings) {
+	front.t.Helper()
+	front.record("configure %+v", c.Classes)
+	if err := front.balancer.Configure(front.now, c); err != nil {
+		front.t.Fatal(err)
 	}
-	w.settings = c
+	front.settings = c
 }
 
 // otherSettings draws settings that differ from some in what operators change while fronts run: what classes there are and
@@ -58,102 +58,102 @@
 
 // TestWriteInHandKeepsItsRepeat: settings come into force that allow repeats of a class while a write of it is out, and its
 // answer is lost. It came as at-most-once and has one attempt; one that comes later may be repeated.
-func TestWriteInHandKeepsItsRepeat(t *testing.T) {
-	w := three(t, testSettings())
-	w.take(ask("before", "once"))
-	w.configure(changed(w.settings, "once", func(class *Class) { class.Repeat = Idempotent }))
-	w.take(ask("behind", "once"))
+func TestPendingWriteKeepsItsRepeat(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.submit(newRequest("before", "once"))
+	front.configure(changed(front.settings, "once", func(class *Class) { class.Repeat = Idempotent }))
+	front.submit(newRequest("behind", "once"))
 	for _, id := range []string{"before", "behind"} {
-		w.back(id, 0, Result{Ending: ConnectionLost})
+		front.finish(id, 0, Result{Ending: ConnectionLost})
 	}
-	w.pass(2 * second)
-	if before, behind := len(w.requests["before"].attempts), len(w.requests["behind"].attempts); before != 1 || behind < 2 {
+	front.advance(2 * second)
+	if before, behind := len(front.requests["before"].attempts), len(front.requests["behind"].attempts); before != 1 || behind < 2 {
 		t.Errorf("%d attempts of the write that came before, %d of the one behind", before, behind)
 	}
-	if w.requests["before"].final != 1 {
+	if front.requests["before"].finals != 1 {
 		t.Error("the write that came before has no final answer")
 	}
 }
 
 // TestClassTakenOutWithAWriteInHand: a class is taken out while a write of it is out. The write is answered, the reads of its
 // session see it, and no further request of that class is taken.
-func TestClassTakenOutWithAWriteInHand(t *testing.T) {
+func TestClassRemovedDuringAWrite(t *testing.T) {
 	c := testSettings()
 	c.FencesCarried = false
-	w := three(t, c)
-	write := ask("w", "once")
+	front := threeStores(t, c)
+	write := newRequest("w", "once")
 	write.Session = "s"
-	w.take(write)
-	without := w.settings
+	front.submit(write)
+	without := front.settings
 	without.Classes = slices.DeleteFunc(slices.Clone(c.Classes), func(class Class) bool { return class.Name == "once" })
-	w.configure(without)
-	w.pass(100)
-	w.back("w", 0, Result{Ending: Served, Note: Report{Position: w.now, Role: Primary}})
-	read := ask("r", "session")
+	front.configure(without)
+	front.advance(100)
+	front.finish("w", 0, Result{Ending: Served, Note: Report{Position: front.now, Role: Primary}})
+	read := newRequest("r", "session")
 	read.Session = "s"
-	w.take(read)
-	w.pass(1000) // it may ask a replica first
-	if store := w.at(t, "r"); store != 1 {
+	front.submit(read)
+	front.advance(1000) // it may ask a replica first
+	if store := front.lastStore(t, "r"); store != 1 {
 		t.Errorf("a read behind the write went to store %d, which has not shown it", store)
 	}
-	if err := w.b.Submit(w.now, ask("late", "once")); err == nil {
+	if err := front.balancer.Submit(front.now, newRequest("late", "once")); err == nil {
 		t.Error("a class that was taken out is taken")
 	}
 }
 
 // TestFaultySettingsChangeNothing: settings out of range are refused, and those before stay in force as a whole.
 func TestFaultySettingsChangeNothing(t *testing.T) {
-	w := three(t, testSettings())
-	before := *w.b
+	front := threeStores(t, testSettings())
+	before := *front.balancer
 	for _, faulty := range []Settings{
 		{Fronts: 9},
-		changed(w.settings, "marked", func(class *Class) { class.Window = -1 }),
-		changed(w.settings, "any", func(class *Class) { class.ExpectedTime = 0 }),
+		changed(front.settings, "marked", func(class *Class) { class.Window = -1 }),
+		changed(front.settings, "any", func(class *Class) { class.ExpectedTime = 0 }),
 	} {
 		faulty.WarmupTime, faulty.MaxAttempts = 5, 1
-		if err := w.b.Configure(w.now+50, faulty); err == nil {
+		if err := front.balancer.Configure(front.now+50, faulty); err == nil {
 			t.Error("faulty settings are taken")
 		}
 	}
-	after := w.b
-	if after.cold != before.cold || after.mostAttempts != before.mostAttempts || after.least != before.least ||
+	after := front.balancer
+	if after.warmupTime != before.warmupTime || after.maxAttempts != before.maxAttempts || after.minLimit != before.minLimit ||
 		!slices.Equal(after.classes, before.classes) {
 		t.Error("a part of the faulty settings is in force")
 	}
-	w.take(ask("w", "marked"))
-	w.at(t, "w")
+	front.submit(newRequest("w", "marked"))
+	front.lastStore(t, "w")
 }
 
 // TestClassPlacesAreGivenBack: what is kept of classes is bounded by those in force and those that requests in hand came
 // under, however often settings change.
-func TestClassPlacesAreGivenBack(t *testing.T) {
-	w := three(t, testSettings())
-	w.take(ask("long", "once"))
+func TestClassSlotsAreReused(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.submit(newRequest("long", "once"))
 	for n := range 2000 {
-		w.configure(changed(w.settings, "any", func(class *Class) { class.Credit = float64(n + 2) }))
+		front.configure(changed(front.settings, "any", func(class *Class) { class.Credit = float64(n + 2) }))
 	}
-	if most := len(w.settings.Classes) + 2; len(w.b.classes) > most {
-		t.Errorf("%d places of classes, %d at most expected", len(w.b.classes), most)
+	if most := len(front.settings.Classes) + 2; len(front.balancer.classes) > most {
+		t.Errorf("%d places of classes, %d at most expected", len(front.balancer.classes), most)
 	}
 }
 
 // TestLearntIsKept: new figures of a class leave what its attempts were seen to take, and what tenants have left.
-func TestLearntIsKept(t *testing.T) {
-	w := three(t, testSettings())
+func TestConfigureKeepsLearnedState(t *testing.T) {
+	front := threeStores(t, testSettings())
 	for k := range 40 {
 		id := string(rune('A' + k))
-		in := ask(id, "any")
+		in := newRequest(id, "any")
 		in.Tenant = "c"
-		w.take(in)
-		w.pass(100)
-		w.back(id, 0, Result{Ending: Served, Note: Report{Position: w.now, Role: Replica}})
+		front.submit(in)
+		front.advance(100)
+		front.finish(id, 0, Result{Ending: Served, Note: Report{Position: front.now, Role: Replica}})
 	}
-	typical, bucket := w.b.classes[w.b.classOf["any"]].typical, w.b.tenants["c"].bucket
-	w.configure(changed(w.settings, "any", func(class *Class) { class.Credit = 9 }))
-	if got := w.b.classes[w.b.classOf["any"]]; got.typical != typical || got.Credit != 9 {
-		t.Errorf("typical %v with credit %v, %v before", got.typical, got.Credit, typical)
+	typical, bucket := front.balancer.classes[front.balancer.classOf["any"]].typicalTime, front.balancer.tenants["c"].tokens
+	front.configure(changed(front.settings, "any", func(class *Class) { class.Credit = 9 }))
+	if got := front.balancer.classes[front.balancer.classOf["any"]]; got.typicalTime != typical || got.Credit != 9 {
+		t.Errorf("typical %v with credit %v, %v before", got.typicalTime, got.Credit, typical)
 	}
-	if got := w.b.tenants["c"].bucket; got != bucket {
+	if got := front.balancer.tenants["c"].tokens; got != bucket {
 		t.Errorf("the tenant's bucket holds %v, %v before", got, bucket)
 	}
 }
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -16,7 +16,7 @@
 func TestPlayDigest(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(digestSeeds) {
-		for _, line := range drive(t, seed, uint8(seed)) {
+		for _, line := range runScenario(t, seed, uint8(seed)) {
 			fmt.Fprintln(digest, line)
 		}
 	}
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -8,53 +8,53 @@
 	"testing"
 )
 
-// past is what the plain model knows of one request.
-type past struct {
-	in       Request
-	class    Class
-	came     Time
-	fence    Time
-	attempts []*sending
-	final    int
+// modelRequest is what the plain model knows of one request.
+type modelRequest struct {
+	request   Request
+	class     Class
+	arrivedAt Time
+	fence     Time
+	attempts  []*modelAttempt
+	finals    int
 }
 
-type sending struct {
-	store  uint32
-	sent   Time
-	out    bool
-	mayRan bool
-	least  Time
+type modelAttempt struct {
+	store       uint32
+	sentAt      Time
+	inFlight    bool
+	mayHaveRun  bool
+	minPosition Time
 }
 
-// known is what a front has been told of one store.
-type known struct {
-	open            bool
-	group           uint64
-	position        Time
-	claimed, denied Time
-	wroteSince      bool
-	started         Time
-	size            float64
-	sends           []Time
+// modelStore is what a front has been told of one store.
+type modelStore struct {
+	accepting           bool
+	group               uint64
+	position            Time
+	claimedAt, deniedAt Time
+	wroteSince          bool
+	startedAt           Time
+	size                float64
+	sends               []Time
 }
 
-// world is a Front that keeps a slow, plain model of the rules and holds every action against it.
-type world struct {
-	t        testing.TB
-	settings Settings
-	b        *Balancer
-	now      Time
-	requests map[string]*past
-	order    []string
-	stores   map[uint32]*known
-	ids      []uint32
-	fences   map[string]Time
-	probes   []uint32
-	watches  int
-	wake     Time
-	log      []string
-	listing  bool    // a list is being taken in
-	peak     float64 // most attempts that a warm store was sent in a span, for its size
+// modelFront is a Front that keeps a slow, plain model of the rules and holds every action against it.
+type modelFront struct {
+	t         testing.TB
+	settings  Settings
+	balancer  *Balancer
+	now       Time
+	requests  map[string]*modelRequest
+	order     []string
+	stores    map[uint32]*modelStore
+	storeIDs  []uint32
+	fences    map[string]Time
+	probes    []uint32
+	listCalls int
+	wakeAt    Time
+	log       []string
+	updating  bool    // a list is being taken in
+	peak      float64 // most attempts that a warm store was sent in a span, for its size
 }
 
 func testSettings() Settings {
@@ -69,258 +69,258 @@
 		}}
 }
 
-func newWorld(t testing.TB, c Settings) *world {
-	w := &world{t: t, settings: c, now: 1000000, requests: map[string]*past{}, stores: map[uint32]*known{},
+func newModelFront(t testing.TB, c Settings) *modelFront {
+	front := &modelFront{t: t, settings: c, now: 1000000, requests: map[string]*modelRequest{}, stores: map[uint32]*modelStore{},
 		fences: map[string]Time{}}
-	b, err := New(w.now, c, w)
+	b, err := New(front.now, c, front)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
-	return w
+	front.balancer = b
+	return front
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
+func (front *modelFront) record(format string, args ...any) {
+	front.log = append(front.log, fmt.Sprintf("%d ", front.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) broken(rule, format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("%s: %s\n%s", rule, fmt.Sprintf(format, args...), strings.Join(w.log[max(0, len(w.log)-300):], "\n"))
+func (front *modelFront) violation(rule, format string, args ...any) {
+	front.t.Helper()
+	front.t.Fatalf("%s: %s\n%s", rule, fmt.Sprintf(format, args...), strings.Join(front.log[max(0, len(front.log)-300):], "\n"))
 }
 
-// list hands out a list and keeps what it says.
-func (w *world) list(news ListKind, members ...Member) {
-	w.note("list %d %v", news, members)
+// updateMembers hands out a list and keeps what it says.
+func (front *modelFront) updateMembers(news ListKind, members ...Member) {
+	front.record("list %d %v", news, members)
 	if news == ListFull || news == ListCached {
-		for _, k := range w.stores {
-			k.open = k.open && w.settings.OnlyDrainingBinds
+		for _, state := range front.stores {
+			state.accepting = state.accepting && front.settings.OnlyDrainingBinds
 		}
 	}
 	for _, m := range members {
-		k := w.stores[m.Store]
-		if k == nil {
-			k = &known{group: m.Group, open: w.settings.OnlyDrainingBinds}
-			w.stores[m.Store] = k
-			w.ids = append(w.ids, m.Store)
+		state := front.stores[m.Store]
+		if state == nil {
+			state = &modelStore{group: m.Group, accepting: front.settings.OnlyDrainingBinds}
+			front.stores[m.Store] = state
+			front.storeIDs = append(front.storeIDs, m.Store)
 		}
-		k.open = m.Condition == Ready || m.Condition == Gone && w.settings.OnlyDrainingBinds && k.open
-		k.size = m.Size
-		if m.Primary && k.claimed == 0 {
-			k.claimed = w.now
+		state.accepting = m.Condition == Ready || m.Condition == Gone && front.settings.OnlyDrainingBinds && state.accepting
+		state.size = m.Size
+		if m.Primary && state.claimedAt == 0 {
+			state.claimedAt = front.now
 		}
-		if m.Started > k.started && w.now-m.Started < w.settings.WarmupTime {
-			k.started, k.sends = m.Started, nil // what went there before it was told of counts against nobody
+		if m.Started > state.startedAt && front.now-m.Started < front.settings.WarmupTime {
+			state.startedAt, state.sends = m.Started, nil // what went there before it was told of counts against nobody
 		}
 	}
-	w.listing = true
-	w.b.UpdateMembers(w.now, news, members)
-	w.listing = false
+	front.updating = true
+	front.balancer.UpdateMembers(front.now, news, members)
+	front.updating = false
 }
 
-func (w *world) take(in Request) *past {
-	p := &past{in: in, came: w.now}
-	for _, q := range w.settings.Classes {
+func (front *modelFront) submit(in Request) *modelRequest {
+	p := &modelRequest{request: in, arrivedAt: front.now}
+	for _, q := range front.settings.Classes {
 		if q.Name == in.Class {
 			p.class = q
 		}
 	}
-	if w.settings.FencesCarried {
+	if front.settings.FencesCarried {
 		if in.WriteAge >= 0 {
-			p.fence = w.now - in.WriteAge
+			p.fence = front.now - in.WriteAge
 		}
 	} else {
-		p.fence = w.fences[in.Session]
+		p.fence = front.fences[in.Session]
 	}
-	w.requests[in.ID] = p
-	w.order = append(w.order, in.ID)
-	w.note("take %+v", in)
-	if err := w.b.Submit(w.now, in); err != nil {
-		w.t.Fatal(err)
+	front.requests[in.ID] = p
+	front.order = append(front.order, in.ID)
+	front.record("take %+v", in)
+	if err := front.balancer.Submit(front.now, in); err != nil {
+		front.t.Fatal(err)
 	}
 	return p
 }
 
-// believe keeps what a store has shown of itself.
-func (w *world) believe(k *known, r Report, answer bool) {
+// updateStore keeps what a store has shown of itself.
+func (front *modelFront) updateStore(state *modelStore, r Report, answer bool) {
 	if r.Role == RoleUnknown {
 		return
 	}
-	k.position = max(k.position, r.Position)
+	state.position = max(state.position, r.Position)
 	if r.Role == Primary {
-		k.claimed = max(k.claimed, w.now)
+		state.claimedAt = max(state.claimedAt, front.now)
 	} else if answer {
-		k.denied, k.wroteSince = w.now, false
+		state.deniedAt, state.wroteSince = front.now, false
 	}
 }
 
-// back returns an attempt.
-func (w *world) back(id string, n int, r Result) {
-	p := w.requests[id]
+// finish returns an attempt.
+func (front *modelFront) finish(id string, n int, r Result) {
+	p := front.requests[id]
 	s := p.attempts[n]
-	k := w.stores[s.store]
-	if r.Ending == Served && r.Note.Position < s.least { // as the core has it
+	state := front.stores[s.store]
+	if r.Ending == Served && r.Note.Position < s.minPosition { // as the core has it
 		if p.class.Repeat != Idempotent {
-			w.broken("twice", "%s may not run again, and went where only a peer vouched", id)
+			front.violation("twice", "%s may not run again, and went where only a peer vouched", id)
 		}
 		r.Ending = NotEligible
 	}
-	s.out, s.mayRan = false, !r.Ending.NeverRan()
-	if r.Ending == Served && p.final == 0 {
-		p.final++
+	s.inFlight, s.mayHaveRun = false, !r.Ending.NeverRan()
+	if r.Ending == Served && p.finals == 0 {
+		p.finals++
 		r.Done = true
 		if p.class.Need == Write {
-			w.fences[p.in.Session] = max(w.fences[p.in.Session], r.Note.Position)
+			front.fences[p.request.Session] = max(front.fences[p.request.Session], r.Note.Position)
 		}
 	}
-	r.Done = r.Done || p.final > 0
-	w.believe(k, r.Note, true)
+	r.Done = r.Done || p.finals > 0
+	front.updateStore(state, r.Note, true)
 	if r.Ending == Served && p.class.Need == Write {
-		k.wroteSince = true
+		state.wroteSince = true
 	}
-	w.note("back %s %d %+v", id, n, r)
-	w.b.AttemptDone(w.now, id, n, s.store, r)
+	front.record("back %s %d %+v", id, n, r)
+	front.balancer.AttemptDone(front.now, id, n, s.store, r)
 }
 
-// pass lets time go by, with a beat whenever one is due.
-func (w *world) pass(span Time) {
-	for end := w.now + span; w.now < end; {
-		w.now = min(end, max(w.now+1, w.wake))
-		if w.now >= w.wake {
-			w.b.Tick(w.now)
+// advance lets time go by, with a beat whenever one is due.
+func (front *modelFront) advance(span Time) {
+	for end := front.now + span; front.now < end; {
+		front.now = min(end, max(front.now+1, front.wakeAt))
+		if front.now >= front.wakeAt {
+			front.balancer.Tick(front.now)
 		}
-		w.overdue()
+		front.checkDeadlines()
 	}
 }
 
-// overdue holds rule 1 against every request at hand.
-func (w *world) overdue() {
-	for _, id := range w.order {
-		if p := w.requests[id]; p.final == 0 && w.now > p.came+p.in.Left+w.settings.AnswerSlack {
-			w.broken("lost", "job %s has no final answer", id)
+// checkDeadlines holds rule 1 against every request at hand.
+func (front *modelFront) checkDeadlines() {
+	for _, id := range front.order {
+		if p := front.requests[id]; p.finals == 0 && front.now > p.arrivedAt+p.request.Left+front.settings.AnswerSlack {
+			front.violation("lost", "job %s has no final answer", id)
 		}
 	}
 }
 
-func (w *world) Send(id string, store uint32, until, least Time) {
-	p, k := w.requests[id], w.stores[store]
-	w.note("send %s to %d", id, store)
-	if p == nil || p.final > 0 {
-		w.broken("lost", "trip for job %s after its end", id)
+func (front *modelFront) Send(id string, store uint32, until, least Time) {
+	p, state := front.requests[id], front.stores[store]
+	front.record("send %s to %d", id, store)
+	if p == nil || p.finals > 0 {
+		front.violation("lost", "trip for job %s after its end", id)
 	}
-	if k == nil || !k.open || k.group != p.in.Group {
-		w.broken("drain", "trip of %s to store %d", id, store)
+	if state == nil || !state.accepting || state.group != p.request.Group {
+		front.violation("drain", "trip of %s to store %d", id, store)
 	}
 	for _, s := range p.attempts {
-		if s.out {
-			w.broken("twice", "two trips of %s at once", id)
+		if s.inFlight {
+			front.violation("twice", "two trips of %s at once", id)
 		}
-		if may := s.out || s.mayRan; may && (p.class.Repeat == AtMostOnce ||
-			p.class.Repeat == Keyed && w.now+w.b.beat > s.sent+p.class.Window) {
-			w.broken("twice", "a further trip of %s", id)
+		if may := s.inFlight || s.mayHaveRun; may && (p.class.Repeat == AtMostOnce ||
+			p.class.Repeat == Keyed && front.now+front.balancer.tickInterval > s.sentAt+p.class.Window) {
+			front.violation("twice", "a further trip of %s", id)
 		}
 	}
 	need := Time(0)
 	switch p.class.Need {
 	case Bounded:
-		need = w.now - p.class.Bound
+		need = front.now - p.class.Bound
 	case Session:
-		if need = p.fence; !w.settings.FencesCarried && p.in.Session != "" {
-			need = max(need, w.fences[p.in.Session])
+		if need = p.fence; !front.settings.FencesCarried && p.request.Session != "" {
+			need = max(need, front.fences[p.request.Session])
 		}
 	case Fresh:
 		need = never
 	}
-	role := k.claimed > 0 && (k.denied == 0 || k.wroteSince || k.claimed > k.denied+2*second)
-	if p.class.Need != Write && k.position < need && least < need && !role && !w.settings.StoresCheckReads {
-		w.broken("stale", "%s needs %d, store %d shows %d", id, need, store, k.position)
+	role := state.claimedAt > 0 && (state.deniedAt == 0 || state.wroteSince || state.claimedAt > state.deniedAt+2*second)
+	if p.class.Need != Write && state.position < need && least < need && !role && !front.settings.StoresCheckReads {
+		front.violation("stale", "%s needs %d, store %d shows %d", id, need, store, state.position)
 	}
-	if k.started > 0 && w.now-k.started < w.settings.WarmupTime {
-		w.cold(store, k)
-		k.sends = append(k.sends, w.now)
+	if state.startedAt > 0 && front.now-state.startedAt < front.settings.WarmupTime {
+		front.checkColdRate(store, state)
+		state.sends = append(state.sends, front.now)
 	} else {
-		k.sends = append(k.sends, w.now)
-		w.peak = max(w.peak, w.recent(k)/k.size)
+		state.sends = append(state.sends, front.now)
+		front.peak = max(front.peak, front.recentSends(state)/state.size)
 	}
-	p.attempts = append(p.attempts, &sending{store: store, sent: w.now, out: true, least: least})
+	p.attempts = append(p.attempts, &modelAttempt{store: store, sentAt: front.now, inFlight: true, minPosition: least})
 }
 
-// cold holds the sends to a cold store against the most that a warm one was ever sent in such a span, for its size.
-func (w *world) cold(store uint32, k *known) {
-	part := w.settings.StartCapacity + (1-w.settings.StartCapacity)*float64(w.now-k.started)/float64(w.settings.WarmupTime)
-	if n := w.recent(k); n > 10+w.settings.ColdOverloadFactor*part*w.peak*k.size {
-		w.broken("cold", "store %d was sent %v, its busiest warm peer %v", store, n, w.peak)
+// checkColdRate holds the sends to a cold store against the most that a warm one was ever sent in such a span, for its size.
+func (front *modelFront) checkColdRate(store uint32, state *modelStore) {
+	part := front.settings.StartCapacity + (1-front.settings.StartCapacity)*float64(front.now-state.startedAt)/float64(front.settings.WarmupTime)
+	if n := front.recentSends(state); n > 10+front.settings.ColdOverloadFactor*part*front.peak*state.size {
+		front.violation("cold", "store %d was sent %v, its busiest warm peer %v", store, n, front.peak)
 	}
 }
 
-func (w *world) recent(k *known) (n float64) {
-	for _, t := range k.sends {
-		if t > w.now-w.settings.ColdOverloadSpan {
+func (front *modelFront) recentSends(state *modelStore) (n float64) {
+	for _, t := range state.sends {
+		if t > front.now-front.settings.ColdOverloadSpan {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) final(id string) *past {
-	p := w.requests[id]
-	if p == nil || p.final > 0 {
-		w.broken("lost", "second final answer for %s", id)
+func (front *modelFront) recordFinal(id string) *modelRequest {
+	p := front.requests[id]
+	if p == nil || p.finals > 0 {
+		front.violation("lost", "second final answer for %s", id)
 	}
-	p.final++
+	p.finals++
 	return p
 }
 
-func (w *world) Refuse(id string, pause Time) {
-	w.note("turn back %s", id)
-	p := w.final(id)
+func (front *modelFront) Refuse(id string, pause Time) {
+	front.record("turn back %s", id)
+	p := front.recordFinal(id)
 	for _, s := range p.attempts {
-		if (s.out || s.mayRan) && p.class.Repeat != Idempotent && !p.class.Anywhere {
-			w.broken("twice", "%s is turned back but may have run", id)
+		if (s.inFlight || s.mayHaveRun) && p.class.Repeat != Idempotent && !p.class.Anywhere {
+			front.violation("twice", "%s is turned back but may have run", id)
 		}
 	}
 }
 
-func (w *world) Fail(id string)                { w.note("write off %s", id); w.final(id) }
-func (w *world) Cancel(id string, attempt int) { w.note("cancel %s %d", id, attempt) }
-func (w *world) Probe(store uint32, _ Time, _ bool) {
-	w.note("probe %d", store)
-	w.probes = append(w.probes, store)
+func (front *modelFront) Fail(id string)                { front.record("write off %s", id); front.recordFinal(id) }
+func (front *modelFront) Cancel(id string, attempt int) { front.record("cancel %s %d", id, attempt) }
+func (front *modelFront) Probe(store uint32, _ Time, _ bool) {
+	front.record("probe %d", store)
+	front.probes = append(front.probes, store)
 }
-func (w *world) CloseIdle(store uint32) { w.note("hang up %d", store) }
-func (w *world) WakeAfter(after Time)   { w.wake = w.now + after }
-func (w *world) WatchMembers()          { w.note("watch"); w.watches++ }
-func (w *world) Log(text string)        { w.note("log %s", text) }
+func (front *modelFront) CloseIdle(store uint32) { front.record("hang up %d", store) }
+func (front *modelFront) WakeAfter(after Time)   { front.wakeAt = front.now + after }
+func (front *modelFront) WatchMembers()          { front.record("watch"); front.listCalls++ }
+func (front *modelFront) Log(text string)        { front.record("log %s", text) }
 
-func (w *world) Forget(store uint32) {
-	w.note("forget %d", store)
-	k := w.stores[store]
-	if k != nil && k.open && w.listing {
+func (front *modelFront) Forget(store uint32) {
+	front.record("forget %d", store)
+	state := front.stores[store]
+	if state != nil && state.accepting && front.updating {
 		return // its line follows in the same list, and takes it up anew
 	}
-	if k == nil || k.open && !w.settings.OnlyDrainingBinds {
-		w.broken("forget", "store %d is in use", store)
+	if state == nil || state.accepting && !front.settings.OnlyDrainingBinds {
+		front.violation("forget", "store %d is in use", store)
 	}
-	for id, p := range w.requests {
+	for id, p := range front.requests {
 		for _, s := range p.attempts {
-			if s.out && s.store == store {
-				w.broken("forget", "a trip of %s is out at store %d", id, store)
+			if s.inFlight && s.store == store {
+				front.violation("forget", "a trip of %s is out at store %d", id, store)
 			}
 		}
 	}
-	delete(w.stores, store)
-	w.ids = slices.DeleteFunc(w.ids, func(id uint32) bool { return id == store })
+	delete(front.stores, store)
+	front.storeIDs = slices.DeleteFunc(front.storeIDs, func(id uint32) bool { return id == store })
 }
 
-// out names an attempt that is under way.
-func (w *world) out(r *rand.Rand) (string, int, bool) {
+// randomInFlight names an attempt that is under way.
+func (front *modelFront) randomInFlight(r *rand.Rand) (string, int, bool) {
 	for range 20 {
-		if len(w.order) == 0 {
+		if len(front.order) == 0 {
 			break
 		}
-		id := w.order[len(w.order)-1-r.IntN(min(len(w.order), 40))]
-		for n, s := range w.requests[id].attempts {
-			if s.out {
+		id := front.order[len(front.order)-1-r.IntN(min(len(front.order), 40))]
+		for n, s := range front.requests[id].attempts {
+			if s.inFlight {
 				return id, n, true
 			}
 		}
--- a/balance/list.go
+++ b/balance/list.go
@@ -5,129 +5,141 @@
 	"slices"
 )
 
-// Discovery's list: which stores there are, and which may be given new work.
+// The member list from service discovery: which stores there are, and which may be given new work.
 
-func (b *Balancer) UpdateMembers(now Time, news ListKind, list []Member) {
+// UpdateMembers takes in a list of members, or the failure of a call for it (ListFailed). It may change the
+// entries of list.
+func (b *Balancer) UpdateMembers(now Time, kind ListKind, list []Member) {
 	b.now = now
-	if news == ListFailed {
-		// Danger: a drain told meanwhile binds within its grace, so the first call follows almost at once. But
-		// fronts that failed together must not call again together: far longer waits each time, and spread.
-		// And what it has counts as told by then all the same, so half of that is the longest wait.
-		wait := min(b.askWithin/256<<(2*b.watchMiss), toldBy/3, b.askPace) // an own agent is asked for nothing
-		b.watchMiss, b.watchAt = min(b.watchMiss+1, 3), now+wait/2+b.chance(wait)
+	if kind == ListFailed {
+		// A drain reported meanwhile binds within its grace period, so the first call after a failure follows
+		// almost at once. Fronts that failed together must not call again together, so each further wait is
+		// much longer, and random. A front is held to changes that discovery has after discoveryDeadline even
+		// so, hence the longest wait is half of that. A call of the front's own agent costs nothing.
+		wait := min(b.listInterval/256<<(2*b.listFailures), discoveryDeadline/3, b.agentInterval)
+		b.listFailures, b.nextListAt = min(b.listFailures+1, 3), now+wait/2+b.randomBelow(wait)
 		return
 	}
-	if news != ListCached {
-		b.watchMiss, b.watchAt = 0, never
+	if kind != ListCached {
+		b.listFailures, b.nextListAt = 0, never
 	}
 	for i := range list {
-		// Danger: a list older than one before knows nothing of a drain told since, and would open the store again.
-		e := &list[i]
-		if k, ok := b.memberOf[e.Store]; ok && news == ListStale && !b.members[k].open &&
-			e.Started <= b.members[k].listed {
-			e.Condition = Draining
+		// A list that is older than an earlier one lacks the drains reported since, and would open the store
+		// again.
+		entry := &list[i]
+		if k, ok := b.memberOf[entry.Store]; ok && kind == ListStale && !b.members[k].accepting &&
+			entry.Started <= b.members[k].listedStart {
+			entry.Condition = Draining
 		}
 	}
-	if news != ListChanges {
+	if kind != ListChanges {
 		for i := range b.members {
-			b.members[i].open = b.members[i].open && b.onlyDrains
-			b.members[i].gone = min(b.members[i].gone, b.now)
+			b.members[i].accepting = b.members[i].accepting && b.onlyDrainingBinds
+			b.members[i].goneAt = min(b.members[i].goneAt, b.now)
 		}
 	}
 	for i := range list {
-		b.entry(&list[i])
+		b.applyEntry(&list[i])
 	}
 }
 
-// SetZoneShare takes the fleet's plan for a zone: the part of ordinary work that may go there, 1 for all. It is
-// advice and only narrows: what a primary alone can do still goes there, and all of a group that has no
-// replica elsewhere.
-func (b *Balancer) SetZoneShare(now Time, zone string, part float64) {
+// SetZoneShare sets the share of ordinary work that the fleet's plan lets go to a zone, 1 for all. The plan
+// is advisory and only narrows: requests that only a primary can take still go there, and so does all work
+// of a group that has no replica elsewhere.
+func (b *Balancer) SetZoneShare(now Time, zone string, share float64) {
 	b.now = now
-	if b.parts[zone] = part; part >= 1 {
-		delete(b.parts, zone)
+	if b.zoneShares[zone] = share; share >= 1 {
+		delete(b.zoneShares, zone)
 	}
 	for i := range b.members {
-		if m := &b.members[i]; m.zone == zone {
-			m.part = part
+		if member := &b.members[i]; member.zone == zone {
+			member.zoneShare = share
 		}
 	}
 }
 
-// elsewhere gives the size of a group's replicas if one is in a zone that the plan leaves whole, else 0.
-func (b *Balancer) elsewhere(g *group) (sizes float64) {
-	if len(b.parts) == 0 {
+// divertibleSize returns the total size of the group's replicas if at least one is in a zone that the plan
+// does not narrow, else 0.
+func (b *Balancer) divertibleSize(group *groupState) (total float64) {
+	if len(b.zoneShares) == 0 {
 		return 0
 	}
-	whole := false
-	for _, i := range g.members {
-		if m := &b.members[i]; m.open && (i != g.primary || !m.proven) {
-			sizes, whole = sizes+m.size, whole || m.part == 1 && !m.suspect
+	unrestricted := false
+	for _, i := range group.members {
+		if member := &b.members[i]; member.accepting && (i != group.primary || !member.roleConfirmed) {
+			total, unrestricted = total+member.size, unrestricted || member.zoneShare == 1 && !member.suspect
 		}
 	}
-	if !whole {
+	if !unrestricted {
 		return 0
 	}
-	return sizes
+	return total
 }
 
-func (b *Balancer) groupAt(id uint64) int32 {
+// groupIndex returns the index of the group with the given ID, and adds the group if it is new.
+func (b *Balancer) groupIndex(id uint64) int32 {
 	g, ok := b.groupOf[id]
 	if !ok {
 		g = int32(len(b.groups))
 		b.groupOf[id] = g
-		b.groups = append(b.groups, group{primary: -1})
+		b.groups = append(b.groups, groupState{primary: -1})
 	}
 	return g
 }
 
-// slot gives a new member its place: that of one gone and unheard for a cold time, nothing out, or another.
-// Danger: where stores are replaced for good, tables would fill with them and each would thin out the probes.
-func (b *Balancer) slot() int32 {
+// memberSlot returns the index of a free slot for a new member: that of a member that has been gone and
+// silent for the warm-up time and has no attempt in flight, or one at the end. Without the reuse, tables
+// would fill up where stores are replaced for good, and each entry would leave fewer probes for the others.
+func (b *Balancer) memberSlot() int32 {
 	for k := range b.members {
-		m, i := &b.members[k], int32(k)
-		if b.now-max(m.gone, m.heard, m.answered) < b.cold ||
-			slices.ContainsFunc(b.requests, func(j request) bool { return j.out && j.member == i }) {
+		member, i := &b.members[k], int32(k)
+		if b.now-max(member.goneAt, member.positionSeenAt, member.servedSentAt) < b.warmupTime ||
+			slices.ContainsFunc(b.requests, func(req request) bool { return req.inFlight && req.member == i }) {
 			continue
 		}
-		g := &b.groups[m.group]
-		g.members = slices.DeleteFunc(g.members, func(k int32) bool { return k == i })
-		if g.primary == i {
-			g.primary = -1
+		group := &b.groups[member.group]
+		group.members = slices.DeleteFunc(group.members, func(k int32) bool { return k == i })
+		if group.primary == i {
+			group.primary = -1
 		}
-		delete(b.memberOf, m.store)
-		b.front.Forget(m.store)
+		delete(b.memberOf, member.store)
+		b.front.Forget(member.store)
 		return i
 	}
-	b.members = append(b.members, member{})
+	b.members = append(b.members, memberState{})
 	return int32(len(b.members) - 1)
 }
 
-func (b *Balancer) entry(e *Member) {
-	i, known := b.memberOf[e.Store]
+// applyEntry takes in one line of the list.
+func (b *Balancer) applyEntry(entry *Member) {
+	i, known := b.memberOf[entry.Store]
 	if !known {
-		g := b.groupAt(e.Group)
-		i = b.slot()
-		b.memberOf[e.Store] = i
-		b.members[i] = member{store: e.Store, group: g, limit: min(8, 8*b.least), reply: float64(b.beat),
-			vary: float64(b.beat), probed: b.now - b.chance(b.cold), far: b.priced && e.Zone != b.zone,
-			size: 1, proven: true, zone: e.Zone, part: 1}
-		if part, ok := b.parts[e.Zone]; ok {
-			b.members[i].part = part
+		g := b.groupIndex(entry.Group)
+		i = b.memberSlot()
+		b.memberOf[entry.Store] = i
+		b.members[i] = memberState{store: entry.Store, group: g, limit: min(8, 8*b.minLimit),
+			replyMean: float64(b.tickInterval), replyDeviation: float64(b.tickInterval),
+			probedAt: b.now - b.randomBelow(b.warmupTime), crossZone: b.crossZonePriced && entry.Zone != b.zone,
+			size: 1, roleConfirmed: true, zone: entry.Zone, zoneShare: 1}
+		if share, ok := b.zoneShares[entry.Zone]; ok {
+			b.members[i].zoneShare = share
 		}
 		b.groups[g].members = append(b.groups[g].members, i)
 	}
-	m := &b.members[i]
-	if m.gone = never; e.Condition == Gone {
-		m.gone = b.now
-	}
-	m.open = e.Condition == Ready || e.Condition == Gone && b.onlyDrains && (m.open || !known)
-	m.size = cmp.Or(max(e.Size, 0), m.size)
-	if m.listed = max(m.listed, e.Started); e.Started > m.started && b.now-e.Started < b.cold {
-		m.started = e.Started
-	}
-	// The list is the weakest witness: it names a primary only where nothing better is known.
-	if g := &b.groups[m.group]; e.Primary && m.open && g.primary < 0 && m.replicaAt == 0 {
-		g.primary = i
+	member := &b.members[i]
+	if member.goneAt = never; entry.Condition == Gone {
+		member.goneAt = b.now
+	}
+	member.accepting = entry.Condition == Ready ||
+		entry.Condition == Gone && b.onlyDrainingBinds && (member.accepting || !known)
+	member.size = cmp.Or(max(entry.Size, 0), member.size)
+	if member.listedStart = max(member.listedStart, entry.Started); entry.Started > member.startedAt &&
+		b.now-entry.Started < b.warmupTime {
+		member.startedAt = entry.Started
+	}
+	// The list is the weakest evidence: it names a primary only where nothing better is known.
+	if group := &b.groups[member.group]; entry.Primary && member.accepting && group.primary < 0 &&
+		member.replicaAt == 0 {
+		group.primary = i
 	}
 }
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -2,57 +2,63 @@
 
 import "fmt"
 
-// Which member of a group is its primary, by what the members have shown of themselves.
+// Which member of a group is its primary, by what the members report of themselves.
 
-// learn takes what a member says of itself, and at is when it did so; 0 means some unknown time ago.
-func (b *Balancer) learn(i int32, r Report, at Time) {
-	m := &b.members[i]
-	if r.Role == RoleUnknown || r.Position < m.position && at == 0 || r.Position > b.now+2*b.beat {
-		return // older than what is known, or from a time to come: it says nothing
+// recordReport takes in what a member reports of itself, and the time of the report; 0 is an unknown time
+// in the past.
+func (b *Balancer) recordReport(i int32, r Report, at Time) {
+	member := &b.members[i]
+	if r.Role == RoleUnknown || r.Position < member.position && at == 0 || r.Position > b.now+2*b.tickInterval {
+		return // no role, older than what is known, or from the future
 	}
-	m.position, m.heard = max(m.position, r.Position), b.now
+	member.position, member.positionSeenAt = max(member.position, r.Position), b.now
 	if r.Role == Primary {
-		b.claim(i, max(at, r.Position)) // a primary stands at the present of its report
-	} else if at > 0 || r.Position > m.primaryAt {
-		b.deny(i, max(at, r.Position))
+		b.recordPrimary(i, max(at, r.Position)) // a primary's position is the time of its report
+	} else if at > 0 || r.Position > member.primaryAt {
+		b.recordReplica(i, max(at, r.Position))
 	}
 }
 
-// claim: the member was surely the primary at that moment. Of two that claim, the newer claim holds.
-func (b *Balancer) claim(i int32, at Time) {
-	m := &b.members[i]
-	g := &b.groups[m.group]
-	if at <= max(m.replicaAt, m.doubted) {
+// recordPrimary records that the member was certainly the primary at that time. If two members claim the
+// role, the newer claim holds.
+func (b *Balancer) recordPrimary(i int32, at Time) {
+	member := &b.members[i]
+	group := &b.groups[member.group]
+	if at <= max(member.replicaAt, member.ignoreClaimsUntil) {
 		return
 	}
-	m.proven, m.primaryAt = m.proven || at > m.replicaAt+2*second, max(m.primaryAt, at)
-	if g.primary != i && (g.primary < 0 || b.members[g.primary].primaryAt < at) {
-		g.primary = i
-		b.front.Log(fmt.Sprintf("primary of group %d is store %d", m.group, m.store))
+	member.roleConfirmed, member.primaryAt =
+		member.roleConfirmed || at > member.replicaAt+2*second, max(member.primaryAt, at)
+	if group.primary != i && (group.primary < 0 || b.members[group.primary].primaryAt < at) {
+		group.primary = i
+		b.front.Log(fmt.Sprintf("primary of group %d is store %d", member.group, member.store))
 	}
 }
 
-func (b *Balancer) deny(i int32, at Time) {
-	m := &b.members[i]
-	m.replicaAt = max(m.replicaAt, at)
-	if g := &b.groups[m.group]; g.primary == i {
-		g.primary = -1
-		b.front.Log(fmt.Sprintf("primary of group %d lost: store %d is a replica", m.group, m.store))
+// recordReplica records that the member was certainly not the primary at that time.
+func (b *Balancer) recordReplica(i int32, at Time) {
+	member := &b.members[i]
+	member.replicaAt = max(member.replicaAt, at)
+	if group := &b.groups[member.group]; group.primary == i {
+		group.primary = -1
+		b.front.Log(fmt.Sprintf("primary of group %d lost: store %d is a replica", member.group, member.store))
 	}
 }
 
-func (b *Balancer) primary(g *group) int32 {
-	if g.primary < 0 || !b.usable(&b.members[g.primary]) {
+// primary returns the index of the group's primary, or -1 if it is unknown or not usable.
+func (b *Balancer) primary(group *groupState) int32 {
+	if group.primary < 0 || !b.usable(&b.members[group.primary]) {
 		return -1
 	}
-	return g.primary
+	return group.primary
 }
 
-// PeerPosition takes in what another front says that a member has. The answer to a read sent for it has to prove it.
+// PeerPosition takes in the position of a store as another front reports it. The answer to a read that is
+// sent there because of it has to prove the position.
 func (b *Balancer) PeerPosition(now Time, store uint32, position Time) {
 	b.now = now
 	if i, ok := b.memberOf[store]; ok && position <= now {
-		b.members[i].told = max(b.members[i].told, position)
-		b.release(b.members[i].group)
+		b.members[i].peerPosition = max(b.members[i].peerPosition, position)
+		b.dispatchWaiting(b.members[i].group)
 	}
 }
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -5,79 +5,95 @@
 	"fmt"
 )
 
-// Health of the stores: when one is asked for its position, left alone, or taken to be back.
+// Health of the stores: when one is probed for its position, avoided, or taken to be back.
 
-// probe asks a member for its position when nothing has shown it of late, sooner while a primary is sought.
-func (b *Balancer) probe(m *member, g *group) {
-	every, fresh := b.probeNow, max(m.heard, m.probed)
-	seeks := g.sought > 0 && len(g.held) > 0 && m.asked == 0 && g.purse >= 1
-	if seeks { // Danger: hundreds of fronts seeking a primary that is out of reach for long
-		every, fresh = max(b.probeEvery/2, (b.now-g.sought)/4), m.probed
-	} else if m.asked > 0 { // Danger: hundreds of fronts asking a dead store at a steady pace
-		every = min(max(b.probeEvery, m.probed-m.asked), b.probeNow, b.cold)
+// probeIfDue probes a member whose position has not been seen of late, and does so sooner while its group
+// has no known primary.
+func (b *Balancer) probeIfDue(member *memberState, group *groupState) {
+	interval, lastSeen := b.currentProbeInterval, max(member.positionSeenAt, member.probedAt)
+	searching := group.primarySoughtSince > 0 && len(group.waiting) > 0 && member.unansweredSince == 0 &&
+		group.searchProbes >= 1
+	if searching {
+		// The interval grows as the search goes on: hundreds of fronts may be searching for a primary that
+		// stays unreachable for long.
+		interval, lastSeen = max(b.probeInterval/2, (b.now-group.primarySoughtSince)/4), member.probedAt
+	} else if member.unansweredSince > 0 {
+		// The interval grows while there is no answer: hundreds of fronts would otherwise probe a dead store at
+		// a steady rate.
+		interval = min(max(b.probeInterval, member.probedAt-member.unansweredSince), b.currentProbeInterval,
+			b.warmupTime)
 	}
-	if !b.mayProbe || !m.open || b.now-fresh < every || m.part == 0 && !seeks && b.elsewhere(g) > 0 {
+	if !b.mayProbe || !member.accepting || b.now-lastSeen < interval ||
+		member.zoneShare == 0 && !searching && b.divertibleSize(group) > 0 {
 		return
 	}
-	need := b.now - every
-	if seeks {
-		need, g.purse = 0, g.purse-1
+	need := b.now - interval
+	if searching {
+		need, group.searchProbes = 0, group.searchProbes-1
 	}
-	b.ask(m, need, false)
-	m.probed += b.chance(every / 8)
+	b.sendProbe(member, need, false)
+	member.probedAt += b.randomBelow(interval / 8)
 }
 
-func (b *Balancer) ask(m *member, need Time, any bool) {
-	m.probed, m.asked = b.now, cmp.Or(m.asked, b.now)
-	b.front.Probe(m.store, need, any)
+// sendProbe probes the member; Front.Probe describes need and any.
+func (b *Balancer) sendProbe(member *memberState, need Time, any bool) {
+	member.probedAt, member.unansweredSince = b.now, cmp.Or(member.unansweredSince, b.now)
+	b.front.Probe(member.store, need, any)
 }
 
+// ProbeDone takes in the result of a probe of a store.
 func (b *Balancer) ProbeDone(now Time, store uint32, r Result) {
 	b.now = now
 	i, ok := b.memberOf[store]
 	if !ok {
 		return
 	}
-	if m := &b.members[i]; r.Ending != Served && r.Ending != Overloaded {
-		if m.suspect = m.suspect || r.Ending != NotSent; r.Ending == ConnectFailed {
-			m.unreached = m.probed
+	if member := &b.members[i]; r.Ending != Served && r.Ending != Overloaded {
+		if member.suspect = member.suspect || r.Ending != NotSent; r.Ending == ConnectFailed {
+			member.connectFailedAt = member.probedAt
 		}
 		return
 	}
-	b.learn(i, r.Load, 0)
-	b.alive(i, r.Since)
-	b.release(b.members[i].group)
+	b.recordReport(i, r.Load, 0)
+	b.recordAlive(i, r.Since)
+	b.dispatchWaiting(b.members[i].group)
 }
 
-// shun tells until when to stay away from a member that refuses or fails: longer each time.
-// Danger: a store that fails at once, full, broken or draining, looks the least busy and draws every request.
-func (b *Balancer) shun(m *member) Time {
-	m.refusals = min(m.refusals+1, 8)
-	return b.now + min(b.beat<<m.refusals, b.quickest)
+// backoff returns the time until which to avoid a member that refuses or fails; the delay grows with each
+// failure. Without it, a store that fails at once because it is full, broken or draining would look the
+// least busy and attract every request.
+func (b *Balancer) backoff(member *memberState) Time {
+	member.failures = min(member.failures+1, 8)
+	return b.now + min(b.tickInterval<<member.failures, b.shortestExpected)
 }
 
-// alive: the member has answered, on a connection that has stood since then.
-func (b *Balancer) alive(i int32, since Time) {
-	m := &b.members[i]
-	if m.asked > 0 && !m.suspect {
-		off := float64(b.now-m.asked) - m.reply
-		m.reply += off / 16
-		m.vary += (max(off, -off) - m.vary) / 16
+// recordAlive records that the member has answered, on a connection that has been open since the given
+// time; 0 is unknown.
+func (b *Balancer) recordAlive(i int32, since Time) {
+	member := &b.members[i]
+	if member.unansweredSince > 0 && !member.suspect {
+		diff := float64(b.now-member.unansweredSince) - member.replyMean
+		member.replyMean += diff / 16
+		member.replyDeviation += (max(diff, -diff) - member.replyDeviation) / 16
 	}
-	switch lived := since > 0 && since < m.unreached; {
-	case m.unreached == 0 || lived && m.refusals < 2: // Danger: one lost connection is no restart.
-	case lived || m.position >= m.unreached:
-		b.scarce = b.now // it, or its log, went on while it took no connection: it lived, and has none to spare
+	switch stayedUp := since > 0 && since < member.connectFailedAt; {
+	case member.connectFailedAt == 0 || stayedUp && member.failures < 2: // one lost connection is no restart
+	case stayedUp || member.position >= member.connectFailedAt:
+		// The store or its log kept running while it accepted no connection: it did not restart, but has no
+		// connections to spare.
+		b.connectionsScarceAt = b.now
 	default:
-		m.started = b.now // it may have started anew unannounced, and is then cold
+		// It may have restarted without notice, and would then be cold.
+		member.startedAt = b.now
 	}
-	m.asked, m.unreached = 0, 0
-	if m.suspect {
-		m.suspect = false
-		b.front.Log(fmt.Sprintf("store %d is back", m.store))
+	member.unansweredSince, member.connectFailedAt = 0, 0
+	if member.suspect {
+		member.suspect = false
+		b.front.Log(fmt.Sprintf("store %d is back", member.store))
 	}
 }
 
-func (b *Balancer) usable(m *member) bool {
-	return m.open && b.now >= m.shut && !m.suspect
+// usable reports whether the member may be given new work now.
+func (b *Balancer) usable(member *memberState) bool {
+	return member.accepting && b.now >= member.backoffUntil && !member.suspect
 }
--- a/balance/repeat.go
+++ b/balance/repeat.go
@@ -1,108 +1,117 @@
 package balance
 
-// What follows an attempt: one more, or the final answer.
+// What follows an attempt: another one, or the final answer.
 
-// mayGoAgain: no further attempts while overload is seen, else up to two. What cost no store time is free.
-func (b *Balancer) mayGoAgain(j *request, further int) bool {
-	return j.sent < b.mostAttempts && (further == 0 || further <= 2 && b.now-b.crowded > 2*b.quickest)
+// mayRetryNow reports whether another attempt is allowed after the given number of attempts that may have
+// run: while there is overload none is, else up to two. Attempts that cost the store no time do not count.
+func (b *Balancer) mayRetryNow(req *request, ranAttempts int) bool {
+	return req.attempts < b.maxAttempts &&
+		(ranAttempts == 0 || ranAttempts <= 2 && b.now-b.overloadedAt > 2*b.shortestExpected)
 }
 
-// proceed places a request that is new or whose attempt came back, or gives it up.
-func (b *Balancer) proceed(i int32, r Result) {
-	j := &b.requests[i]
-	if r.Ending == NotSent && b.due(j) || b.now >= j.limit-b.beat || !b.mayRepeat(j) {
+// continueRequest places a request that is new or whose attempt has returned, or gives it up.
+func (b *Balancer) continueRequest(i int32, r Result) {
+	req := &b.requests[i]
+	if r.Ending == NotSent && b.maySend(req) || b.now >= req.deadline-b.tickInterval || !b.mayRepeat(req) {
 		b.giveUp(i)
 	} else {
-		b.place(i)
+		b.dispatch(i)
 	}
 }
 
-// mayRepeat tells whether the rules and the house's custom allow the request one more attempt.
-func (b *Balancer) mayRepeat(j *request) bool {
-	p := &b.classes[j.class]
+// mayRepeat reports whether the class's rules and the limits on retries allow the request another attempt.
+func (b *Balancer) mayRepeat(req *request) bool {
+	class := &b.classes[req.class]
 	switch {
-	case j.sent >= b.mostAttempts:
+	case req.attempts >= b.maxAttempts:
 		return false
-	case j.ranAt == 0:
-		return true // proven never to have run
-	case p.Repeat == AtMostOnce:
-		return false // Danger: an effect twice.
-	case p.Repeat == Keyed && b.now >= b.edge(j):
-		return false // Attempts never leave the request's group.
+	case req.mayHaveRunAt == 0:
+		return true // certain never to have run
+	case class.Repeat == AtMostOnce:
+		return false // a repeat could take effect twice
+	case class.Repeat == Keyed && b.now >= b.repeatDeadline(req):
+		return false // no other group could take it: attempts never leave the request's group
 	}
-	return b.mayGoAgain(j, j.further)
+	return b.mayRetryNow(req, req.ranAttempts)
 }
 
-// edge is when a repeat of what may have run has to be on its way.
-// Danger: past its window a repeat is not dropped, and it counts from when the store begins it: the way there
-// and what stands before it in the queue take no longer than such an attempt takes in all.
-func (b *Balancer) edge(j *request) Time {
-	p := &b.classes[j.class]
-	return j.ranAt + p.Window - b.beat - Time(p.typical)
+// repeatDeadline returns the time by which a repeat of a keyed request that may have run has to be sent.
+// After the window a repeat is no longer dropped, and what counts is when the store begins it. The way
+// there and the queue before it are taken to last no longer than a typical attempt in all.
+func (b *Balancer) repeatDeadline(req *request) Time {
+	class := &b.classes[req.class]
+	return req.mayHaveRunAt + class.Window - b.tickInterval - Time(class.typicalTime)
 }
 
-// review ends a request whose time is up or cannot be kept, and calls an attempt back from a silent store.
-func (b *Balancer) review(i int32) {
-	j := &b.requests[i]
-	p := &b.classes[j.class]
-	if j.out && !j.lost && float64(b.now-j.sentAt) > 6*p.typical {
-		// Danger: attempts whose answers are lost fill a member's limit until their clients give up.
-		j.lost = true
-		b.members[j.member].inFlight--
+// reviewRequest ends a request whose deadline has come or cannot be met, and cancels an attempt at a silent
+// store.
+func (b *Balancer) reviewRequest(i int32) {
+	req := &b.requests[i]
+	class := &b.classes[req.class]
+	if req.inFlight && !req.overdue && float64(b.now-req.sentAt) > 6*class.typicalTime {
+		// Attempts whose answers are lost would otherwise fill a member's limit until their clients give up.
+		req.overdue = true
+		b.members[req.member].inFlight--
 	}
-	stuck := j.out && (j.lost || b.members[j.member].suspect)
-	late := p.LateCredit == 0 && b.now+Time(p.typical) > j.wanted
+	stuck := req.inFlight && (req.overdue || b.members[req.member].suspect)
+	late := class.LateCredit == 0 && b.now+Time(class.typicalTime) > req.expectedBy
 	switch {
-	case b.now >= j.limit-b.beat, j.held && (late || b.now+Time(p.typical/2) > j.limit):
+	case b.now >= req.deadline-b.tickInterval,
+		req.waiting && (late || b.now+Time(class.typicalTime/2) > req.deadline):
 		b.giveUp(i)
-	case stuck && j.limit < never && p.Repeat == Idempotent && b.mayCancel && b.mayGoAgain(j, j.further+1):
-		b.front.Cancel(j.id, j.sent-1)
+	case stuck && req.deadline < never && class.Repeat == Idempotent && b.mayCancel &&
+		b.mayRetryNow(req, req.ranAttempts+1):
+		b.front.Cancel(req.id, req.attempts-1)
 	}
 }
 
-// giveUp gives the final answer of a request that will not be served, at once.
+// giveUp gives a request that will not be served its final answer at once: it is refused if the client may
+// safely repeat it, else it fails.
 func (b *Balancer) giveUp(i int32) {
-	j := &b.requests[i]
-	p := &b.classes[j.class]
-	if p.Repeat == Idempotent || j.ranAt == 0 && !j.out || p.Repeat == Keyed && p.Anywhere {
-		b.front.Refuse(j.id, b.mostPause/2+b.chance(b.mostPause/2))
+	req := &b.requests[i]
+	class := &b.classes[req.class]
+	if class.Repeat == Idempotent || req.mayHaveRunAt == 0 && !req.inFlight ||
+		class.Repeat == Keyed && class.Anywhere {
+		b.front.Refuse(req.id, b.maxRetryAfter/2+b.randomBelow(b.maxRetryAfter/2))
 	} else {
-		b.front.Fail(j.id)
+		b.front.Fail(req.id)
 	}
-	b.end(i)
+	b.endRequest(i)
 }
 
-// end closes a request and calls its attempt off, so that a store may stop working on them.
-func (b *Balancer) end(i int32) {
-	j := &b.requests[i]
-	j.held, j.ended = false, true
-	if j.out && b.mayCancel {
-		b.front.Cancel(j.id, j.sent-1)
+// endRequest closes a request and cancels its attempt, so that the store may stop working on it.
+func (b *Balancer) endRequest(i int32) {
+	req := &b.requests[i]
+	req.waiting, req.ended = false, true
+	if req.inFlight && b.mayCancel {
+		b.front.Cancel(req.id, req.attempts-1)
 	}
 	b.recycle(i)
 }
 
+// ClientGone reports that the request's client has gone; the request needs no answer.
 func (b *Balancer) ClientGone(now Time, id string) {
 	b.now = now
 	if i, ok := b.requestOf[id]; ok && !b.requests[i].ended {
-		b.end(i)
+		b.endRequest(i)
 	}
 }
 
-// SetShutdownDeadline tells that the front is ended by force at that time, and what it finds unanswered then is lost.
-func (b *Balancer) SetShutdownDeadline(now, by Time) {
-	b.now, b.closing = now, by
+// SetShutdownDeadline reports that the front will be terminated at the given time. Requests without an
+// answer by then are lost, so all deadlines are brought forward to it.
+func (b *Balancer) SetShutdownDeadline(now, deadline Time) {
+	b.now, b.shutdownAt = now, deadline
 	for i := range b.requests {
-		if j := &b.requests[i]; j.limit < never {
-			j.limit = min(j.limit, by)
+		if req := &b.requests[i]; req.deadline < never {
+			req.deadline = min(req.deadline, deadline)
 		}
 	}
 }
 
-// ResponseStarted tells that the request's answer has begun, and its limits no longer run.
+// ResponseStarted reports that the answer to the request has begun; its time limits no longer apply.
 func (b *Balancer) ResponseStarted(now Time, id string) {
 	b.now = now
 	if i, ok := b.requestOf[id]; ok {
-		b.requests[i].limit, b.requests[i].wanted = never, never
+		b.requests[i].deadline, b.requests[i].expectedBy = never, never
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -2,100 +2,156 @@
 
 import "micatrack/internal/random"
 
-// What the module keeps. These types hold no decision: the files that deploy/balancer.toml names under policy do.
+// The state that the package keeps. These types make no decisions; the files that deploy/balancer.toml names under
+// policy do.
 
-type class struct {
+// classState is a class with what has been learned about it.
+type classState struct {
 	Class
-	typical float64 // how long an attempt of it takes of late
-	stills  float64 // how often a replica's position stood still while it held one; feared until seen
-	tries   RetryDetector
+	typicalTime  float64       // average time of its recent attempts
+	replayStalls float64       // how often a replica's position stood still during an attempt; 1 until seen
+	retries      RetryDetector // tells its clients' retries from first tries
 }
 
-// tenant has a bucket of requests within its share, a second's worth at most.
-type tenant struct {
-	perTime, bucket float64
-	filled          Time
+// tenantState is a token bucket of requests within a tenant's quota. It holds at most what one second refills.
+type tenantState struct {
+	rate       float64 // tokens added per unit of Time
+	tokens     float64 // tokens left
+	refilledAt Time    // when tokens were last added
 }
 
-type member struct {
-	store                uint32
-	group                int32
-	far, open, suspect   bool    // reaching it crosses places; the list lets new work go there; unusually silent
-	proven, scouted      bool    // its role as primary may be relied on; a write is out to prove it
-	inFlight, refusals   int     // attempts; refusals and failures since the last delivery
-	shut, started        Time    // nothing new goes there until then; its last start, 0 when warm
-	listed               Time    // the start that the list tells
-	limit, strain        float64 // attempts in flight it takes in good time; answer times for the expected
-	size, budget         float64 // listed; typical time that may still be sent while it is cold
-	part                 float64 // of its fair share that the plan for its zone lets it have
-	zone                 string
-	won, told            Time    // when a chance at it while cold was won last; the largest position peers tell
-	unreached            Time    // when the last try to connect set out, if it failed
-	sentLast, sentBefore Time    // its last two attempts
-	backAt, answered     Time    // when an attempt last came back; when the newest of those served was sent
-	position, heard      Time    // the largest it has shown, and when it was heard of
-	primaryAt, replicaAt Time    // newest moments at which it surely was, and surely was not, the primary
-	doubted, eased       Time    // claims from before do not count; when the limit was last cut
-	probed, asked, gone  Time    // last probe; oldest without a sign of life since, 0: none; the list dropped it
-	reply, vary          float64 // mean and spread of the gaps between a probe and a sign of life
+// memberState is a member of a group: one store, and what is known of it.
+type memberState struct {
+	store             uint32  // number of the store
+	group             int32   // index of its group
+	crossZone         bool    // reaching it crosses zones, which has a price
+	accepting         bool    // the list lets new work go to it
+	suspect           bool    // silent for unusually long, or a connection to it failed
+	roleConfirmed     bool    // if it is known as the primary, that may be relied on
+	confirming        bool    // a write is in flight to confirm its role as the primary
+	inFlight          int     // attempts in flight, without overdue ones
+	failures          int     // refusals and failures since it last served an attempt
+	backoffUntil      Time    // no new work goes to it until then
+	startedAt         Time    // its last start, 0 when it is warm
+	listedStart       Time    // its latest start according to the list
+	limit             float64 // attempts in flight that it handles in good time
+	latencyRatio      float64 // average answer time as a multiple of the expected time
+	size              float64 // its relative size according to the list
+	coldBudget        float64 // typical time of the attempts that may still be sent while it is cold
+	zoneShare         float64 // share of its fair part of the work that the plan for its zone allows
+	zone              string  // the zone that it is in
+	budgetWonAt       Time    // when a random draw for an attempt was last won while it was cold
+	peerPosition      Time    // the largest position that peers report for it
+	connectFailedAt   Time    // when the last attempt to connect was made, if it failed; else 0
+	lastSentAt        Time    // when the last attempt was sent
+	previousSentAt    Time    // when the last attempt but one was sent
+	returnedAt        Time    // when an attempt last returned
+	servedSentAt      Time    // when the newest of the attempts that it served was sent
+	position          Time    // the largest position that it has shown
+	positionSeenAt    Time    // when its position was last reported
+	primaryAt         Time    // the latest time at which it was certainly the primary
+	replicaAt         Time    // the latest time at which it was certainly not the primary
+	ignoreClaimsUntil Time    // claims of the primary role from up to then do not count
+	limitCutAt        Time    // when limit was last reduced
+	probedAt          Time    // when it was last probed, moved by a random part
+	unansweredSince   Time    // when the oldest probe without an answer since was sent, 0 if there is none
+	goneAt            Time    // when the list dropped it; never if it is listed
+	replyMean         float64 // mean gap between a probe and the next answer of any kind
+	replyDeviation    float64 // mean deviation of these gaps
 }
 
-type group struct {
-	members []int32
-	primary int32   // -1: not known
-	sought  Time    // since when work has waited for one
-	purse   float64 // probes that the search for it may still cost
-	held    []int32 // requests that wait, the worthiest first
+// groupState is a primary with its replicas, and the requests that wait for them.
+type groupState struct {
+	members            []int32 // indices of its members
+	primary            int32   // index of the primary; -1 if it is not known
+	primarySoughtSince Time    // since when requests have waited for a primary; 0 if none is sought
+	searchProbes       float64 // probes that the search for the primary may still cost
+	waiting            []int32 // indices of the requests that wait, the highest priority first
 }
 
-// step is what a request does next; it is handed the result of the step before.
-type step func(b *Balancer, i int32, r Result)
+// resultHandler decides what a request does next, given the result of its last attempt.
+type resultHandler func(b *Balancer, i int32, r Result)
 
+// request is a request at hand. It has at most one attempt in flight.
 type request struct {
-	id                     string
-	class, group           int32
-	slot                   int32   // of its session's fence; -1: none
-	rank                   float64 // credit for the work, as it came in
-	fence, came            Time
-	wanted, limit, least   Time  // its expected time is up; the client's time; what its answer must have seen
-	member                 int32 // where its last attempt went: a request has one out at a time
-	sentAt, ranAt          Time  // when; when the first attempt was sent that may have run
-	sent, asks, further    int   // attempts; probes sent for it; attempts that came back and may have run
-	ended, held, out, lost bool  // out: an attempt is; lost: so long that it no longer counts as work in hand
-	spilled, barred, funds bool  // a read's went to the primary; it may not go there; it paid for a search
-	next                   step
+	id            string        // "" if the slot is free
+	class         int32         // index of its class
+	group         int32         // index of its group
+	fenceSlot     int32         // slot of its session's fence; -1 if it has no session
+	priority      float64       // credit for the work it takes, as estimated on arrival
+	fence         Time          // the log position that it has to see
+	arrivedAt     Time          // when it was submitted
+	expectedBy    Time          // when its expected time is over
+	deadline      Time          // when the client gives up, or the front is shut down
+	minPosition   Time          // the position that its answer has to prove; 0 for none
+	member        int32         // index of the member that its last attempt went to
+	sentAt        Time          // when its last attempt was sent
+	mayHaveRunAt  Time          // when the first attempt that may have run was sent; 0 for none
+	attempts      int           // attempts sent
+	probes        int           // probes sent for it
+	ranAttempts   int           // attempts that returned and may have cost the store time
+	ended         bool          // it has had its final answer, or needs none
+	waiting       bool          // it is in its group's queue
+	inFlight      bool          // an attempt is in flight
+	overdue       bool          // that attempt has taken so long that its member's inFlight no longer counts it
+	spilled       bool          // it is a read whose attempt went to the primary
+	primaryBarred bool          // it is a read that must not spill to the primary
+	fundedSearch  bool          // its credit has been added to its group's searchProbes
+	onResult      resultHandler // called with the result of its last attempt
 }
 
+// Balancer makes the decisions for one front. Its methods must not be called concurrently.
 type Balancer struct {
-	front                         Front
-	now, beat, cold               Time
-	mostPause, askWithin, span    Time
-	mwc                           random.Source
-	zone                          string
-	checks, carried               bool // stores check reads; reads carry the age of their fence
-	onlyDrains, priced            bool // being gone does not bind; crossings cost
-	mayProbe, mayCancel           bool
-	mostAttempts, watchMiss       int     // attempts of a request; failed calls for the list in a row
-	overShare, spill              float64 // credit past a tenant's share, as part of the usual; odds of a spill
-	startShare, coldPart          float64 // capacity at a start; of what warm ones are sent, a cold one's part
-	trickle, least                float64 // its rate with nothing to judge by; limit that a member keeps
-	tightest, quickest            Time    // shortest bound on the age of data, and expected time
-	probeEvery, probeNow          Time    // gap between probes of a member: as wished, and as the price allows
-	probesPerRequest, requestRate float64 // probes that the price allows; requests taken in a beat, on average
-	perCredit, usual              float64 // probes that the credit of a usual request pays for; that credit
-	watchAt, crowded, scarce      Time    // when to ask for the list next; overload, few connections last seen
-	closing, wary, askPace        Time    // by when all must be answered; no peer is believed; between calls
-	classes                       []class
-	tenants                       map[string]*tenant
-	members                       []member
-	groups                        []group
-	classOf, requestOf            map[string]int32
-	memberOf                      map[uint32]int32
-	groupOf                       map[uint64]int32
-	requests                      []request // the slab
-	free                          []int32
-	fences                        []Time             // newest write of each session, by hash; sharing tightens
-	writes                        []int32            // that are out, of each session
-	parts                         map[string]float64 // zones that the fleet's plan narrows, and to what part
-	flow, doneWarm                float64            // typical time of what warm members serve, by size and time
+	front                 Front                   // carries out the decisions
+	now                   Time                    // time of the last event
+	tickInterval          Time                    // time between ticks
+	warmupTime            Time                    // see Settings.WarmupTime
+	maxRetryAfter         Time                    // see Settings.MaxRetryAfter
+	listInterval          Time                    // see Settings.ListInterval
+	coldOverloadSpan      Time                    // see Settings.ColdOverloadSpan
+	random                random.Source           // seeded by Settings.Seed
+	zone                  string                  // the front's own zone
+	storesCheckReads      bool                    // stores reject reads for which they are too far behind
+	fencesCarried         bool                    // reads carry the age of their session's last write
+	onlyDrainingBinds     bool                    // a store missing from the list may still be used
+	crossZonePriced       bool                    // traffic between zones has a price
+	mayProbe              bool                    // probes are allowed
+	mayCancel             bool                    // attempts may be cancelled
+	maxAttempts           int                     // most attempts of a request
+	listFailures          int                     // calls for the list that failed in a row, up to 3
+	overQuotaCredit       float64                 // credit of a request beyond its tenant's quota, as a part of the usual
+	spillOdds             float64                 // probability that a read may spill to the primary
+	startCapacity         float64                 // share of its capacity that a store has when it starts
+	coldOverloadFactor    float64                 // part of what warm members are sent that all fronts may send a cold one
+	minColdRate           float64                 // rate of a cold budget where nothing is known of warm members
+	minLimit              float64                 // least concurrency limit of a member
+	tightestBound         Time                    // shortest bound on the age of data among the classes
+	shortestExpected      Time                    // shortest expected time among the classes
+	probeInterval         Time                    // wanted time between probes of a member
+	currentProbeInterval  Time                    // time between probes of a member that their price allows
+	probesPerRequest      float64                 // routine probes that a request pays for
+	requestRate           float64                 // average number of requests submitted in a tick interval
+	searchProbesPerCredit float64                 // search probes that the credit of a usual request pays for
+	usualCredit           float64                 // average credit of recent requests
+	nextListAt            Time                    // when to ask for the list next
+	overloadedAt          Time                    // when overload was last seen
+	connectionsScarceAt   Time                    // when a store was last seen short of connections
+	shutdownAt            Time                    // when the front will be terminated; never if that is not planned
+	distrustPeersUntil    Time                    // positions that peers report are not used until then
+	agentInterval         Time                    // longest time between calls of the front's own agent; never without one
+	classes               []classState            // classes in force, and those that requests at hand still use
+	tenants               map[string]*tenantState // by name
+	members               []memberState           // slots, reused by memberSlot
+	groups                []groupState            // never removed
+	classOf               map[string]int32        // index of each class in force, by name
+	requestOf             map[string]int32        // index of each request, by ID
+	memberOf              map[uint32]int32        // index of each member, by store number
+	groupOf               map[uint64]int32        // index of each group, by ID
+	requests              []request               // slots, reused through freeRequests
+	freeRequests          []int32                 // indices of the free slots in requests
+	fences                []Time                  // newest write of each session, by hash; a collision only makes it stricter
+	openWrites            []int32                 // writes in flight of each session, by the same hash
+	zoneShares            map[string]float64      // share of the work allowed in each zone that the plan narrows
+	warmRate              float64                 // average of the typical time that warm members serve, per size and time
+	servedWarm            float64                 // typical time that warm members served since the last tick
 }
