--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,4 +1,5 @@
-// Package deploy holds what the operators own: how the program is built and run, and the schema of their file.
+// Package deploy holds what operators maintain: how the program is built and run, and the JSON Schema of the
+// operators' file.
 package deploy
 
 import _ "embed"
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -10,17 +10,17 @@
 	"unicode/utf8"
 )
 
-// Bounds of the files that decide where a request goes.
+// Bounds on the files that decide where a request goes.
 const (
 	mostLines = 920 // lines of code in all files together: neither blank nor a comment alone
 	mostWidth = 110 // characters in a line
 )
 
-// undecided are the files of package balance that hold no decision: the interface, and what is kept.
-var undecided = []string{"balance/front.go", "balance/state.go"}
+// noDecisions lists the files of package balance that make no decisions: the interface and the state.
+var noDecisions = []string{"balance/front.go", "balance/state.go"}
 
-// TestPolicyFiles: each file of package balance is named under policy, or is known to hold no decision; the named ones keep
-// to the bounds.
+// TestPolicyFiles checks that each file of package balance is named under policy or makes no decisions, and
+// that the named ones keep to the bounds.
 func TestPolicyFiles(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	for _, file := range files {
 		name := "balance/" + filepath.Base(file)
-		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(undecided, name) {
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(noDecisions, name) {
 			t.Errorf("%s is not named under policy", name)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the settings that a front is given at its start, for every host of the module.
+// Package settings reads the settings that a front is given when it starts, into those of package balance and
+// of the process around it.
 package settings
 
 import (
@@ -8,19 +9,21 @@
 	"micatrack/balance"
 )
 
-const microsPerTime = 100 // the settings' microseconds in one balance.Time
+const microsPerTime = 100 // microseconds, the unit of times in the settings, in one balance.Time
 
-// Process is what the program round the module needs of the settings.
+// Process holds the settings that the process around package balance needs.
 type Process struct {
-	PositionEpoch            int64        // microseconds from which the simulator's positions count
-	DialTimeout, IdleTimeout balance.Time // a connection comes up within Dial; a store closes one that stood idle for Idle
-	LoadReports              string       // where load reports come: "inline", "on_probe" or "off"
-	DrainGrace               balance.Time // nothing new goes to a store that long after a drain of it was told
+	PositionEpoch int64        // microseconds at which the simulator's log positions start
+	DialTimeout   balance.Time // time within which a connection has to be open
+	IdleTimeout   balance.Time // time after which a store closes an idle connection
+	LoadReports   string       // where load reports come: "inline", "on_probe" or "off"
+	DrainGrace    balance.Time // time after the report of a drain by which no new work may go to the store
 }
 
-// Read turns the settings into those of the module. Keys that it does not know are passed over.
+// Read parses the JSON of the settings into those of package balance and of the process. It returns an error
+// that names the key if a value is missing, out of range or of the wrong type. It ignores unknown keys.
 func Read(text []byte) (balance.Settings, Process, error) {
-	var w struct {
+	var raw struct {
 		Az       string
 		Ceilings struct {
 			MaxAttempts                   int
@@ -56,87 +59,88 @@
 		ReplicasOfMe int
 		Round        int64
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return balance.Settings{}, Process{}, err
 	}
-	h := Process{PositionEpoch: w.Extra.PositionZero, DialTimeout: w.Ceilings.DialTimeout / microsPerTime,
-		IdleTimeout: w.Ceilings.ConnIdle / microsPerTime, LoadReports: w.Report.Source, DrainGrace: w.Contract.DrainGrace / microsPerTime}
-	c := balance.Settings{
-		Fronts: w.ReplicasOfMe, Zone: w.Az, EventInterval: w.Round / microsPerTime,
-		OverQuotaCredit:  w.OverShareWorth,
-		StoresCheckReads: w.Extra.Behind == "refuse" || w.Extra.Behind == "wait",
-		FencesCarried:    w.Extra.SessionMarks == "carried",
-		ListPushed:       w.RegistryMode == "pushed", ListInterval: w.Contract.AskWithin / microsPerTime,
-		OnlyDrainingBinds: w.Contract.OnlyDrainingBinds, AnswerSlack: w.Contract.AnswerSlack / microsPerTime,
-		StartCapacity: w.Contract.StartCapacity, WarmupTime: w.Contract.Cold / microsPerTime,
-		ColdOverloadFactor: w.Contract.FallMultiple, ColdOverloadSpan: w.Contract.TipAfter / microsPerTime,
-		MaxAttempts: w.Ceilings.MaxAttempts, MayProbe: w.Ceilings.Probes, MayCancel: w.Ceilings.MayCancel,
-		CrossZonePrice: w.Prices.CrossZone, ProbePrice: w.Prices.Probe,
+	process := Process{PositionEpoch: raw.Extra.PositionZero, DialTimeout: raw.Ceilings.DialTimeout / microsPerTime,
+		IdleTimeout: raw.Ceilings.ConnIdle / microsPerTime, LoadReports: raw.Report.Source,
+		DrainGrace: raw.Contract.DrainGrace / microsPerTime}
+	settings := balance.Settings{
+		Fronts: raw.ReplicasOfMe, Zone: raw.Az, EventInterval: raw.Round / microsPerTime,
+		OverQuotaCredit:  raw.OverShareWorth,
+		StoresCheckReads: raw.Extra.Behind == "refuse" || raw.Extra.Behind == "wait",
+		FencesCarried:    raw.Extra.SessionMarks == "carried",
+		ListPushed:       raw.RegistryMode == "pushed", ListInterval: raw.Contract.AskWithin / microsPerTime,
+		OnlyDrainingBinds: raw.Contract.OnlyDrainingBinds, AnswerSlack: raw.Contract.AnswerSlack / microsPerTime,
+		StartCapacity: raw.Contract.StartCapacity, WarmupTime: raw.Contract.Cold / microsPerTime,
+		ColdOverloadFactor: raw.Contract.FallMultiple, ColdOverloadSpan: raw.Contract.TipAfter / microsPerTime,
+		MaxAttempts: raw.Ceilings.MaxAttempts, MayProbe: raw.Ceilings.Probes, MayCancel: raw.Ceilings.MayCancel,
+		CrossZonePrice: raw.Prices.CrossZone, ProbePrice: raw.Prices.Probe,
 	}
-	if w.Ceilings.RetryAfter {
-		c.MaxRetryAfter = w.Ceilings.MaxRetryAfter / microsPerTime
+	if raw.Ceilings.RetryAfter {
+		settings.MaxRetryAfter = raw.Ceilings.MaxRetryAfter / microsPerTime
 	}
-	for _, k := range [...]struct {
+	for _, check := range [...]struct {
 		key   string
 		value float64
-	}{{"Ceilings.MaxAttempts", float64(w.Ceilings.MaxAttempts)}, {"Ceilings.MaxRetryAfter", float64(w.Ceilings.MaxRetryAfter)},
-		{"Ceilings.ConnIdle", float64(w.Ceilings.ConnIdle)}, {"Ceilings.DialTimeout", float64(w.Ceilings.DialTimeout)},
-		{"Contract.AnswerSlack", float64(w.Contract.AnswerSlack)}, {"Contract.AskWithin", float64(w.Contract.AskWithin)},
-		{"Contract.Cold", float64(w.Contract.Cold)}, {"Contract.DrainGrace", float64(w.Contract.DrainGrace)},
-		{"Contract.TipAfter", float64(w.Contract.TipAfter)},
-		{"Contract.FallMultiple", w.Contract.FallMultiple}, {"Contract.StartCapacity", w.Contract.StartCapacity},
-		{"OverShareWorth", w.OverShareWorth}, {"Prices.CrossZone", w.Prices.CrossZone}, {"Prices.Probe", w.Prices.Probe},
-		{"ReplicasOfMe", float64(w.ReplicasOfMe)}, {"Round", float64(w.Round)}} {
-		if k.value < 0 {
-			return c, h, fmt.Errorf("%s is negative", k.key)
+	}{{"Ceilings.MaxAttempts", float64(raw.Ceilings.MaxAttempts)}, {"Ceilings.MaxRetryAfter", float64(raw.Ceilings.MaxRetryAfter)},
+		{"Ceilings.ConnIdle", float64(raw.Ceilings.ConnIdle)}, {"Ceilings.DialTimeout", float64(raw.Ceilings.DialTimeout)},
+		{"Contract.AnswerSlack", float64(raw.Contract.AnswerSlack)}, {"Contract.AskWithin", float64(raw.Contract.AskWithin)},
+		{"Contract.Cold", float64(raw.Contract.Cold)}, {"Contract.DrainGrace", float64(raw.Contract.DrainGrace)},
+		{"Contract.TipAfter", float64(raw.Contract.TipAfter)},
+		{"Contract.FallMultiple", raw.Contract.FallMultiple}, {"Contract.StartCapacity", raw.Contract.StartCapacity},
+		{"OverShareWorth", raw.OverShareWorth}, {"Prices.CrossZone", raw.Prices.CrossZone}, {"Prices.Probe", raw.Prices.Probe},
+		{"ReplicasOfMe", float64(raw.ReplicasOfMe)}, {"Round", float64(raw.Round)}} {
+		if check.value < 0 {
+			return settings, process, fmt.Errorf("%s is negative", check.key)
 		}
 	}
-	if len(w.Profiles) == 0 {
-		return c, h, fmt.Errorf("Profiles is missing or empty")
+	if len(raw.Profiles) == 0 {
+		return settings, process, fmt.Errorf("Profiles is missing or empty")
 	}
-	if len(w.Extra.Freshness) != len(w.Profiles) {
-		return c, h, fmt.Errorf("Extra.Freshness has %d entries for %d Profiles",
-			len(w.Extra.Freshness), len(w.Profiles))
+	if len(raw.Extra.Freshness) != len(raw.Profiles) {
+		return settings, process, fmt.Errorf("Extra.Freshness has %d entries for %d Profiles",
+			len(raw.Extra.Freshness), len(raw.Profiles))
 	}
-	if len(w.Extra.OldestData) != len(w.Profiles) {
-		return c, h, fmt.Errorf("Extra.OldestData has %d entries for %d Profiles",
-			len(w.Extra.OldestData), len(w.Profiles))
+	if len(raw.Extra.OldestData) != len(raw.Profiles) {
+		return settings, process, fmt.Errorf("Extra.OldestData has %d entries for %d Profiles",
+			len(raw.Extra.OldestData), len(raw.Profiles))
 	}
 	needs := map[string]balance.Need{"any": balance.Any, "bounded": balance.Bounded, "session": balance.Session,
 		"fresh": balance.Fresh, "write": balance.Write}
 	repeats := map[string]balance.Repeat{"repeatable": balance.Idempotent, "by_key": balance.Keyed,
 		"once": balance.AtMostOnce}
-	named := map[string]bool{}
-	for i, p := range w.Profiles {
-		if w.Extra.OldestData[i] < 0 {
-			return c, h, fmt.Errorf("Extra.OldestData[%d] is negative", i)
+	seen := map[string]bool{}
+	for i, profile := range raw.Profiles {
+		if raw.Extra.OldestData[i] < 0 {
+			return settings, process, fmt.Errorf("Extra.OldestData[%d] is negative", i)
 		}
-		if p.Aim <= 0 || p.HardLimit <= 0 || p.Window < 0 || p.AimStretch < 0 || p.Worth < 0 || p.LateWorth < 0 {
-			return c, h, fmt.Errorf("Profiles[%d]: Aim, HardLimit, Window, AimStretch, Worth or LateWorth is out of range", i)
+		if profile.Aim <= 0 || profile.HardLimit <= 0 || profile.Window < 0 || profile.AimStretch < 0 || profile.Worth < 0 || profile.LateWorth < 0 {
+			return settings, process, fmt.Errorf("Profiles[%d]: Aim, HardLimit, Window, AimStretch, Worth or LateWorth is out of range", i)
 		}
-		if p.Name == "" || named[p.Name] {
-			// Danger: of two classes by one name, requests would be held to the rules of the last.
-			return c, h, fmt.Errorf("Profiles[%d].Name is missing or used twice", i)
+		if profile.Name == "" || seen[profile.Name] {
+			// If two classes had one name, requests would be handled by the rules of the last one.
+			return settings, process, fmt.Errorf("Profiles[%d].Name is missing or used twice", i)
 		}
-		named[p.Name] = true
-		need, ok := needs[w.Extra.Freshness[i]]
+		seen[profile.Name] = true
+		need, ok := needs[raw.Extra.Freshness[i]]
 		if !ok {
-			return c, h, fmt.Errorf("Extra.Freshness: %q is unknown", w.Extra.Freshness[i])
+			return settings, process, fmt.Errorf("Extra.Freshness: %q is unknown", raw.Extra.Freshness[i])
 		}
-		repeat, ok := repeats[p.Idempotency]
+		repeat, ok := repeats[profile.Idempotency]
 		if !ok {
-			return c, h, fmt.Errorf("Profiles[%d].Idempotency: %q is unknown", i, p.Idempotency)
+			return settings, process, fmt.Errorf("Profiles[%d].Idempotency: %q is unknown", i, profile.Idempotency)
 		}
-		c.Classes = append(c.Classes, balance.Class{Name: p.Name, Need: need,
-			Bound: w.Extra.OldestData[i] / microsPerTime, Repeat: repeat, Anywhere: p.Group == "all",
-			Window: p.Window / microsPerTime, ExpectedTime: p.Aim / microsPerTime,
-			Stretch: p.AimStretch, Deadline: p.HardLimit / microsPerTime, Credit: p.Worth, LateCredit: p.LateWorth})
+		settings.Classes = append(settings.Classes, balance.Class{Name: profile.Name, Need: need,
+			Bound: raw.Extra.OldestData[i] / microsPerTime, Repeat: repeat, Anywhere: profile.Group == "all",
+			Window: profile.Window / microsPerTime, ExpectedTime: profile.Aim / microsPerTime,
+			Stretch: profile.AimStretch, Deadline: profile.HardLimit / microsPerTime, Credit: profile.Worth, LateCredit: profile.LateWorth})
 	}
-	for i, o := range w.Orgs {
-		if o.QuotaPerS < 0 {
-			return c, h, fmt.Errorf("Orgs[%d].QuotaPerS is negative", i)
+	for i, org := range raw.Orgs {
+		if org.QuotaPerS < 0 {
+			return settings, process, fmt.Errorf("Orgs[%d].QuotaPerS is negative", i)
 		}
-		c.Tenants = append(c.Tenants, balance.Tenant{Name: o.Name, Quota: o.QuotaPerS})
+		settings.Tenants = append(settings.Tenants, balance.Tenant{Name: org.Name, Quota: org.QuotaPerS})
 	}
-	return c, h, nil
+	return settings, process, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestFaultySettings: whatever stands in place of one value, the settings are taken or refused in one line that names the
-// key; of another kind, or below nothing, it is refused.
+// TestFaultySettings replaces each value of the settings by others, one at a time. Read must either accept the
+// result or return an error of one line that names the key. A number that is replaced by a
+// negative one, or by a value of another type except null, must be refused.
 func TestFaultySettings(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
@@ -21,38 +22,38 @@
 			t.Fatal(err)
 		}
 		set(file.Settings)
-		again, _ := json.Marshal(file.Settings)
-		_, _, err := Read(again)
+		changed, _ := json.Marshal(file.Settings)
+		_, _, err := Read(changed)
 		return err
 	}
 	if err := read(func(map[string]any) {}); err != nil {
 		t.Fatal(err)
 	}
-	var walk func(path []string, v any)
+	var walk func(path []string, value any)
 	tried := 0
-	walk = func(path []string, v any) {
-		if m, ok := v.(map[string]any); ok {
-			for k, v := range m {
-				walk(append(path[:len(path):len(path)], k), v)
+	walk = func(path []string, value any) {
+		if object, ok := value.(map[string]any); ok {
+			for k, value := range object {
+				walk(append(path[:len(path):len(path)], k), value)
 			}
 			return
 		}
-		if l, ok := v.([]any); ok && len(l) > 0 {
-			for k := range l {
-				walk(append(path[:len(path):len(path)], fmt.Sprint(k)), l[k])
+		if list, ok := value.([]any); ok && len(list) > 0 {
+			for k := range list {
+				walk(append(path[:len(path):len(path)], fmt.Sprint(k)), list[k])
 			}
 		}
 		if path[0] == "Report" && len(path) > 1 && path[1] == "Fields" || len(path) == 0 {
-			return // nobody reads it
+			return // not read
 		}
-		_, number := v.(float64)
+		_, number := value.(float64)
 		for _, bad := range []any{"odd", -7.0, 1e300, map[string]any{"x": 1}, []any{1}, nil, true, 0.5} {
 			tried++
 			err := read(func(at map[string]any) {
 				var in any = at
 				for _, k := range path[:len(path)-1] {
-					if m, ok := in.(map[string]any); ok {
-						in = m[k]
+					if object, ok := in.(map[string]any); ok {
+						in = object[k]
 					} else {
 						var n int
 						fmt.Sscan(k, &n)
@@ -60,8 +61,8 @@
 					}
 				}
 				last := path[len(path)-1]
-				if m, ok := in.(map[string]any); ok {
-					m[last] = bad
+				if object, ok := in.(map[string]any); ok {
+					object[last] = bad
 				} else {
 					var n int
 					fmt.Sscan(last, &n)
@@ -69,9 +70,9 @@
 				}
 			})
 			where := strings.Join(path, ".")
-			_, alike := bad.(float64)
-			if number && (!alike && bad != nil || bad == -7.0) && err == nil {
-				t.Errorf("%s may be %v", where, bad)
+			_, sameKind := bad.(float64)
+			if number && (!sameKind && bad != nil || bad == -7.0) && err == nil {
+				t.Errorf("%s: %v was accepted", where, bad)
 			}
 			key := path[len(path)-1]
 			if key[0] <= '9' {
@@ -86,9 +87,9 @@
 	json.Unmarshal(text, &file)
 	walk(nil, any(file.Settings))
 	if tried < 200 {
-		t.Errorf("only %d values tried", tried)
+		t.Errorf("only %d values were tried", tried)
 	}
 	if err := read(func(s map[string]any) { s["Profiles"] = append(s["Profiles"].([]any)[:2], s["Profiles"].([]any)[0]) }); err == nil {
-		t.Error("two classes may have one name")
+		t.Error("two classes with one name were accepted")
 	}
 }
