--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// threeStores is a group of a primary and two replicas, heard from just now.
-func threeStores(t testing.TB, c Settings) *modelFront {
-	front := newModelFront(t, c)
+// threeStores returns a model front with one group of a primary and two replicas, whose positions have just
+// been reported.
+func threeStores(t testing.TB, settings Settings) *modelFront {
+	front := newModelFront(t, settings)
 	front.updateMembers(ListCached, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1},
 		Member{Store: 2, Group: 9, Zone: "a", Condition: Ready, Size: 1},
 		Member{Store: 3, Group: 9, Zone: "a", Condition: Ready, Size: 1})
@@ -19,7 +20,7 @@
 	return front
 }
 
-// report is a probe's report from a store.
+// report delivers a probe's result that reports a store's position and role.
 func (front *modelFront) report(store uint32, position Time, role Role) {
 	r := Result{Load: Report{Position: position, Role: role}}
 	front.updateStore(front.stores[store], r.Load, false)
@@ -27,20 +28,23 @@
 	front.balancer.ProbeDone(front.now, store, r)
 }
 
+// lastStore returns the store that the request's last attempt went to.
 func (front *modelFront) lastStore(t *testing.T, id string) uint32 {
 	t.Helper()
-	p := front.requests[id]
-	if len(p.attempts) == 0 {
-		t.Fatalf("%s is held", id)
+	tracked := front.requests[id]
+	if len(tracked.attempts) == 0 {
+		t.Fatalf("%s is still waiting", id)
 	}
-	return p.attempts[len(p.attempts)-1].store
+	return tracked.attempts[len(tracked.attempts)-1].store
 }
 
+// waiting reports whether the request has neither an attempt nor a final answer.
 func (front *modelFront) waiting(id string) bool {
-	p := front.requests[id]
-	return p.finals == 0 && len(p.attempts) == 0
+	tracked := front.requests[id]
+	return tracked.finals == 0 && len(tracked.attempts) == 0
 }
 
+// newRequest returns a request of the class that arrives with one second left and no earlier write.
 func newRequest(id, class string) Request {
 	return Request{ID: id, Class: class, Tenant: "c", Group: 9, Left: 10000, WriteAge: -1}
 }
@@ -49,7 +53,7 @@
 	front := threeStores(t, testSettings())
 	front.report(3, front.now-20, Replica)
 	if front.submit(newRequest("write", "once")); front.lastStore(t, "write") != 1 {
-		t.Error("writes go to the primary")
+		t.Error("a write did not go to the primary")
 	}
 	in := newRequest("fenced", "session")
 	in.WriteAge = 30
@@ -67,18 +71,20 @@
 	}
 }
 
-// The least busy rule alone sent all that idle fronts had to the same few members.
+// TestLoadSpreadsOverEqualReplicas guards against idle fronts that all choose the same few members, as they did
+// when they chose the least busy one without a random part.
 func TestLoadSpreadsOverEqualReplicas(t *testing.T) {
 	front := threeStores(t, testSettings())
 	for n := range 40 {
 		front.submit(newRequest(fmt.Sprint("least", n), "session"))
 	}
 	if m := front.balancer.members; m[1].inFlight < 5 || m[2].inFlight < 5 {
-		t.Errorf("reads without a fence went %d and %d times to the like replicas", m[1].inFlight, m[2].inFlight)
+		t.Errorf("reads without a fence went %d and %d times to two equal replicas", m[1].inFlight, m[2].inFlight)
 	}
 }
 
-// Fronts with few requests each knew only old positions, and all their reads spilled to the primary.
+// TestLikelyReplicaIsProbed guards against fronts with few requests that know only old positions and so send
+// all their reads to the primary.
 func TestLikelyReplicaIsProbed(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.now += 3100
@@ -93,9 +99,9 @@
 }
 
 func TestFenceRemembered(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.FencesCarried = false
+	front := threeStores(t, settings)
 	write := newRequest("w", "once")
 	write.Session = "s"
 	front.submit(write)
@@ -105,23 +111,24 @@
 	read.Session = "s"
 	front.submit(read)
 	if !front.waiting("r") {
-		t.Fatal("no replica has passed the fence, yet one was read")
+		t.Fatal("a replica was read though none has passed the fence")
 	}
 	front.report(2, front.now-10, Replica)
 	if got := front.lastStore(t, "r"); got != 2 {
 		t.Errorf("read went to %d, 2 has just passed the fence", got)
 	}
-	write.ID, read.ID = "w2", "r2" // its answer does not say where it lies
+	write.ID, read.ID = "w2", "r2" // the answer does not contain the write's position
 	front.submit(write)
 	front.advance(100)
 	front.report(2, front.now-10, Replica)
 	front.finish("w2", 0, Result{})
 	if front.submit(read); !front.waiting("r2") {
-		t.Error("a write whose position was not told is taken for none")
+		t.Error("a write without a reported position did not move the fence")
 	}
 }
 
-// A store that turns all away at once looked the least busy and drew every request.
+// TestFastRefusals guards against a store that rejects all requests at once: it looks the least busy and
+// attracted every request.
 func TestFastRefusals(t *testing.T) {
 	front := threeStores(t, testSettings())
 	drawn := 0
@@ -140,11 +147,12 @@
 		}
 	}
 	if drawn == 0 || drawn > 10 {
-		t.Errorf("the refusing store drew %d of 200 jobs", drawn)
+		t.Errorf("the refusing store was sent %d of 200 requests", drawn)
 	}
 }
 
-// A draining primary turned writes away as a replica while its reads still claimed the role.
+// TestDemotedPrimaryMustTakeAWrite guards against a draining primary that rejects writes as a replica does
+// while its answers to reads still claim the primary role.
 func TestDemotedPrimaryMustTakeAWrite(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.submit(newRequest("w1", "once"))
@@ -154,25 +162,26 @@
 	front.finish("r1", 0, Result{Note: Report{Position: front.now, Role: Primary}})
 	front.submit(newRequest("r2", "fresh"))
 	if !front.waiting("r2") {
-		t.Fatal("a fresh read relied on a denied role")
+		t.Fatal("a fresh read relied on a primary that had denied its role")
 	}
 	for range 8 {
 		front.advance(500)
 		front.report(1, front.now, Primary)
-		if p := front.requests["w1"]; len(p.attempts) > 1 {
+		if tracked := front.requests["w1"]; len(tracked.attempts) > 1 {
 			if !front.waiting("r2") {
-				t.Fatal("a fresh read went along with the write that was to prove the role")
+				t.Fatal("a fresh read was sent before the write that confirms the role was answered")
 			}
 			front.finish("w1", 1, Result{Note: Report{Position: front.now, Role: Primary}})
 			break
 		}
 	}
 	if front.waiting("r2") {
-		t.Error("the role was not believed after a write was taken")
+		t.Error("the role was not accepted after a write was served")
 	}
 }
 
-// A numbered request that may have run waited past the time for which its repeats are dropped.
+// TestKeyedWriteKeepsItsWindow guards against a keyed write that may have run and waits past the time for which
+// its repeats are dropped.
 func TestKeyedWriteKeepsItsWindow(t *testing.T) {
 	front := threeStores(t, testSettings())
 	in := newRequest("m", "marked")
@@ -184,11 +193,12 @@
 	front.advance(testSettings().Classes[5].Window)
 	front.report(2, front.now, Primary)
 	if front.requests["m"].finals != 1 {
-		t.Error("the job outlived its window")
+		t.Error("the request outlived its window")
 	}
 }
 
-// Attempts whose answers were lost filled a member's limit until their clients gave up, and counted as load.
+// TestLostAnswersAreNotLoad guards against attempts whose answers are lost: they filled a member's limit until
+// their clients gave up, and counted as load.
 func TestLostAnswersAreNotLoad(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.submit(newRequest("a", "marked"))
@@ -199,7 +209,7 @@
 	limit := front.balancer.members[0].limit
 	front.advance(second / 2)
 	if front.finish("a", 0, Result{Ending: TimedOut}); front.balancer.members[0].limit != limit {
-		t.Error("a trip that a later one overtook counted as load")
+		t.Error("an attempt that a later one overtook counted as load")
 	}
 	for n := range 40 {
 		in := newRequest(fmt.Sprint("w", n), "marked")
@@ -210,11 +220,12 @@
 	front.advance(second)
 	front.report(1, front.now, Primary)
 	if got := len(front.balancer.groups[0].waiting); first == 0 || got >= first {
-		t.Errorf("%d of %d writes are still held while none of the first comes back", got, first)
+		t.Errorf("%d of %d writes are still waiting while none of the first returns", got, first)
 	}
 }
 
-// A store that took no connection was always held for a cold one, though its log moved on meanwhile.
+// TestFewConnectionsAreNoRestart guards against treating a store that refuses connections as restarted,
+// although its log moved on meanwhile.
 func TestFewConnectionsAreNoRestart(t *testing.T) {
 	front := threeStores(t, testSettings())
 	member := &front.balancer.members[0]
@@ -230,9 +241,8 @@
 	}
 }
 
-// Lagging replicas sent all reads to the primary, however late it answered.
-// TestLostConnectionsAreNoRestart: a connection from before that still answers shows that the store lived on; that
-// it takes few connections is believed only if it refused more than one.
+// TestLostConnectionsAreNoRestart checks that an answer on a connection from before the failure shows that the
+// store did not restart. The store is taken to be short of connections only if it refused more than one.
 func TestLostConnectionsAreNoRestart(t *testing.T) {
 	for _, c := range []struct {
 		refused      int
@@ -255,12 +265,13 @@
 		}
 		front.balancer.ProbeDone(front.now, 1, Result{Load: Report{Position: front.now - 2000, Role: Primary}, Since: up})
 		if anew, scarce := member.startedAt > 0, front.balancer.connectionsScarceAt > 0; anew != c.anew || scarce != c.scarce {
-			t.Errorf("%+v: taken for a new start %v, for one with few connections %v", c, anew, scarce)
+			t.Errorf("%+v: taken to be restarted %v, to be short of connections %v", c, anew, scarce)
 		}
 	}
 }
 
-// TestFurtherTrips: two, and under overload none, but what broke off far sooner than an answer comes is free.
+// TestRepeatLimit checks that a request is repeated at most twice, and not at all under overload. Attempts that
+// break off far sooner than an answer could come do not count.
 func TestRepeatLimit(t *testing.T) {
 	for _, c := range []struct {
 		crowded  bool
@@ -271,23 +282,25 @@
 		if c.crowded {
 			front.balancer.recordOverload()
 		}
-		p := front.submit(newRequest("any", "any"))
-		for p.finals == 0 {
+		tracked := front.submit(newRequest("any", "any"))
+		for tracked.finals == 0 {
 			front.advance(c.took)
-			front.finish("any", len(p.attempts)-1, Result{Ending: ConnectionLost})
-			for p.finals == 0 && !p.attempts[len(p.attempts)-1].inFlight {
+			front.finish("any", len(tracked.attempts)-1, Result{Ending: ConnectionLost})
+			for tracked.finals == 0 && !tracked.attempts[len(tracked.attempts)-1].inFlight {
 				for i := range front.balancer.members {
 					front.balancer.members[i].backoffUntil, front.balancer.members[i].position = 0, front.now
 				}
 				front.balancer.dispatchWaiting(0)
 			}
 		}
-		if len(p.attempts) != c.attempts {
-			t.Errorf("%+v: %d trips", c, len(p.attempts))
+		if len(tracked.attempts) != c.attempts {
+			t.Errorf("%+v: %d attempts", c, len(tracked.attempts))
 		}
 	}
 }
 
+// TestReadsSpillByTheirOdds guards against lagging replicas that cause all reads to go to the primary, however
+// late it answers.
 func TestReadsSpillByTheirOdds(t *testing.T) {
 	front := threeStores(t, testSettings())
 	spilled := 0
@@ -306,32 +319,33 @@
 	}
 }
 
-// Hundreds of fronts with an attempt each pushed a cold store over; what all send together is held against the rule.
+// TestManyFrontsBeforeAColdStore guards against hundreds of fronts that overload a cold store with one attempt
+// each. It checks the sum over all fronts.
 func TestManyFrontsBeforeAColdStore(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 200
-	sent, warm := 0, Time(c.ColdOverloadSpan/2)
-	for k := range c.Fronts {
-		c.Seed = uint64(k)*7919 + 1
-		front := newModelFront(t, c)
+	settings := testSettings()
+	settings.Fronts = 200
+	sent, warm := 0, Time(settings.ColdOverloadSpan/2)
+	for k := range settings.Fronts {
+		settings.Seed = uint64(k)*7919 + 1
+		front := newModelFront(t, settings)
 		front.updateMembers(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: front.now})
 		for n := range 3 {
 			front.submit(newRequest(fmt.Sprint("w", n), "once"))
 			front.advance(warm / 3)
 		}
-		sent += len(front.stores[1].sends)
+		sent += len(front.stores[1].sentAt)
 	}
 	if sent == 0 || sent > 16 {
-		t.Errorf("200 fronts with three held writes each sent a cold store %d in half a span", sent)
+		t.Errorf("200 fronts with three waiting writes each sent a cold store %d attempts in half a span", sent)
 	}
 }
 
-// TestWonChanceOutlastsAProbe: a read that asked a cold store for its position had to win its chance there again once
-// the answer came, for the beat in between cut it back to what is saved up in half a span.
+// TestWonBudgetOutlastsAProbe guards against a read that probes a cold store and then has to win the random
+// draw for it a second time, because the tick in between has cut the budget back to what half a span adds.
 func TestWonBudgetOutlastsAProbe(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 200
-	front := newModelFront(t, c)
+	settings := testSettings()
+	settings.Fronts = 200
+	front := newModelFront(t, settings)
 	front.updateMembers(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: front.now})
 	member, class := &front.balancer.members[0], &front.balancer.classes[0]
 	for k := 0; k < 1<<16 && !front.balancer.hasCapacity(member, class); k++ {
@@ -339,41 +353,43 @@
 	}
 	front.advance(front.balancer.shortestExpected / 10)
 	if !front.balancer.hasCapacity(member, class) || member.coldBudget < class.typicalTime {
-		t.Errorf("of a chance of %.0f that was won %.0f are left when the answer comes", class.typicalTime, member.coldBudget)
+		t.Errorf("of a budget of %.0f that was won, %.0f is left when the answer comes", class.typicalTime, member.coldBudget)
 	}
 	front.advance(2 * front.balancer.shortestExpected)
 	if most := class.typicalTime / 2; member.coldBudget > most {
-		t.Errorf("it stands for good: %.0f", member.coldBudget)
+		t.Errorf("the won budget does not expire: %.0f", member.coldBudget)
 	}
 }
 
-// An attempt from each of many fronts crowds a store, so under a limit of one a front rests; good answers end that.
+// TestFrontsPauseBelowLimitOfOne checks that fronts pause between attempts while their limit is below one, as
+// an attempt from each of many fronts overloads a store, and that good answers end this.
 func TestFrontsPauseBelowLimitOfOne(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 240
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.Fronts = 240
+	front := threeStores(t, settings)
 	for n := range 10 {
 		front.submit(newRequest(fmt.Sprint("w", n), "once"))
 	}
-	if n := len(front.stores[1].sends); n == 0 || n > 2 {
-		t.Errorf("%d of 10 writes went at once", n)
+	if n := len(front.stores[1].sentAt); n == 0 || n > 2 {
+		t.Errorf("%d of 10 writes were sent at once", n)
 	}
 	for range 40 {
 		front.submit(newRequest(fmt.Sprint("w", front.now), "once"))
 		front.advance(second / 10)
 		for _, id := range front.order {
-			if p := front.requests[id]; len(p.attempts) > 0 && p.attempts[0].inFlight {
+			if tracked := front.requests[id]; len(tracked.attempts) > 0 && tracked.attempts[0].inFlight {
 				front.finish(id, 0, Result{Note: Report{Position: front.now, Role: Primary}})
 			}
 		}
 		front.report(1, front.now, Primary)
 	}
-	if n := len(front.stores[1].sends); n < 40 {
-		t.Errorf("%d of 50 writes went after good answers", n)
+	if n := len(front.stores[1].sentAt); n < 40 {
+		t.Errorf("%d of 50 writes were sent after good answers", n)
 	}
 }
 
-// A last try has all the time that is left, more than a first one; first tries were then refused on arrival.
+// TestFirstTriesAreNotTakenForRetries guards against first tries that are refused on arrival. A client's last
+// try has all the time that is left, which is more than a first one has.
 func TestFirstTriesAreNotTakenForRetries(t *testing.T) {
 	front := threeStores(t, testSettings())
 	for n := range 20 {
@@ -383,30 +399,32 @@
 		}
 		front.submit(in)
 		if req := front.balancer.requests[front.balancer.requestOf[in.ID]]; (n%5 == 4) != (req.expectedBy < req.arrivedAt) {
-			t.Errorf("job %d with %d left is wanted %d after it came", n, in.Left, req.expectedBy-req.arrivedAt)
+			t.Errorf("request %d with %d left is expected %d after it arrived", n, in.Left, req.expectedBy-req.arrivedAt)
 		}
 	}
 }
 
-// All stores were listed as gone while they served; a drain that was told binds all the same.
+// TestListThatReportsAllStoresGone guards against a list that reports all stores as gone while they serve. A
+// drain that was reported has to bind all the same.
 func TestListThatReportsAllStoresGone(t *testing.T) {
-	c := testSettings()
-	c.OnlyDrainingBinds = true
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.OnlyDrainingBinds = true
+	front := threeStores(t, settings)
 	front.updateMembers(ListChanges, Member{Store: 3, Group: 9, Condition: Draining, Size: 1})
 	front.updateMembers(ListFull, Member{Store: 1, Group: 9, Size: 1}, Member{Store: 2, Group: 9, Size: 1}, Member{Store: 3, Group: 9})
 	front.submit(newRequest("r0", "any"))
 	if front.lastStore(t, "r0") == 3 || front.balancer.members[0].accepting == front.balancer.members[2].accepting {
-		t.Error("stores called gone ought to serve, the drained one ought not")
+		t.Error("stores reported gone must serve, and the drained one must not")
 	}
 }
 
-// TestStoresReplacedForGood: one gone for a cold time leaves no trace, and the new one has nothing of it.
+// TestStoresReplacedForGood checks that a store that has been gone for the warm-up time leaves no state, and
+// that the new store in its slot inherits none.
 func TestStoresReplacedForGood(t *testing.T) {
 	for _, onlyDrains := range []bool{false, true} {
-		c := testSettings()
-		c.OnlyDrainingBinds = onlyDrains
-		front := newModelFront(t, c)
+		settings := testSettings()
+		settings.OnlyDrainingBinds = onlyDrains
+		front := newModelFront(t, settings)
 		last := Member{}
 		for n := range uint32(60) {
 			m := Member{Store: n, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1}
@@ -415,7 +433,7 @@
 				front.updateMembers(ListChanges, last)
 			}
 			last = m
-			front.advance(c.WarmupTime / 2)
+			front.advance(settings.WarmupTime / 2)
 		}
 		if len(front.balancer.members) > 6 || len(front.balancer.memberOf) > 6 || len(front.balancer.groups[0].members) > 6 {
 			t.Errorf("%d members, %d known, %d in the group", len(front.balancer.members), len(front.balancer.memberOf), len(front.balancer.groups[0].members))
@@ -431,20 +449,21 @@
 	front := threeStores(t, testSettings())
 	front.advance(20 * second)
 	if n := len(front.probes); n > 3 {
-		t.Errorf("%d probes in 20 s without a job", n)
+		t.Errorf("%d probes in 20 s without a request", n)
 	}
 	front.balancer.ProbeDone(front.now, 2, Result{Load: Report{front.now + second, Replica}})
 	if front.balancer.members[1].position > front.now {
-		t.Error("a position from a time to come was believed")
+		t.Error("a position from the future was accepted")
 	}
 }
 
-// TestSearchForAPrimaryKeepsToWhatWaits: three hundred fronts that each held one write asked every member of its group
-// every half beat and then ever more seldom, at a cost far above that write's credit.
+// TestPrimarySearchIsBoundedByWaitingCredit guards against a search that costs more than the waiting requests
+// earn: three hundred fronts with one waiting write each probed every member of its group every half tick, and
+// later less and less often, at a cost far above that write's credit.
 func TestPrimarySearchIsBoundedByWaitingCredit(t *testing.T) {
-	c := testSettings()
-	c.ProbePrice = 0.08
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.ProbePrice = 0.08
+	front := threeStores(t, settings)
 	front.submit(newRequest("w", "once"))
 	front.finish("w", 0, Result{Ending: NotEligible, Note: Report{Position: front.now, Role: Replica}})
 	front.probes = nil
@@ -455,8 +474,8 @@
 		}
 	}
 	credit, mean := 4.0, (1+2+1+1+4+4)/6.0
-	if most := 1 + int(searchBudget*credit/mean/c.ProbePrice); len(front.probes) > most || len(front.probes) == 0 {
-		t.Errorf("%d probes for one write that waits, %d are paid for", len(front.probes), most)
+	if most := 1 + int(searchBudget*credit/mean/settings.ProbePrice); len(front.probes) > most || len(front.probes) == 0 {
+		t.Errorf("%d probes for one waiting write, its credit pays for %d", len(front.probes), most)
 	}
 }
 
@@ -467,7 +486,7 @@
 	}
 	front.submit(newRequest("a", "any"))
 	if front.waiting("a") {
-		t.Error("a front that could not ask takes its stores for silent")
+		t.Error("a front that could not send its probes suspects its stores")
 	}
 	for _, store := range front.storeIDs {
 		front.balancer.ProbeDone(front.now, store, Result{Ending: TimedOut})
@@ -479,33 +498,33 @@
 }
 
 func TestWatchIsRenewed(t *testing.T) {
-	c := testSettings()
-	c.ListPushed = false
-	front := threeStores(t, c)
-	front.advance(c.ListInterval / 8)
+	settings := testSettings()
+	settings.ListPushed = false
+	front := threeStores(t, settings)
+	front.advance(settings.ListInterval / 8)
 	front.balancer.UpdateMembers(front.now, ListFailed, nil)
-	front.advance(c.ListInterval / 4)
+	front.advance(settings.ListInterval / 4)
 	if front.listCalls != 2 {
-		t.Errorf("%d calls after one failed", front.listCalls)
+		t.Errorf("%d calls for the list after one failed", front.listCalls)
 	}
 	front.updateMembers(ListFull, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1})
 	before := front.listCalls
 	front.balancer.UpdateMembers(front.now, ListFailed, nil)
-	if front.advance(c.ListInterval / 100); front.listCalls != before+1 { // a tenth of a second here
-		t.Error("the first call after a watch broke does not follow at once")
+	if front.advance(settings.ListInterval / 100); front.listCalls != before+1 { // 0.1 s with these settings
+		t.Error("the first call after a broken watch does not follow at once")
 	}
 	for range 3 {
 		front.balancer.UpdateMembers(front.now, ListFailed, nil)
 	}
-	if front.advance(c.ListInterval / 32); front.listCalls != before+1 {
-		t.Error("calls that fail are not spaced")
+	if front.advance(settings.ListInterval / 32); front.listCalls != before+1 {
+		t.Error("failed calls are not spaced out")
 	}
 }
 
 func TestSettingsRefused(t *testing.T) {
-	c := testSettings()
-	c.Classes[1].Bound = -1
-	if _, err := New(0, c, &modelFront{t: t}); err == nil || !strings.Contains(err.Error(), "bounded") {
+	settings := testSettings()
+	settings.Classes[1].Bound = -1
+	if _, err := New(0, settings, &modelFront{t: t}); err == nil || !strings.Contains(err.Error(), "bounded") {
 		t.Errorf("negative bound: %v", err)
 	}
 }
@@ -523,11 +542,11 @@
 		}
 		front.balancer.AttemptDone(front.now, "j", 0, f.store, note)
 	}); n != 0 {
-		t.Errorf("a job in, a trip out and an answer in allocate %v times", n)
+		t.Errorf("a request, an attempt and its answer allocate %v times", n)
 	}
 }
 
-// lastSendFront is a front that only remembers where the last attempt went.
+// lastSendFront is a Front that only remembers the store of the last attempt.
 type lastSendFront struct {
 	*modelFront
 	store uint32
@@ -535,13 +554,14 @@
 
 func (s *lastSendFront) Send(id string, store uint32, until, _ Time) { s.store = store }
 
-// runScenario plays a generated day and returns what was done.
+// runScenario plays random events, with settings by the bits of shape, and returns the log of events and
+// actions.
 func runScenario(t testing.TB, seed uint64, shape uint8) []string {
 	r := rand.New(rand.NewPCG(seed, uint64(shape)))
-	c := testSettings()
-	c.FencesCarried, c.ListPushed, c.StoresCheckReads, c.OnlyDrainingBinds = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
-	c.Fronts, c.Seed = 1+int(shape&16)*6, seed
-	front := newModelFront(t, c)
+	settings := testSettings()
+	settings.FencesCarried, settings.ListPushed, settings.StoresCheckReads, settings.OnlyDrainingBinds = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
+	settings.Fronts, settings.Seed = 1+int(shape&16)*6, seed
+	front := newModelFront(t, settings)
 	conditions := []Condition{Ready, Ready, Ready, Ready, Ready, Ready, Ready, Draining, Gone}
 	base := 100
 	member := func(i int) Member {
@@ -582,7 +602,7 @@
 					ending = Ending(r.IntN(int(Cancelled) + 1))
 				}
 				back := Result{Ending: ending}
-				if ending <= Overloaded || ending == Failed { // only a store's own answer bears a note
+				if ending <= Overloaded || ending == Failed { // only an answer of the store itself has a Note
 					back.Note = report()
 				}
 				front.finish(id, i, back)
@@ -593,20 +613,20 @@
 		case k < 15 && len(front.storeIDs) > 0:
 			front.report(front.storeIDs[r.IntN(len(front.storeIDs))], front.now-Time(r.IntN(4000)), Role(r.IntN(3)))
 		case k == 15 && r.IntN(4) == 0:
-			base += r.IntN(4) / 3 * 2 // some are replaced for good
+			base += r.IntN(4) / 3 * 2 // some stores are replaced for good
 			whole(ListFull)
 		case k == 15:
 			front.updateMembers(ListChanges, member(r.IntN(9)))
 		case k == 16 && len(front.order) > 0:
-			if p := front.requests[front.order[r.IntN(len(front.order))]]; p.finals == 0 {
-				p.finals = 1
-				front.balancer.ClientGone(front.now, p.request.ID)
+			if tracked := front.requests[front.order[r.IntN(len(front.order))]]; tracked.finals == 0 {
+				tracked.finals = 1
+				front.balancer.ClientGone(front.now, tracked.request.ID)
 			}
 		case k == 17 && shape&128 != 0 && r.IntN(3) == 0:
 			front.configure(otherSettings(front.settings, r))
 		case k == 17 && r.IntN(10) == 0:
 			front.advance(Time(r.IntN(60000)))
-		case k == 18 && len(front.storeIDs) > 0 && shape&32 == 0: // what peers say, true or not
+		case k == 18 && len(front.storeIDs) > 0 && shape&32 == 0: // positions reported by peers, true or not
 			front.balancer.PeerPosition(front.now, front.storeIDs[r.IntN(len(front.storeIDs))], front.now-Time(r.IntN(2000)))
 		case k == 18:
 			front.balancer.UpdateMembers(front.now, ListFailed, nil)
@@ -618,8 +638,9 @@
 	return front.log
 }
 
-// TestBudgetGrowsWhileAChanceStands: a chance that is won at a cold member must not stop what it is given anyway. Where few fronts send
-// much, it would get next to nothing for as long as it is taken to be cold.
+// TestColdBudgetGrowsAfterAWin checks that a cold member's budget keeps growing after a random draw was won.
+// Without this, where few fronts send much, the member would get next to nothing for as long as it counts as
+// cold.
 func TestColdBudgetGrowsAfterAWin(t *testing.T) {
 	front := threeStores(t, testSettings())
 	member := &front.balancer.members[2]
@@ -627,7 +648,7 @@
 	member.coldBudget, member.budgetWonAt = 100, front.now
 	front.advance(2 * front.balancer.tickInterval)
 	if member.coldBudget < 1000 {
-		t.Errorf("a budget of 100 is %.0f after two beats", member.coldBudget)
+		t.Errorf("a budget of 100 is %.0f after two ticks", member.coldBudget)
 	}
 	member.coldBudget, member.budgetWonAt = 1e9, front.now
 	if front.advance(front.balancer.shortestExpected); member.coldBudget > 1e8 {
@@ -635,17 +656,18 @@
 	}
 }
 
-// TestPeersVouch: a read goes to a replica that a peer says has passed its need, and its answer has to show that. One that
-// does not ends the trust for a cold time.
+// TestPeerPositions checks that a read goes to a replica that has passed the required position according to a
+// peer, and that its answer has to prove this. An answer that does not ends the trust in peers for the warm-up
+// time.
 func TestPeerPositions(t *testing.T) {
-	c := testSettings()
-	c.MayProbe = false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.MayProbe = false
+	front := threeStores(t, settings)
 	front.advance(40000)
 	front.report(1, front.now, Primary)
 	last := func(id string) *modelAttempt { n := front.requests[id].attempts; return n[len(n)-1] }
 	if front.submit(newRequest("a", "bounded")); front.lastStore(t, "a") != 1 {
-		t.Errorf("a read went to store %d, which nobody vouches for", front.lastStore(t, "a"))
+		t.Errorf("a read went to store %d, for which no peer reported a position", front.lastStore(t, "a"))
 	}
 	front.finish("a", 0, Result{Ending: Served, Note: Report{front.now, Primary}})
 	front.balancer.PeerPosition(front.now, 2, front.now)
@@ -654,18 +676,18 @@
 	}
 	front.finish("b", 0, Result{Ending: Served, Note: Report{front.now - 30000, Replica}})
 	if front.lastStore(t, "b") != 1 || front.requests["b"].finals != 0 {
-		t.Errorf("after a stale answer it went to store %d", front.lastStore(t, "b"))
+		t.Errorf("after a stale answer the read went to store %d", front.lastStore(t, "b"))
 	}
 	front.balancer.PeerPosition(front.now, 2, front.now)
 	if front.submit(newRequest("c", "bounded")); front.lastStore(t, "c") != 1 {
-		t.Error("one that lied is believed")
+		t.Error("a position is trusted from peers that reported a wrong one")
 	}
 }
 
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(32) {
 		f.Add(seed, uint8(seed))
-		f.Add(seed, uint8(seed)|128) // with changes of the settings
+		f.Add(seed, uint8(seed)|128) // with changes of the settings during the run
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, shape uint8) { runScenario(t, seed, shape) })
 }
@@ -673,11 +695,11 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, b := runScenario(t, 5, 0), runScenario(t, 5, 0)
 	if strings.Join(a, "\n") != strings.Join(b, "\n") {
-		t.Error("the same events gave other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
-// TestOlderList: a list that has gone back was told before a drain, and would have opened the store again.
+// TestStaleList guards against a list that is older than a drain and would open the drained store again.
 func TestStaleList(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.updateMembers(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
@@ -686,47 +708,47 @@
 	front.balancer.UpdateMembers(front.now, ListStale, append([]Member(nil), old...))
 	for _, store := range []uint32{1, 2, 3, 4} {
 		if open := front.balancer.members[front.balancer.memberOf[store]].accepting; open != (store == 1 || store == 4) {
-			t.Errorf("store %d: open %v", store, open)
+			t.Errorf("store %d: accepting %v", store, open)
 		}
 	}
-	old[1].Started = front.now // it drained, ended and has started anew
+	old[1].Started = front.now // it drained, stopped and has been restarted
 	front.balancer.UpdateMembers(front.now, ListStale, append([]Member(nil), old...))
 	if !front.balancer.members[front.balancer.memberOf[2]].accepting {
-		t.Error("a store that has started since stays shut")
+		t.Error("a store that has restarted since is not accepted")
 	}
 	front.updateMembers(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
 	front.updateMembers(ListFull, old...)
 	if !front.balancer.members[front.balancer.memberOf[2]].accepting {
-		t.Error("a list that is not older does not open a store")
+		t.Error("a list that is not stale does not open a store")
 	}
 }
 
-// TestDiscoveryIsAskedInTime: a front that may go without a list for long still has to know what discovery has had for six
-// seconds, however many calls failed before.
+// TestListIsRequestedInTime checks that a front that may go without a list for long still learns within six
+// seconds what discovery has, however many calls failed before.
 func TestListIsRequestedInTime(t *testing.T) {
 	for _, within := range []Time{20000, 100000, 3000000} {
-		c := testSettings()
-		c.ListInterval = within
-		front := threeStores(t, c)
+		settings := testSettings()
+		settings.ListInterval = within
+		front := threeStores(t, settings)
 		for n := range 40 {
 			asked, at := front.listCalls, front.now
 			for front.balancer.UpdateMembers(front.now, ListFailed, nil); front.listCalls == asked && front.now < at+discoveryDeadline; {
 				front.advance(10)
 			}
 			if gap := front.now - at; gap > discoveryDeadline/2+200 || n > 9 && gap < min(within/16, discoveryDeadline/8) {
-				t.Errorf("asked again %d after failure %d, where %d is allowed", gap, n, within)
+				t.Errorf("list requested %d after failure %d, with an interval of %d", gap, n, within)
 			}
 		}
 	}
 }
 
-// TestAgentIsAskedWithinTheGrace: a front with an agent of its own asks it anew well inside the grace of a drain, from its
-// start and from each failure on, for as long as there is no list, and no more once there is one.
+// TestAgentIsPolledWithinTheGrace checks that a front with its own agent calls it well within the grace period
+// of a drain, from its start and after each failure, for as long as it has no list, and not after that.
 func TestAgentIsPolledWithinTheGrace(t *testing.T) {
 	for _, grace := range []Time{2500, 5000, 20000} {
-		c := testSettings()
-		c.ListInterval, c.AgentGrace, c.ListPushed = 100000, grace, true
-		front := threeStores(t, c)
+		settings := testSettings()
+		settings.ListInterval, settings.AgentGrace, settings.ListPushed = 100000, grace, true
+		front := threeStores(t, settings)
 		asked, last := front.listCalls, front.now
 		for n := range 3000 {
 			if n == 1000 || n == 1010 || n == 1020 {
@@ -741,13 +763,13 @@
 		}
 		front.balancer.UpdateMembers(front.now, ListFull, nil)
 		if front.advance(100000); front.listCalls != asked {
-			t.Errorf("grace %d: %d calls while a watch stands", grace, front.listCalls-asked)
+			t.Errorf("grace %d: %d calls while there is a watch", grace, front.listCalls-asked)
 		}
 	}
 }
 
-// TestRepeatInsideItsWindow: a repeat of what may have run is sent only while the way there, as long as such an attempt takes in
-// all, ends inside the window, and it may wait for a connection no longer than that.
+// TestRepeatInsideItsWindow checks that a request that may have run is repeated only if the time of a typical
+// attempt still fits into its window, and that the repeat waits for a connection no longer than that.
 func TestRepeatInsideItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after Time
@@ -757,15 +779,16 @@
 		front.submit(newRequest("m", "marked"))
 		front.advance(c.after)
 		front.finish("m", 0, Result{Ending: ConnectionLost})
-		front.advance(210) // the store is shunned for a moment
-		if p := front.requests["m"]; len(p.attempts) > 1 != c.again || !c.again && p.finals == 0 {
-			t.Errorf("after %d: %d trips, final %d", c.after, len(p.attempts), p.finals)
+		front.advance(210) // the store is avoided for a moment
+		if tracked := front.requests["m"]; len(tracked.attempts) > 1 != c.again || !c.again && tracked.finals == 0 {
+			t.Errorf("after %d: %d attempts, final %d", c.after, len(tracked.attempts), tracked.finals)
 		}
 	}
 }
 
-// TestReadThatWaitedTooLong: a read whose connection came up after what is known of its replica had grown too old is not
-// sent there, but placed anew: where something newer has been heard, or at the primary.
+// TestReadDelayedPastItsBound checks that a read is not sent if its replica's known position became too old
+// while it waited for a connection. It is placed again: where a newer position has been reported, or at the
+// primary.
 func TestReadDelayedPastItsBound(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.submit(newRequest("r", "bounded"))
@@ -773,43 +796,44 @@
 	front.advance(2960)
 	front.report(1, front.now, Primary)
 	front.finish("r", 0, Result{Ending: NotSent})
-	if p := front.requests["r"]; p.finals != 0 || first == 1 || !front.waiting("r") && len(p.attempts) > 1 && front.lastStore(t, "r") == first {
-		t.Errorf("first to %d, then final %d, trips %d", first, p.finals, len(p.attempts))
+	if tracked := front.requests["r"]; tracked.finals != 0 || first == 1 || !front.waiting("r") && len(tracked.attempts) > 1 && front.lastStore(t, "r") == first {
+		t.Errorf("first store %d, then final %d, attempts %d", first, tracked.finals, len(tracked.attempts))
 	}
 }
 
-// TestFenceMovesWhileAReadWaits: where the front remembers fences, a write of the session that is answered while a read is
-// held, or waits for its connection, counts for the read as well.
+// TestFenceMovesWhileAReadWaits checks that, where the front remembers fences, a write of the session that is
+// answered while a read is queued or waits for its connection counts for the read too.
 func TestFenceMovesWhileAReadWaits(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.FencesCarried = false
+	front := threeStores(t, settings)
 	write, read := newRequest("w", "once"), newRequest("r", "session")
 	write.Session, read.Session = "s", "s"
 	front.submit(write)
 	front.submit(read)
 	if at := front.lastStore(t, "r"); at == 1 || !front.balancer.MaySend(front.now, "r") {
-		t.Fatalf("it went to %d", at)
+		t.Fatalf("the read went to %d", at)
 	}
 	front.advance(100)
 	front.finish("w", 0, Result{Note: Report{Position: front.now, Role: Primary}})
 	if front.balancer.MaySend(front.now, "r") {
-		t.Error("a read may set out to a replica that is not known to have its session's write")
+		t.Error("a read may be sent to a replica that is not known to have its session's write")
 	}
 	front.finish("r", 0, Result{Ending: NotSent})
 	front.report(2, front.now+1, Replica)
 	if front.advance(300); front.lastStore(t, "r") == 3 {
-		t.Errorf("it went to %d, where nobody knows of the write", front.lastStore(t, "r"))
+		t.Errorf("it went to %d, which is not known to have the write", front.lastStore(t, "r"))
 	}
 }
 
-// TestWrittenInPart: a write's answer that stops short, or that comes when its client has gone, moves the fence of its session.
+// TestPartialWriteAnswerMovesFence checks that a write's answer that stops short, or arrives after its client
+// has gone, moves the fence of its session.
 func TestPartialWriteAnswerMovesFence(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
+	settings := testSettings()
+	settings.FencesCarried = false
 	for _, position := range []Time{0, 1000090} {
 		for _, left := range []bool{false, true} {
-			front := threeStores(t, c)
+			front := threeStores(t, settings)
 			write, read := newRequest("w", "once"), newRequest("r", "session")
 			write.Session, read.Session = "s", "s"
 			front.submit(write)
@@ -817,7 +841,7 @@
 			if left {
 				front.balancer.ClientGone(front.now, "w")
 			}
-			if front.balancer.RecordWrite(front.now, "w", position); !left && position == 0 { // or all of it is lost
+			if front.balancer.RecordWrite(front.now, "w", position); !left && position == 0 { // or the whole answer is lost
 				front.balancer.fences[front.balancer.requests[front.balancer.requestOf["w"]].fenceSlot] = 0
 				front.finish("w", 0, Result{Ending: ConnectionLost})
 			}
@@ -830,12 +854,13 @@
 	}
 }
 
-// TestReadWhileAWriteIsOut: the answer of a session's write that is out may have been written and lost. A read of the session
-// goes where a write of a moment ago is, which once its answer could have come is the primary or a replica that keeps up.
+// TestReadDuringUnansweredWrite checks reads of a session with a write in flight, whose answer may have been
+// sent and lost. Such a read goes to a store that has the writes of a moment ago. Once the answer could have
+// come, that is the primary or a replica that keeps up.
 func TestReadDuringUnansweredWrite(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried, c.MayProbe = false, false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.FencesCarried, settings.MayProbe = false, false
+	front := threeStores(t, settings)
 	write := newRequest("w", "once")
 	write.Session = "s"
 	front.submit(write)
@@ -855,20 +880,20 @@
 	}
 	front.report(2, front.now-500, Replica)
 	if at := read("k", "s"); at != 2 {
-		t.Errorf("a read went to %d, where 2 keeps up", at)
+		t.Errorf("a read went to %d, though 2 keeps up", at)
 	}
 	front.finish("w", 0, Result{Ending: ConnectFailed})
 	if n := front.balancer.openWrites[front.balancer.requests[front.balancer.requestOf["r"]].fenceSlot]; n != 0 {
-		t.Errorf("%d writes are out", n)
+		t.Errorf("%d writes are in flight", n)
 	}
 }
 
-// TestCarriedBesideRemembered: where the front remembers fences, a read that comes without a session but says how old its
-// last write is (a bookmark, say) goes by that.
+// TestCarriedFenceWithoutSession checks that, where the front remembers fences, a read without a session that
+// tells the age of its last write (by a bookmark, say) is handled by that.
 func TestCarriedFenceWithoutSession(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried, c.MayProbe = false, false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.FencesCarried, settings.MayProbe = false, false
+	front := threeStores(t, settings)
 	in := newRequest("r", "session")
 	in.WriteAge = 10
 	if front.submit(in); front.lastStore(t, "r") != 1 {
--- a/balance/configure_test.go
+++ b/balance/configure_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// configure puts other settings in force, in the module and in the model.
-func (front *modelFront) configure(c Settings) {
+// configure replaces the settings of the balancer and of the model.
+func (front *modelFront) configure(settings Settings) {
 	front.t.Helper()
-	front.record("configure %+v", c.Classes)
-	if err := front.balancer.Configure(front.now, c); err != nil {
+	front.record("configure %+v", settings.Classes)
+	if err := front.balancer.Configure(front.now, settings); err != nil {
 		front.t.Fatal(err)
 	}
-	front.settings = c
+	front.settings = settings
 }
 
-// otherSettings draws settings that differ from some in what operators change while fronts run: what classes there are and
-// what each asks for, tenants, attempts and the number of fronts.
-func otherSettings(c Settings, r *rand.Rand) Settings {
+// otherSettings returns settings that differ at random in what operators change while fronts run: which classes
+// there are and what each requires, tenants, the number of attempts and the number of fronts.
+func otherSettings(settings Settings, r *rand.Rand) Settings {
 	whole := testSettings().Classes
-	c.Classes = nil
+	settings.Classes = nil
 	for _, class := range whole {
 		if r.IntN(6) == 0 {
-			continue // it is taken out
+			continue // the class is removed
 		}
 		class.Bound = class.Bound * Time(1+r.IntN(4)) / 2
 		class.Window = class.Window * Time(1+r.IntN(4)) / 2
@@ -33,31 +33,32 @@
 		if class.Need == Write {
 			class.Repeat = []Repeat{AtMostOnce, Keyed}[r.IntN(2)]
 		}
-		c.Classes = append(c.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	if len(c.Classes) == 0 {
-		c.Classes = whole[:1]
+	if len(settings.Classes) == 0 {
+		settings.Classes = whole[:1]
 	}
-	r.Shuffle(len(c.Classes), func(i, k int) { c.Classes[i], c.Classes[k] = c.Classes[k], c.Classes[i] })
-	c.Tenants = []Tenant{{Name: "c", Quota: float64(r.IntN(900))}, {Name: "d", Quota: 10}}[:1+r.IntN(2)]
-	c.MaxAttempts = 2 + r.IntN(6)
-	c.Fronts = 1 + r.IntN(800)
-	return c
+	r.Shuffle(len(settings.Classes), func(i, k int) { settings.Classes[i], settings.Classes[k] = settings.Classes[k], settings.Classes[i] })
+	settings.Tenants = []Tenant{{Name: "c", Quota: float64(r.IntN(900))}, {Name: "d", Quota: 10}}[:1+r.IntN(2)]
+	settings.MaxAttempts = 2 + r.IntN(6)
+	settings.Fronts = 1 + r.IntN(800)
+	return settings
 }
 
-// changed gives settings in which one class is another, by its name.
-func changed(c Settings, name string, change func(class *Class)) Settings {
-	c.Classes = slices.Clone(c.Classes)
-	for i := range c.Classes {
-		if c.Classes[i].Name == name {
-			change(&c.Classes[i])
+// changed returns settings in which the named class is changed.
+func changed(settings Settings, name string, change func(class *Class)) Settings {
+	settings.Classes = slices.Clone(settings.Classes)
+	for i := range settings.Classes {
+		if settings.Classes[i].Name == name {
+			change(&settings.Classes[i])
 		}
 	}
-	return c
+	return settings
 }
 
-// TestWriteInHandKeepsItsRepeat: settings come into force that allow repeats of a class while a write of it is out, and its
-// answer is lost. It came as at-most-once and has one attempt; one that comes later may be repeated.
+// TestPendingWriteKeepsItsRepeat changes a class from at-most-once to repeatable while a write of it is in
+// flight, and that write's answer is lost. The write keeps its single attempt; one that arrives later may be
+// repeated.
 func TestPendingWriteKeepsItsRepeat(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.submit(newRequest("before", "once"))
@@ -68,40 +69,41 @@
 	}
 	front.advance(2 * second)
 	if before, behind := len(front.requests["before"].attempts), len(front.requests["behind"].attempts); before != 1 || behind < 2 {
-		t.Errorf("%d attempts of the write that came before, %d of the one behind", before, behind)
+		t.Errorf("%d attempts of the write before the change, %d of the one after", before, behind)
 	}
 	if front.requests["before"].finals != 1 {
-		t.Error("the write that came before has no final answer")
+		t.Error("the write before the change has no final answer")
 	}
 }
 
-// TestClassTakenOutWithAWriteInHand: a class is taken out while a write of it is out. The write is answered, the reads of its
-// session see it, and no further request of that class is taken.
+// TestClassRemovedDuringAWrite removes a class while a write of it is in flight. The write is answered, the
+// reads of its session see it, and no further request of that class is accepted.
 func TestClassRemovedDuringAWrite(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
-	front := threeStores(t, c)
+	settings := testSettings()
+	settings.FencesCarried = false
+	front := threeStores(t, settings)
 	write := newRequest("w", "once")
 	write.Session = "s"
 	front.submit(write)
 	without := front.settings
-	without.Classes = slices.DeleteFunc(slices.Clone(c.Classes), func(class Class) bool { return class.Name == "once" })
+	without.Classes = slices.DeleteFunc(slices.Clone(settings.Classes), func(class Class) bool { return class.Name == "once" })
 	front.configure(without)
 	front.advance(100)
 	front.finish("w", 0, Result{Ending: Served, Note: Report{Position: front.now, Role: Primary}})
 	read := newRequest("r", "session")
 	read.Session = "s"
 	front.submit(read)
-	front.advance(1000) // it may ask a replica first
+	front.advance(1000) // it may probe a replica first
 	if store := front.lastStore(t, "r"); store != 1 {
-		t.Errorf("a read behind the write went to store %d, which has not shown it", store)
+		t.Errorf("a read after the write went to store %d, which has not shown it", store)
 	}
 	if err := front.balancer.Submit(front.now, newRequest("late", "once")); err == nil {
-		t.Error("a class that was taken out is taken")
+		t.Error("a request of a removed class was accepted")
 	}
 }
 
-// TestFaultySettingsChangeNothing: settings out of range are refused, and those before stay in force as a whole.
+// TestFaultySettingsChangeNothing checks that settings out of range are refused and the previous ones stay in
+// force as a whole.
 func TestFaultySettingsChangeNothing(t *testing.T) {
 	front := threeStores(t, testSettings())
 	before := *front.balancer
@@ -112,7 +114,7 @@
 	} {
 		faulty.WarmupTime, faulty.MaxAttempts = 5, 1
 		if err := front.balancer.Configure(front.now+50, faulty); err == nil {
-			t.Error("faulty settings are taken")
+			t.Error("faulty settings were accepted")
 		}
 	}
 	after := front.balancer
@@ -124,8 +126,8 @@
 	front.lastStore(t, "w")
 }
 
-// TestClassPlacesAreGivenBack: what is kept of classes is bounded by those in force and those that requests in hand came
-// under, however often settings change.
+// TestClassSlotsAreReused checks that, however often settings change, only classes in force and those of
+// requests at hand take up slots.
 func TestClassSlotsAreReused(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.submit(newRequest("long", "once"))
@@ -133,11 +135,12 @@
 		front.configure(changed(front.settings, "any", func(class *Class) { class.Credit = float64(n + 2) }))
 	}
 	if most := len(front.settings.Classes) + 2; len(front.balancer.classes) > most {
-		t.Errorf("%d places of classes, %d at most expected", len(front.balancer.classes), most)
+		t.Errorf("%d class slots, at most %d expected", len(front.balancer.classes), most)
 	}
 }
 
-// TestLearntIsKept: new figures of a class leave what its attempts were seen to take, and what tenants have left.
+// TestConfigureKeepsLearnedState checks that new values for a class keep the measured time of its attempts and
+// the tokens that tenants have left.
 func TestConfigureKeepsLearnedState(t *testing.T) {
 	front := threeStores(t, testSettings())
 	for k := range 40 {
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// playDigest is the FNV-1a hash of every event and every action of digestSeeds random plays. A change of the text that
-// is not meant to change an action leaves it as it is; one that is meant to records it anew and says so.
+// playDigest is the FNV-1a hash of every event and every action of digestSeeds random runs. A change of the
+// code that is not meant to change an action leaves it as it is; one that is meant to updates it, and its
+// commit says so.
 const playDigest = "081a809996a712a0"
 
-const digestSeeds = 96 // a dozen plays of each shape that drive knows
+const digestSeeds = 96 // a dozen runs of each shape that runScenario knows
 
-// TestPlayDigest: the same events give the actions that they gave when the digest was recorded.
+// TestPlayDigest checks that the same events lead to the same actions as when the digest was recorded.
 func TestPlayDigest(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(digestSeeds) {
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -8,55 +8,58 @@
 	"testing"
 )
 
-// modelRequest is what the plain model knows of one request.
+// modelRequest is what the model knows of one request.
 type modelRequest struct {
 	request   Request
-	class     Class
+	class     Class // its class as it was on arrival
 	arrivedAt Time
-	fence     Time
-	attempts  []*modelAttempt
-	finals    int
+	fence     Time            // position that it has to see, for class Session
+	attempts  []*modelAttempt // in the order in which they were sent
+	finals    int             // final answers so far; more than one breaks a rule
 }
 
+// modelAttempt is what the model knows of one attempt.
 type modelAttempt struct {
 	store       uint32
 	sentAt      Time
 	inFlight    bool
-	mayHaveRun  bool
-	minPosition Time
+	mayHaveRun  bool // its result does not exclude that it ran
+	minPosition Time // position that its answer has to show
 }
 
-// modelStore is what a front has been told of one store.
+// modelStore is what the front has been told of one store.
 type modelStore struct {
-	accepting           bool
-	group               uint64
-	position            Time
-	claimedAt, deniedAt Time
-	wroteSince          bool
-	startedAt           Time
-	size                float64
-	sends               []Time
+	accepting  bool // the list lets new work go to it
+	group      uint64
+	position   Time // the largest that it has reported
+	claimedAt  Time // when it last reported to be the primary
+	deniedAt   Time // when an answer of it last reported another role
+	wroteSince bool // it has served a write since deniedAt
+	startedAt  Time // its last start; 0: long ago
+	size       float64
+	sentAt     []Time // when each attempt was sent to it
 }
 
-// modelFront is a Front that keeps a slow, plain model of the rules and holds every action against it.
+// modelFront is a Front that keeps a slow, simple model of the rules and checks every action against it.
 type modelFront struct {
 	t         testing.TB
 	settings  Settings
 	balancer  *Balancer
 	now       Time
-	requests  map[string]*modelRequest
-	order     []string
-	stores    map[uint32]*modelStore
-	storeIDs  []uint32
-	fences    map[string]Time
-	probes    []uint32
-	listCalls int
-	wakeAt    Time
-	log       []string
-	updating  bool    // a list is being taken in
-	peak      float64 // most attempts that a warm store was sent in a span, for its size
+	requests  map[string]*modelRequest // by ID
+	order     []string                 // IDs of the requests, in the order of arrival
+	stores    map[uint32]*modelStore   // by store number
+	storeIDs  []uint32                 // the keys of stores, in the order in which they were listed
+	fences    map[string]Time          // position of each session's last write
+	probes    []uint32                 // stores that were probed
+	listCalls int                      // calls of WatchMembers
+	wakeAt    Time                     // when the next tick is due
+	log       []string                 // events and actions
+	updating  bool                     // UpdateMembers is running
+	peak      float64                  // most attempts that a warm store was sent in a ColdOverloadSpan, divided by its size
 }
 
+// testSettings returns settings for one front, with one class of each kind.
 func testSettings() Settings {
 	return Settings{Seed: 7, Fronts: 1, Zone: "a", EventInterval: 50, FencesCarried: true, ListPushed: true, ListInterval: 100000, AnswerSlack: 200, StartCapacity: 0.2, WarmupTime: 100000, ColdOverloadFactor: 3, ColdOverloadSpan: 15000, MaxAttempts: 6, MayProbe: true, MayCancel: true, ProbePrice: 0.01, OverQuotaCredit: 0.2, Tenants: []Tenant{{Name: "c", Quota: 500}},
 		Classes: []Class{
@@ -69,10 +72,10 @@
 		}}
 }
 
-func newModelFront(t testing.TB, c Settings) *modelFront {
-	front := &modelFront{t: t, settings: c, now: 1000000, requests: map[string]*modelRequest{}, stores: map[uint32]*modelStore{},
+func newModelFront(t testing.TB, settings Settings) *modelFront {
+	front := &modelFront{t: t, settings: settings, now: 1000000, requests: map[string]*modelRequest{}, stores: map[uint32]*modelStore{},
 		fences: map[string]Time{}}
-	b, err := New(front.now, c, front)
+	b, err := New(front.now, settings, front)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,16 +83,18 @@
 	return front
 }
 
+// record adds an event or an action to the log. playDigest hashes the log, so the texts must not change.
 func (front *modelFront) record(format string, args ...any) {
 	front.log = append(front.log, fmt.Sprintf("%d ", front.now)+fmt.Sprintf(format, args...))
 }
 
+// violation fails the test because an action broke the given rule.
 func (front *modelFront) violation(rule, format string, args ...any) {
 	front.t.Helper()
 	front.t.Fatalf("%s: %s\n%s", rule, fmt.Sprintf(format, args...), strings.Join(front.log[max(0, len(front.log)-300):], "\n"))
 }
 
-// updateMembers hands out a list and keeps what it says.
+// updateMembers delivers a member list to the balancer and the model.
 func (front *modelFront) updateMembers(news ListKind, members ...Member) {
 	front.record("list %d %v", news, members)
 	if news == ListFull || news == ListCached {
@@ -110,7 +115,7 @@
 			state.claimedAt = front.now
 		}
 		if m.Started > state.startedAt && front.now-m.Started < front.settings.WarmupTime {
-			state.startedAt, state.sends = m.Started, nil // what went there before it was told of counts against nobody
+			state.startedAt, state.sentAt = m.Started, nil // attempts sent before the start was known do not count
 		}
 	}
 	front.updating = true
@@ -118,30 +123,31 @@
 	front.updating = false
 }
 
+// submit delivers a request to the balancer and the model.
 func (front *modelFront) submit(in Request) *modelRequest {
-	p := &modelRequest{request: in, arrivedAt: front.now}
+	tracked := &modelRequest{request: in, arrivedAt: front.now}
 	for _, q := range front.settings.Classes {
 		if q.Name == in.Class {
-			p.class = q
+			tracked.class = q
 		}
 	}
 	if front.settings.FencesCarried {
 		if in.WriteAge >= 0 {
-			p.fence = front.now - in.WriteAge
+			tracked.fence = front.now - in.WriteAge
 		}
 	} else {
-		p.fence = front.fences[in.Session]
+		tracked.fence = front.fences[in.Session]
 	}
-	front.requests[in.ID] = p
+	front.requests[in.ID] = tracked
 	front.order = append(front.order, in.ID)
 	front.record("take %+v", in)
 	if err := front.balancer.Submit(front.now, in); err != nil {
 		front.t.Fatal(err)
 	}
-	return p
+	return tracked
 }
 
-// updateStore keeps what a store has shown of itself.
+// updateStore records in the model what a store reports of itself.
 func (front *modelFront) updateStore(state *modelStore, r Report, answer bool) {
 	if r.Role == RoleUnknown {
 		return
@@ -154,35 +160,35 @@
 	}
 }
 
-// finish returns an attempt.
+// finish delivers the result of an attempt.
 func (front *modelFront) finish(id string, n int, r Result) {
-	p := front.requests[id]
-	s := p.attempts[n]
-	state := front.stores[s.store]
-	if r.Ending == Served && r.Note.Position < s.minPosition { // as the core has it
-		if p.class.Repeat != Idempotent {
-			front.violation("twice", "%s may not run again, and went where only a peer vouched", id)
+	tracked := front.requests[id]
+	sent := tracked.attempts[n]
+	state := front.stores[sent.store]
+	if r.Ending == Served && r.Note.Position < sent.minPosition { // as package front does
+		if tracked.class.Repeat != Idempotent {
+			front.violation("twice", "%s must not run again, and was sent on the word of a peer", id)
 		}
 		r.Ending = NotEligible
 	}
-	s.inFlight, s.mayHaveRun = false, !r.Ending.NeverRan()
-	if r.Ending == Served && p.finals == 0 {
-		p.finals++
+	sent.inFlight, sent.mayHaveRun = false, !r.Ending.NeverRan()
+	if r.Ending == Served && tracked.finals == 0 {
+		tracked.finals++
 		r.Done = true
-		if p.class.Need == Write {
-			front.fences[p.request.Session] = max(front.fences[p.request.Session], r.Note.Position)
+		if tracked.class.Need == Write {
+			front.fences[tracked.request.Session] = max(front.fences[tracked.request.Session], r.Note.Position)
 		}
 	}
-	r.Done = r.Done || p.finals > 0
+	r.Done = r.Done || tracked.finals > 0
 	front.updateStore(state, r.Note, true)
-	if r.Ending == Served && p.class.Need == Write {
+	if r.Ending == Served && tracked.class.Need == Write {
 		state.wroteSince = true
 	}
 	front.record("back %s %d %+v", id, n, r)
-	front.balancer.AttemptDone(front.now, id, n, s.store, r)
+	front.balancer.AttemptDone(front.now, id, n, sent.store, r)
 }
 
-// advance lets time go by, with a beat whenever one is due.
+// advance lets time pass, with a tick whenever one is due.
 func (front *modelFront) advance(span Time) {
 	for end := front.now + span; front.now < end; {
 		front.now = min(end, max(front.now+1, front.wakeAt))
@@ -193,59 +199,60 @@
 	}
 }
 
-// checkDeadlines holds rule 1 against every request at hand.
+// checkDeadlines checks that every request has its final answer in time.
 func (front *modelFront) checkDeadlines() {
 	for _, id := range front.order {
-		if p := front.requests[id]; p.finals == 0 && front.now > p.arrivedAt+p.request.Left+front.settings.AnswerSlack {
-			front.violation("lost", "job %s has no final answer", id)
+		if tracked := front.requests[id]; tracked.finals == 0 && front.now > tracked.arrivedAt+tracked.request.Left+front.settings.AnswerSlack {
+			front.violation("lost", "request %s has no final answer", id)
 		}
 	}
 }
 
 func (front *modelFront) Send(id string, store uint32, until, least Time) {
-	p, state := front.requests[id], front.stores[store]
+	tracked, state := front.requests[id], front.stores[store]
 	front.record("send %s to %d", id, store)
-	if p == nil || p.finals > 0 {
-		front.violation("lost", "trip for job %s after its end", id)
+	if tracked == nil || tracked.finals > 0 {
+		front.violation("lost", "attempt of request %s after its end", id)
 	}
-	if state == nil || !state.accepting || state.group != p.request.Group {
-		front.violation("drain", "trip of %s to store %d", id, store)
+	if state == nil || !state.accepting || state.group != tracked.request.Group {
+		front.violation("drain", "attempt of %s sent to store %d", id, store)
 	}
-	for _, s := range p.attempts {
-		if s.inFlight {
-			front.violation("twice", "two trips of %s at once", id)
+	for _, sent := range tracked.attempts {
+		if sent.inFlight {
+			front.violation("twice", "two attempts of %s at once", id)
 		}
-		if may := s.inFlight || s.mayHaveRun; may && (p.class.Repeat == AtMostOnce ||
-			p.class.Repeat == Keyed && front.now+front.balancer.tickInterval > s.sentAt+p.class.Window) {
-			front.violation("twice", "a further trip of %s", id)
+		if may := sent.inFlight || sent.mayHaveRun; may && (tracked.class.Repeat == AtMostOnce ||
+			tracked.class.Repeat == Keyed && front.now+front.balancer.tickInterval > sent.sentAt+tracked.class.Window) {
+			front.violation("twice", "a forbidden repeat of %s", id)
 		}
 	}
 	need := Time(0)
-	switch p.class.Need {
+	switch tracked.class.Need {
 	case Bounded:
-		need = front.now - p.class.Bound
+		need = front.now - tracked.class.Bound
 	case Session:
-		if need = p.fence; !front.settings.FencesCarried && p.request.Session != "" {
-			need = max(need, front.fences[p.request.Session])
+		if need = tracked.fence; !front.settings.FencesCarried && tracked.request.Session != "" {
+			need = max(need, front.fences[tracked.request.Session])
 		}
 	case Fresh:
 		need = never
 	}
 	role := state.claimedAt > 0 && (state.deniedAt == 0 || state.wroteSince || state.claimedAt > state.deniedAt+2*second)
-	if p.class.Need != Write && state.position < need && least < need && !role && !front.settings.StoresCheckReads {
+	if tracked.class.Need != Write && state.position < need && least < need && !role && !front.settings.StoresCheckReads {
 		front.violation("stale", "%s needs %d, store %d shows %d", id, need, store, state.position)
 	}
 	if state.startedAt > 0 && front.now-state.startedAt < front.settings.WarmupTime {
 		front.checkColdRate(store, state)
-		state.sends = append(state.sends, front.now)
+		state.sentAt = append(state.sentAt, front.now)
 	} else {
-		state.sends = append(state.sends, front.now)
+		state.sentAt = append(state.sentAt, front.now)
 		front.peak = max(front.peak, front.recentSends(state)/state.size)
 	}
-	p.attempts = append(p.attempts, &modelAttempt{store: store, sentAt: front.now, inFlight: true, minPosition: least})
+	tracked.attempts = append(tracked.attempts, &modelAttempt{store: store, sentAt: front.now, inFlight: true, minPosition: least})
 }
 
-// checkColdRate holds the sends to a cold store against the most that a warm one was ever sent in such a span, for its size.
+// checkColdRate compares the attempts sent to a cold store in a ColdOverloadSpan with the most that a warm one
+// was ever sent in one, by size.
 func (front *modelFront) checkColdRate(store uint32, state *modelStore) {
 	part := front.settings.StartCapacity + (1-front.settings.StartCapacity)*float64(front.now-state.startedAt)/float64(front.settings.WarmupTime)
 	if n := front.recentSends(state); n > 10+front.settings.ColdOverloadFactor*part*front.peak*state.size {
@@ -253,8 +260,9 @@
 	}
 }
 
+// recentSends returns the number of attempts sent to the store in the last ColdOverloadSpan.
 func (front *modelFront) recentSends(state *modelStore) (n float64) {
-	for _, t := range state.sends {
+	for _, t := range state.sentAt {
 		if t > front.now-front.settings.ColdOverloadSpan {
 			n++
 		}
@@ -262,21 +270,22 @@
 	return n
 }
 
+// recordFinal records the request's final answer, of which there must be only one.
 func (front *modelFront) recordFinal(id string) *modelRequest {
-	p := front.requests[id]
-	if p == nil || p.finals > 0 {
+	tracked := front.requests[id]
+	if tracked == nil || tracked.finals > 0 {
 		front.violation("lost", "second final answer for %s", id)
 	}
-	p.finals++
-	return p
+	tracked.finals++
+	return tracked
 }
 
 func (front *modelFront) Refuse(id string, pause Time) {
 	front.record("turn back %s", id)
-	p := front.recordFinal(id)
-	for _, s := range p.attempts {
-		if (s.inFlight || s.mayHaveRun) && p.class.Repeat != Idempotent && !p.class.Anywhere {
-			front.violation("twice", "%s is turned back but may have run", id)
+	tracked := front.recordFinal(id)
+	for _, sent := range tracked.attempts {
+		if (sent.inFlight || sent.mayHaveRun) && tracked.class.Repeat != Idempotent && !tracked.class.Anywhere {
+			front.violation("twice", "%s is refused but may have run", id)
 		}
 	}
 }
@@ -296,15 +305,15 @@
 	front.record("forget %d", store)
 	state := front.stores[store]
 	if state != nil && state.accepting && front.updating {
-		return // its line follows in the same list, and takes it up anew
+		return // its entry follows in the same list and adds it again
 	}
 	if state == nil || state.accepting && !front.settings.OnlyDrainingBinds {
 		front.violation("forget", "store %d is in use", store)
 	}
-	for id, p := range front.requests {
-		for _, s := range p.attempts {
-			if s.inFlight && s.store == store {
-				front.violation("forget", "a trip of %s is out at store %d", id, store)
+	for id, tracked := range front.requests {
+		for _, sent := range tracked.attempts {
+			if sent.inFlight && sent.store == store {
+				front.violation("forget", "an attempt of %s is in flight at store %d", id, store)
 			}
 		}
 	}
@@ -312,15 +321,15 @@
 	front.storeIDs = slices.DeleteFunc(front.storeIDs, func(id uint32) bool { return id == store })
 }
 
-// randomInFlight names an attempt that is under way.
+// randomInFlight returns the request and the number of a random attempt in flight.
 func (front *modelFront) randomInFlight(r *rand.Rand) (string, int, bool) {
 	for range 20 {
 		if len(front.order) == 0 {
 			break
 		}
 		id := front.order[len(front.order)-1-r.IntN(min(len(front.order), 40))]
-		for n, s := range front.requests[id].attempts {
-			if s.inFlight {
+		for n, sent := range front.requests[id].attempts {
+			if sent.inFlight {
 				return id, n, true
 			}
 		}
