--- a/balance/admission.go
+++ b/balance/admission.go
@@ -52,6 +52,8 @@
 		deadline: min(now+in.Left, b.shutdownAt)}
 	req.expectedBy = now - in.Waited + min(class.ExpectedTime+Time(class.Stretch*float64(in.Work)),
 		class.Deadline)
+	// The expected time of a retry runs from the first try. Its start is taken to be a Deadline before the
+	// client gives up.
 	if class.retries.Observe(in.Left+in.Waited, b.tickInterval) {
 		req.expectedBy -= max(class.Deadline-in.Left-in.Waited, 0)
 	}
@@ -79,8 +81,8 @@
 // dispatch sends the request to a store if one can take it now, and queues it otherwise.
 func (b *Balancer) dispatch(i int32) {
 	req := &b.requests[i]
-	if m := b.chooseMember(req); m >= 0 {
-		b.send(i, m)
+	if memberIndex := b.chooseMember(req); memberIndex >= 0 {
+		b.send(i, memberIndex)
 		return
 	}
 	req.waiting = true
@@ -112,9 +114,9 @@
 		} else if !b.mayRepeat(req) {
 			// A request that may have run must not wait past the time until which it may be repeated.
 			b.giveUp(i)
-		} else if m := b.chooseMember(req); m >= 0 {
+		} else if memberIndex := b.chooseMember(req); memberIndex >= 0 {
 			req.waiting = false
-			b.send(i, m)
+			b.send(i, memberIndex)
 		} else {
 			group.waiting[kept] = i
 			kept++
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -194,7 +194,7 @@
 	b.now = now
 	if i, ok := b.requestOf[id]; ok && b.requests[i].fenceSlot >= 0 &&
 		b.classes[b.requests[i].class].Need == Write {
-		f := &b.fences[b.requests[i].fenceSlot]
-		*f = max(*f, cmp.Or(position, now)) // if unknown, it lies before now
+		fence := &b.fences[b.requests[i].fenceSlot]
+		*fence = max(*fence, cmp.Or(position, now)) // if unknown, it lies before now
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	never             = Time(1) << 60
-	second            = Time(10000)
-	discoveryDeadline = 6 * second // a front has to act on what discovery has by then
-	fenceBits         = 14
-	probeBudget       = 0.005 // share of the total credit that routine probes may cost
-	searchBudget      = 0.125 // share of the waiting requests' credit that the search for their primary may cost
+	never             = Time(1) << 60 // later than any real time
+	second            = Time(10000)   // one second
+	discoveryDeadline = 6 * second    // a front has to act on what discovery has by then
+	fenceBits         = 14            // binary logarithm of the number of slots for fences
+	probeBudget       = 0.005         // share of the total credit that routine probes may cost
+	searchBudget      = 0.125         // share of waiting requests' credit that searching for a primary may cost
 )
 
 // New returns a Balancer with the given settings that acts through f. It returns an error if they are out
 // of range.
-func New(now Time, settings Settings, f Front) (*Balancer, error) {
-	b := &Balancer{front: f, now: now, random: random.New(settings.Seed), classOf: map[string]int32{},
+func New(now Time, settings Settings, front Front) (*Balancer, error) {
+	b := &Balancer{front: front, now: now, random: random.New(settings.Seed), classOf: map[string]int32{},
 		tenants: map[string]*tenantState{}, memberOf: map[uint32]int32{}, groupOf: map[uint64]int32{},
 		requestOf: map[string]int32{}, fences: make([]Time, 1<<fenceBits), openWrites: make([]int32, 1<<fenceBits),
 		zoneShares: map[string]float64{}, overloadedAt: -never, connectionsScarceAt: -never, spillOdds: 1,
@@ -44,7 +44,7 @@
 		// All fronts may be starting together, so their first calls are spread out.
 		b.nextListAt = now + b.randomBelow(b.listInterval/8)
 	}
-	f.WakeAfter(b.tickInterval)
+	front.WakeAfter(b.tickInterval)
 	return b, nil
 }
 
@@ -143,7 +143,9 @@
 func (b *Balancer) randomBelow(n Time) Time { return b.random.Below(n) }
 
 // randomHit returns true with the given probability.
-func (b *Balancer) randomHit(part float64) bool { return float64(b.randomBelow(1<<20)) < part*(1<<20) }
+func (b *Balancer) randomHit(probability float64) bool {
+	return float64(b.randomBelow(1<<20)) < probability*(1<<20)
+}
 
 // Tick does the periodic work: it asks for the member list when that is due, refills the budgets of cold
 // members, suspects silent members, sends probes, and reviews all requests. It also asks the Front for the
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -49,6 +49,7 @@
 	return Request{ID: id, Class: class, Tenant: "c", Group: 9, Left: 10000, WriteAge: -1}
 }
 
+// TestOrdinaryPath checks where writes, reads with a fence and reads with a bound go while all stores are well.
 func TestOrdinaryPath(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.report(3, front.now-20, Replica)
@@ -98,6 +99,8 @@
 	}
 }
 
+// TestFenceRemembered checks that a front that remembers fences sends a session's reads only to stores that have
+// the session's last write.
 func TestFenceRemembered(t *testing.T) {
 	settings := testSettings()
 	settings.FencesCarried = false
@@ -131,14 +134,14 @@
 // attracted every request.
 func TestFastRefusals(t *testing.T) {
 	front := threeStores(t, testSettings())
-	drawn := 0
+	refused := 0
 	for n := range 200 {
 		front.report(2, front.now-50, Replica)
 		front.report(3, front.now-50, Replica)
 		id := fmt.Sprint("j", n)
 		front.submit(newRequest(id, "any"))
 		if !front.waiting(id) && front.lastStore(t, id) == 2 {
-			drawn++
+			refused++
 			front.finish(id, 0, Result{Ending: Overloaded})
 		}
 		if front.requests[id].finals == 0 && front.lastStore(t, id) == 3 {
@@ -146,8 +149,8 @@
 			front.finish(id, len(front.requests[id].attempts)-1, Result{Note: Report{Position: front.now - 50, Role: Replica}})
 		}
 	}
-	if drawn == 0 || drawn > 10 {
-		t.Errorf("the refusing store was sent %d of 200 requests", drawn)
+	if refused == 0 || refused > 10 {
+		t.Errorf("the refusing store was sent %d of 200 requests", refused)
 	}
 }
 
@@ -245,9 +248,9 @@
 // store did not restart. The store is taken to be short of connections only if it refused more than one.
 func TestLostConnectionsAreNoRestart(t *testing.T) {
 	for _, c := range []struct {
-		refused      int
-		kept         bool
-		scarce, anew bool
+		refused           int
+		kept              bool
+		scarce, restarted bool
 	}{{1, true, false, false}, {1, false, false, true}, {3, true, true, false}} {
 		front := threeStores(t, testSettings())
 		member, up := &front.balancer.members[0], front.now
@@ -264,8 +267,8 @@
 			up = front.now
 		}
 		front.balancer.ProbeDone(front.now, 1, Result{Load: Report{Position: front.now - 2000, Role: Primary}, Since: up})
-		if anew, scarce := member.startedAt > 0, front.balancer.connectionsScarceAt > 0; anew != c.anew || scarce != c.scarce {
-			t.Errorf("%+v: taken to be restarted %v, to be short of connections %v", c, anew, scarce)
+		if restarted, scarce := member.startedAt > 0, front.balancer.connectionsScarceAt > 0; restarted != c.restarted || scarce != c.scarce {
+			t.Errorf("%+v: taken to be restarted %v, to be short of connections %v", c, restarted, scarce)
 		}
 	}
 }
@@ -274,12 +277,12 @@
 // break off far sooner than an answer could come do not count.
 func TestRepeatLimit(t *testing.T) {
 	for _, c := range []struct {
-		crowded  bool
+		overload bool
 		took     Time
 		attempts int
 	}{{false, 500, 3}, {true, 500, 1}, {true, 1, 6}} {
 		front := threeStores(t, testSettings())
-		if c.crowded {
+		if c.overload {
 			front.balancer.recordOverload()
 		}
 		tracked := front.submit(newRequest("any", "any"))
@@ -445,6 +448,8 @@
 	}
 }
 
+// TestProbesKeepToTheirPrice checks that a front without requests sends few probes, and that a reported position
+// from the future is ignored.
 func TestProbesKeepToTheirPrice(t *testing.T) {
 	front := threeStores(t, testSettings())
 	front.advance(20 * second)
@@ -479,6 +484,8 @@
 	}
 }
 
+// TestUnsentProbeDoesNotSuspectStore checks that a store is suspected if it does not answer a probe, but not if the
+// front could not send the probe.
 func TestUnsentProbeDoesNotSuspectStore(t *testing.T) {
 	front := threeStores(t, testSettings())
 	for _, store := range front.storeIDs {
@@ -497,6 +504,8 @@
 	}
 }
 
+// TestWatchIsRenewed checks that the list is requested at once after a watch breaks, and less and less often after
+// calls that fail.
 func TestWatchIsRenewed(t *testing.T) {
 	settings := testSettings()
 	settings.ListPushed = false
@@ -521,6 +530,7 @@
 	}
 }
 
+// TestSettingsRefused checks that the error for a class out of range names the class.
 func TestSettingsRefused(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].Bound = -1
@@ -529,6 +539,7 @@
 	}
 }
 
+// TestOrdinaryPathAllocatesNothing checks that a request that is sent and answered at once allocates no memory.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	front := threeStores(t, testSettings())
 	f := &lastSendFront{}
@@ -563,9 +574,9 @@
 	settings.Fronts, settings.Seed = 1+int(shape&16)*6, seed
 	front := newModelFront(t, settings)
 	conditions := []Condition{Ready, Ready, Ready, Ready, Ready, Ready, Ready, Draining, Gone}
-	base := 100
+	firstStore := 100
 	member := func(i int) Member {
-		i += base
+		i += firstStore
 		m := Member{Store: uint32(i), Group: uint64(i % 2), Zone: "a", Condition: conditions[r.IntN(9)],
 			Primary: r.IntN(4) == 0, Size: 1 + float64(i%3)}
 		if r.IntN(4) == 0 {
@@ -573,7 +584,7 @@
 		}
 		return m
 	}
-	whole := func(news ListKind) {
+	fullList := func(news ListKind) {
 		var all []Member
 		for i := range 8 {
 			if r.IntN(8) > 0 {
@@ -582,7 +593,7 @@
 		}
 		front.updateMembers(news, all...)
 	}
-	whole(ListCached)
+	fullList(ListCached)
 	report := func() Report {
 		return Report{Position: front.now - Time(r.IntN(6000)), Role: Role(r.IntN(3))}
 	}
@@ -601,11 +612,11 @@
 				if r.IntN(3) == 0 {
 					ending = Ending(r.IntN(int(Cancelled) + 1))
 				}
-				back := Result{Ending: ending}
+				result := Result{Ending: ending}
 				if ending <= Overloaded || ending == Failed { // only an answer of the store itself has a Note
-					back.Note = report()
+					result.Note = report()
 				}
-				front.finish(id, i, back)
+				front.finish(id, i, result)
 				if r.IntN(9) == 0 { // a repeated result changes nothing
 					front.balancer.AttemptDone(front.now, id, i, front.requests[id].attempts[i].store, Result{Ending: Failed})
 				}
@@ -613,8 +624,8 @@
 		case k < 15 && len(front.storeIDs) > 0:
 			front.report(front.storeIDs[r.IntN(len(front.storeIDs))], front.now-Time(r.IntN(4000)), Role(r.IntN(3)))
 		case k == 15 && r.IntN(4) == 0:
-			base += r.IntN(4) / 3 * 2 // some stores are replaced for good
-			whole(ListFull)
+			firstStore += r.IntN(4) / 3 * 2 // some stores are replaced for good
+			fullList(ListFull)
 		case k == 15:
 			front.updateMembers(ListChanges, member(r.IntN(9)))
 		case k == 16 && len(front.order) > 0:
@@ -684,6 +695,7 @@
 	}
 }
 
+// FuzzRules checks the rules of the model on random events.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(32) {
 		f.Add(seed, uint8(seed))
@@ -692,6 +704,7 @@
 	f.Fuzz(func(t *testing.T, seed uint64, shape uint8) { runScenario(t, seed, shape) })
 }
 
+// TestSameEventsSameActions checks that the decisions are deterministic: the same seed leads to the same log.
 func TestSameEventsSameActions(t *testing.T) {
 	a, b := runScenario(t, 5, 0), runScenario(t, 5, 0)
 	if strings.Join(a, "\n") != strings.Join(b, "\n") {
--- a/balance/configure_test.go
+++ b/balance/configure_test.go
@@ -19,9 +19,9 @@
 // otherSettings returns settings that differ at random in what operators change while fronts run: which classes
 // there are and what each requires, tenants, the number of attempts and the number of fronts.
 func otherSettings(settings Settings, r *rand.Rand) Settings {
-	whole := testSettings().Classes
+	all := testSettings().Classes
 	settings.Classes = nil
-	for _, class := range whole {
+	for _, class := range all {
 		if r.IntN(6) == 0 {
 			continue // the class is removed
 		}
@@ -36,7 +36,7 @@
 		settings.Classes = append(settings.Classes, class)
 	}
 	if len(settings.Classes) == 0 {
-		settings.Classes = whole[:1]
+		settings.Classes = all[:1]
 	}
 	r.Shuffle(len(settings.Classes), func(i, k int) { settings.Classes[i], settings.Classes[k] = settings.Classes[k], settings.Classes[i] })
 	settings.Tenants = []Tenant{{Name: "c", Quota: float64(r.IntN(900))}, {Name: "d", Quota: 10}}[:1+r.IntN(2)]
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -75,11 +75,11 @@
 func newModelFront(t testing.TB, settings Settings) *modelFront {
 	front := &modelFront{t: t, settings: settings, now: 1000000, requests: map[string]*modelRequest{}, stores: map[uint32]*modelStore{},
 		fences: map[string]Time{}}
-	b, err := New(front.now, settings, front)
+	balancer, err := New(front.now, settings, front)
 	if err != nil {
 		t.Fatal(err)
 	}
-	front.balancer = b
+	front.balancer = balancer
 	return front
 }
 
@@ -95,9 +95,9 @@
 }
 
 // updateMembers delivers a member list to the balancer and the model.
-func (front *modelFront) updateMembers(news ListKind, members ...Member) {
-	front.record("list %d %v", news, members)
-	if news == ListFull || news == ListCached {
+func (front *modelFront) updateMembers(kind ListKind, members ...Member) {
+	front.record("list %d %v", kind, members)
+	if kind == ListFull || kind == ListCached {
 		for _, state := range front.stores {
 			state.accepting = state.accepting && front.settings.OnlyDrainingBinds
 		}
@@ -119,7 +119,7 @@
 		}
 	}
 	front.updating = true
-	front.balancer.UpdateMembers(front.now, news, members)
+	front.balancer.UpdateMembers(front.now, kind, members)
 	front.updating = false
 }
 
@@ -189,8 +189,8 @@
 }
 
 // advance lets time pass, with a tick whenever one is due.
-func (front *modelFront) advance(span Time) {
-	for end := front.now + span; front.now < end; {
+func (front *modelFront) advance(duration Time) {
+	for end := front.now + duration; front.now < end; {
 		front.now = min(end, max(front.now+1, front.wakeAt))
 		if front.now >= front.wakeAt {
 			front.balancer.Tick(front.now)
@@ -254,9 +254,9 @@
 // checkColdRate compares the attempts sent to a cold store in a ColdOverloadSpan with the most that a warm one
 // was ever sent in one, by size.
 func (front *modelFront) checkColdRate(store uint32, state *modelStore) {
-	part := front.settings.StartCapacity + (1-front.settings.StartCapacity)*float64(front.now-state.startedAt)/float64(front.settings.WarmupTime)
-	if n := front.recentSends(state); n > 10+front.settings.ColdOverloadFactor*part*front.peak*state.size {
-		front.violation("cold", "store %d was sent %v, its busiest warm peer %v", store, n, front.peak)
+	capacity := front.settings.StartCapacity + (1-front.settings.StartCapacity)*float64(front.now-state.startedAt)/float64(front.settings.WarmupTime)
+	if recent := front.recentSends(state); recent > 10+front.settings.ColdOverloadFactor*capacity*front.peak*state.size {
+		front.violation("cold", "store %d was sent %v, its busiest warm peer %v", store, recent, front.peak)
 	}
 }
 
--- a/balance/list.go
+++ b/balance/list.go
@@ -14,8 +14,8 @@
 	if kind == ListFailed {
 		// A drain reported meanwhile binds within its grace period, so the first call after a failure follows
 		// almost at once. Fronts that failed together must not call again together, so each further wait is
-		// much longer, and random. A front is held to changes that discovery has after discoveryDeadline even
-		// so, hence the longest wait is half of that. A call of the front's own agent costs nothing.
+		// much longer, and random. Even so a front has to act on what discovery has by discoveryDeadline, and
+		// hence the longest wait is half of that. A call of the front's own agent costs nothing.
 		wait := min(b.listInterval/256<<(2*b.listFailures), discoveryDeadline/3, b.agentInterval)
 		b.listFailures, b.nextListAt = min(b.listFailures+1, 3), now+wait/2+b.randomBelow(wait)
 		return
@@ -78,13 +78,13 @@
 
 // groupIndex returns the index of the group with the given ID, and adds the group if it is new.
 func (b *Balancer) groupIndex(id uint64) int32 {
-	g, ok := b.groupOf[id]
+	index, ok := b.groupOf[id]
 	if !ok {
-		g = int32(len(b.groups))
-		b.groupOf[id] = g
+		index = int32(len(b.groups))
+		b.groupOf[id] = index
 		b.groups = append(b.groups, groupState{primary: -1})
 	}
-	return g
+	return index
 }
 
 // memberSlot returns the index of a free slot for a new member: that of a member that has been gone and
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -35,10 +35,10 @@
 	member.probedAt += b.randomBelow(interval / 8)
 }
 
-// sendProbe probes the member; Front.Probe describes need and any.
-func (b *Balancer) sendProbe(member *memberState, need Time, any bool) {
+// sendProbe probes the member; Front.Probe describes need and anyMember.
+func (b *Balancer) sendProbe(member *memberState, need Time, anyMember bool) {
 	member.probedAt, member.unansweredSince = b.now, cmp.Or(member.unansweredSince, b.now)
-	b.front.Probe(member.store, need, any)
+	b.front.Probe(member.store, need, anyMember)
 }
 
 // ProbeDone takes in the result of a probe of a store.
