--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -7,298 +7,314 @@
 	"testing"
 )
 
-// three is a group of a primary and two replicas, heard from just now.
-func three(t testing.TB, c Settings) *world {
-	w := newWorld(t, c)
-	w.list(ListCached, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1},
+// threeStores returns a model front with one group of a primary and two replicas, whose positions have just
+// been reported.
+func threeStores(t testing.TB, settings Settings) *modelFront {
+	front := newModelFront(t, settings)
+	front.updateMembers(ListCached, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1},
 		Member{Store: 2, Group: 9, Zone: "a", Condition: Ready, Size: 1},
 		Member{Store: 3, Group: 9, Zone: "a", Condition: Ready, Size: 1})
-	w.hear(1, w.now, Primary)
-	w.hear(2, w.now-50, Replica)
-	w.hear(3, w.now-50, Replica)
-	return w
+	front.report(1, front.now, Primary)
+	front.report(2, front.now-50, Replica)
+	front.report(3, front.now-50, Replica)
+	return front
 }
 
-// hear is a probe's report from a store.
-func (w *world) hear(store uint32, position Time, role Role) {
+// report delivers a probe's result that reports a store's position and role.
+func (front *modelFront) report(store uint32, position Time, role Role) {
 	r := Result{Load: Report{Position: position, Role: role}}
-	w.believe(w.stores[store], r.Load, false)
-	w.note("hear %d %+v", store, r)
-	w.b.ProbeDone(w.now, store, r)
+	front.updateStore(front.stores[store], r.Load, false)
+	front.record("hear %d %+v", store, r)
+	front.balancer.ProbeDone(front.now, store, r)
 }
 
-func (w *world) at(t *testing.T, id string) uint32 {
+// lastStore returns the store that the request's last attempt went to.
+func (front *modelFront) lastStore(t *testing.T, id string) uint32 {
 	t.Helper()
-	p := w.requests[id]
-	if len(p.attempts) == 0 {
-		t.Fatalf("%s is held", id)
+	tracked := front.requests[id]
+	if len(tracked.attempts) == 0 {
+		t.Fatalf("%s is still waiting", id)
 	}
-	return p.attempts[len(p.attempts)-1].store
+	return tracked.attempts[len(tracked.attempts)-1].store
 }
 
-func (w *world) held(id string) bool {
-	p := w.requests[id]
-	return p.final == 0 && len(p.attempts) == 0
+// waiting reports whether the request has neither an attempt nor a final answer.
+func (front *modelFront) waiting(id string) bool {
+	tracked := front.requests[id]
+	return tracked.finals == 0 && len(tracked.attempts) == 0
 }
 
-func ask(id, class string) Request {
+// newRequest returns a request of the class that arrives with one second left and no earlier write.
+func newRequest(id, class string) Request {
 	return Request{ID: id, Class: class, Tenant: "c", Group: 9, Left: 10000, WriteAge: -1}
 }
 
+// TestOrdinaryPath checks where writes, reads with a fence and reads with a bound go while all stores are well.
 func TestOrdinaryPath(t *testing.T) {
-	w := three(t, testSettings())
-	w.hear(3, w.now-20, Replica)
-	if w.take(ask("write", "once")); w.at(t, "write") != 1 {
-		t.Error("writes go to the primary")
+	front := threeStores(t, testSettings())
+	front.report(3, front.now-20, Replica)
+	if front.submit(newRequest("write", "once")); front.lastStore(t, "write") != 1 {
+		t.Error("a write did not go to the primary")
 	}
-	in := ask("fenced", "session")
+	in := newRequest("fenced", "session")
 	in.WriteAge = 30
-	w.take(in)
-	if got := w.at(t, "fenced"); got != 3 {
+	front.submit(in)
+	if got := front.lastStore(t, "fenced"); got != 3 {
 		t.Errorf("fenced read went to %d, only 3 has passed its fence", got)
 	}
-	w.pass(4000)
-	w.hear(2, w.now-4000, Replica)
-	w.hear(3, w.now-4000, Replica)
-	w.hear(1, w.now, Primary)
-	w.take(ask("old", "bounded"))
-	if got := w.at(t, "old"); got != 1 {
+	front.advance(4000)
+	front.report(2, front.now-4000, Replica)
+	front.report(3, front.now-4000, Replica)
+	front.report(1, front.now, Primary)
+	front.submit(newRequest("old", "bounded"))
+	if got := front.lastStore(t, "old"); got != 1 {
 		t.Errorf("bounded read went to %d while no replica is known within the bound", got)
 	}
 }
 
-// The least busy rule alone sent all that idle fronts had to the same few members.
-func TestLeastBusyByWhatTheyCanDo(t *testing.T) {
-	w := three(t, testSettings())
+// TestLoadSpreadsOverEqualReplicas guards against idle fronts that all choose the same few members, as they did
+// when they chose the least busy one without a random part.
+func TestLoadSpreadsOverEqualReplicas(t *testing.T) {
+	front := threeStores(t, testSettings())
 	for n := range 40 {
-		w.take(ask(fmt.Sprint("least", n), "session"))
+		front.submit(newRequest(fmt.Sprint("least", n), "session"))
 	}
-	if m := w.b.members; m[1].inFlight < 5 || m[2].inFlight < 5 {
-		t.Errorf("reads without a fence went %d and %d times to the like replicas", m[1].inFlight, m[2].inFlight)
+	if m := front.balancer.members; m[1].inFlight < 5 || m[2].inFlight < 5 {
+		t.Errorf("reads without a fence went %d and %d times to two equal replicas", m[1].inFlight, m[2].inFlight)
 	}
 }
 
-// Fronts with few requests each knew only old positions, and all their reads spilled to the primary.
-func TestLikelyReplicaIsAsked(t *testing.T) {
-	w := three(t, testSettings())
-	w.now += 3100
-	w.take(ask("r", "bounded"))
-	if !w.held("r") || len(w.probes) != 1 {
-		t.Fatalf("%d probes for a read with two likely replicas", len(w.probes))
+// TestLikelyReplicaIsProbed guards against fronts with few requests that know only old positions and so send
+// all their reads to the primary.
+func TestLikelyReplicaIsProbed(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.now += 3100
+	front.submit(newRequest("r", "bounded"))
+	if !front.waiting("r") || len(front.probes) != 1 {
+		t.Fatalf("%d probes for a read with two likely replicas", len(front.probes))
 	}
-	w.hear(w.probes[0], w.now-40, Replica)
-	if got := w.at(t, "r"); got != w.probes[0] {
-		t.Errorf("the read went to %d, %d has just shown a fresh position", got, w.probes[0])
+	front.report(front.probes[0], front.now-40, Replica)
+	if got := front.lastStore(t, "r"); got != front.probes[0] {
+		t.Errorf("the read went to %d, %d has just shown a fresh position", got, front.probes[0])
 	}
 }
 
+// TestFenceRemembered checks that a front that remembers fences sends a session's reads only to stores that have
+// the session's last write.
 func TestFenceRemembered(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
-	w := three(t, c)
-	write := ask("w", "once")
+	settings := testSettings()
+	settings.FencesCarried = false
+	front := threeStores(t, settings)
+	write := newRequest("w", "once")
 	write.Session = "s"
-	w.take(write)
-	w.pass(100)
-	w.back("w", 0, Result{Note: Report{Position: w.now - 20, Role: Primary}})
-	read := ask("r", "session")
+	front.submit(write)
+	front.advance(100)
+	front.finish("w", 0, Result{Note: Report{Position: front.now - 20, Role: Primary}})
+	read := newRequest("r", "session")
 	read.Session = "s"
-	w.take(read)
-	if !w.held("r") {
-		t.Fatal("no replica has passed the fence, yet one was read")
+	front.submit(read)
+	if !front.waiting("r") {
+		t.Fatal("a replica was read though none has passed the fence")
 	}
-	w.hear(2, w.now-10, Replica)
-	if got := w.at(t, "r"); got != 2 {
+	front.report(2, front.now-10, Replica)
+	if got := front.lastStore(t, "r"); got != 2 {
 		t.Errorf("read went to %d, 2 has just passed the fence", got)
 	}
-	write.ID, read.ID = "w2", "r2" // its answer does not say where it lies
-	w.take(write)
-	w.pass(100)
-	w.hear(2, w.now-10, Replica)
-	w.back("w2", 0, Result{})
-	if w.take(read); !w.held("r2") {
-		t.Error("a write whose position was not told is taken for none")
+	write.ID, read.ID = "w2", "r2" // the answer does not contain the write's position
+	front.submit(write)
+	front.advance(100)
+	front.report(2, front.now-10, Replica)
+	front.finish("w2", 0, Result{})
+	if front.submit(read); !front.waiting("r2") {
+		t.Error("a write without a reported position did not move the fence")
 	}
 }
 
-// A store that turns all away at once looked the least busy and drew every request.
+// TestFastRefusals guards against a store that rejects all requests at once: it looks the least busy and
+// attracted every request.
 func TestFastRefusals(t *testing.T) {
-	w := three(t, testSettings())
-	drawn := 0
+	front := threeStores(t, testSettings())
+	refused := 0
 	for n := range 200 {
-		w.hear(2, w.now-50, Replica)
-		w.hear(3, w.now-50, Replica)
+		front.report(2, front.now-50, Replica)
+		front.report(3, front.now-50, Replica)
 		id := fmt.Sprint("j", n)
-		w.take(ask(id, "any"))
-		if !w.held(id) && w.at(t, id) == 2 {
-			drawn++
-			w.back(id, 0, Result{Ending: Overloaded})
+		front.submit(newRequest(id, "any"))
+		if !front.waiting(id) && front.lastStore(t, id) == 2 {
+			refused++
+			front.finish(id, 0, Result{Ending: Overloaded})
 		}
-		if w.requests[id].final == 0 && w.at(t, id) == 3 {
-			w.pass(20)
-			w.back(id, len(w.requests[id].attempts)-1, Result{Note: Report{Position: w.now - 50, Role: Replica}})
+		if front.requests[id].finals == 0 && front.lastStore(t, id) == 3 {
+			front.advance(20)
+			front.finish(id, len(front.requests[id].attempts)-1, Result{Note: Report{Position: front.now - 50, Role: Replica}})
 		}
 	}
-	if drawn == 0 || drawn > 10 {
-		t.Errorf("the refusing store drew %d of 200 jobs", drawn)
+	if refused == 0 || refused > 10 {
+		t.Errorf("the refusing store was sent %d of 200 requests", refused)
 	}
 }
 
-// A draining primary turned writes away as a replica while its reads still claimed the role.
-func TestDeniedPrimaryProvesItself(t *testing.T) {
-	w := three(t, testSettings())
-	w.take(ask("w1", "once"))
-	w.take(ask("r1", "fresh"))
-	w.back("w1", 0, Result{Ending: NotEligible, Note: Report{Position: w.now, Role: Replica}})
-	w.pass(100)
-	w.back("r1", 0, Result{Note: Report{Position: w.now, Role: Primary}})
-	w.take(ask("r2", "fresh"))
-	if !w.held("r2") {
-		t.Fatal("a fresh read relied on a denied role")
+// TestDemotedPrimaryMustTakeAWrite guards against a draining primary that rejects writes as a replica does
+// while its answers to reads still claim the primary role.
+func TestDemotedPrimaryMustTakeAWrite(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.submit(newRequest("w1", "once"))
+	front.submit(newRequest("r1", "fresh"))
+	front.finish("w1", 0, Result{Ending: NotEligible, Note: Report{Position: front.now, Role: Replica}})
+	front.advance(100)
+	front.finish("r1", 0, Result{Note: Report{Position: front.now, Role: Primary}})
+	front.submit(newRequest("r2", "fresh"))
+	if !front.waiting("r2") {
+		t.Fatal("a fresh read relied on a primary that had denied its role")
 	}
 	for range 8 {
-		w.pass(500)
-		w.hear(1, w.now, Primary)
-		if p := w.requests["w1"]; len(p.attempts) > 1 {
-			if !w.held("r2") {
-				t.Fatal("a fresh read went along with the write that was to prove the role")
+		front.advance(500)
+		front.report(1, front.now, Primary)
+		if tracked := front.requests["w1"]; len(tracked.attempts) > 1 {
+			if !front.waiting("r2") {
+				t.Fatal("a fresh read was sent before the write that confirms the role was answered")
 			}
-			w.back("w1", 1, Result{Note: Report{Position: w.now, Role: Primary}})
+			front.finish("w1", 1, Result{Note: Report{Position: front.now, Role: Primary}})
 			break
 		}
 	}
-	if w.held("r2") {
-		t.Error("the role was not believed after a write was taken")
+	if front.waiting("r2") {
+		t.Error("the role was not accepted after a write was served")
 	}
 }
 
-// A numbered request that may have run waited past the time for which its repeats are dropped.
-func TestNumberedJobKeepsItsWindow(t *testing.T) {
-	w := three(t, testSettings())
-	in := ask("m", "marked")
+// TestKeyedWriteKeepsItsWindow guards against a keyed write that may have run and waits past the time for which
+// its repeats are dropped.
+func TestKeyedWriteKeepsItsWindow(t *testing.T) {
+	front := threeStores(t, testSettings())
+	in := newRequest("m", "marked")
 	in.Left = 30000
-	w.take(in)
-	w.pass(100)
-	w.back("m", 0, Result{Ending: Failed, Note: Report{Position: w.now, Role: Primary}})
-	w.list(ListChanges, Member{Store: 1, Group: 9, Zone: "a", Condition: Draining, Size: 1})
-	w.pass(testSettings().Classes[5].Window)
-	w.hear(2, w.now, Primary)
-	if w.requests["m"].final != 1 {
-		t.Error("the job outlived its window")
+	front.submit(in)
+	front.advance(100)
+	front.finish("m", 0, Result{Ending: Failed, Note: Report{Position: front.now, Role: Primary}})
+	front.updateMembers(ListChanges, Member{Store: 1, Group: 9, Zone: "a", Condition: Draining, Size: 1})
+	front.advance(testSettings().Classes[5].Window)
+	front.report(2, front.now, Primary)
+	if front.requests["m"].finals != 1 {
+		t.Error("the request outlived its window")
 	}
 }
 
-// Attempts whose answers were lost filled a member's limit until their clients gave up, and counted as load.
+// TestLostAnswersAreNotLoad guards against attempts whose answers are lost: they filled a member's limit until
+// their clients gave up, and counted as load.
 func TestLostAnswersAreNotLoad(t *testing.T) {
-	w := three(t, testSettings())
-	w.take(ask("a", "marked"))
-	w.pass(10)
-	w.take(ask("b", "marked"))
-	w.back("b", 0, Result{Note: Report{Position: w.now, Role: Primary}})
-	w.b.members[0].strain = 0.21
-	limit := w.b.members[0].limit
-	w.pass(second / 2)
-	if w.back("a", 0, Result{Ending: TimedOut}); w.b.members[0].limit != limit {
-		t.Error("a trip that a later one overtook counted as load")
+	front := threeStores(t, testSettings())
+	front.submit(newRequest("a", "marked"))
+	front.advance(10)
+	front.submit(newRequest("b", "marked"))
+	front.finish("b", 0, Result{Note: Report{Position: front.now, Role: Primary}})
+	front.balancer.members[0].latencyRatio = 0.21
+	limit := front.balancer.members[0].limit
+	front.advance(second / 2)
+	if front.finish("a", 0, Result{Ending: TimedOut}); front.balancer.members[0].limit != limit {
+		t.Error("an attempt that a later one overtook counted as load")
 	}
 	for n := range 40 {
-		in := ask(fmt.Sprint("w", n), "marked")
+		in := newRequest(fmt.Sprint("w", n), "marked")
 		in.Left = 30000
-		w.take(in)
+		front.submit(in)
 	}
-	first := len(w.b.groups[0].held)
-	w.pass(second)
-	w.hear(1, w.now, Primary)
-	if got := len(w.b.groups[0].held); first == 0 || got >= first {
-		t.Errorf("%d of %d writes are still held while none of the first comes back", got, first)
+	first := len(front.balancer.groups[0].waiting)
+	front.advance(second)
+	front.report(1, front.now, Primary)
+	if got := len(front.balancer.groups[0].waiting); first == 0 || got >= first {
+		t.Errorf("%d of %d writes are still waiting while none of the first returns", got, first)
 	}
 }
 
-// A store that took no connection was always held for a cold one, though its log moved on meanwhile.
+// TestFewConnectionsAreNoRestart guards against treating a store that refuses connections as restarted,
+// although its log moved on meanwhile.
 func TestFewConnectionsAreNoRestart(t *testing.T) {
-	w := three(t, testSettings())
-	m := &w.b.members[0]
+	front := threeStores(t, testSettings())
+	member := &front.balancer.members[0]
 	for _, behind := range []Time{0, 100} {
 		id := fmt.Sprint("w", behind)
-		w.take(ask(id, "once"))
-		w.back(id, 0, Result{Ending: ConnectFailed})
-		w.hear(1, w.now-behind, Primary)
-		if alive := behind == 0; alive != (m.started == 0) || alive && w.b.scarce != w.now {
-			t.Errorf("log %d behind after a refused connection: started %d, scarce %d", behind, m.started, w.b.scarce)
+		front.submit(newRequest(id, "once"))
+		front.finish(id, 0, Result{Ending: ConnectFailed})
+		front.report(1, front.now-behind, Primary)
+		if alive := behind == 0; alive != (member.startedAt == 0) || alive && front.balancer.connectionsScarceAt != front.now {
+			t.Errorf("log %d behind after a refused connection: started %d, scarce %d", behind, member.startedAt, front.balancer.connectionsScarceAt)
 		}
-		m.shut, m.position = 0, 0
+		member.backoffUntil, member.position = 0, 0
 	}
 }
 
-// Lagging replicas sent all reads to the primary, however late it answered.
-// TestLostConnectionsAreNoRestart: a connection from before that still answers shows that the store lived on; that
-// it takes few connections is believed only if it refused more than one.
+// TestLostConnectionsAreNoRestart checks that an answer on a connection from before the failure shows that the
+// store did not restart. The store is taken to be short of connections only if it refused more than one.
 func TestLostConnectionsAreNoRestart(t *testing.T) {
 	for _, c := range []struct {
-		refused      int
-		kept         bool
-		scarce, anew bool
+		refused           int
+		kept              bool
+		scarce, restarted bool
 	}{{1, true, false, false}, {1, false, false, true}, {3, true, true, false}} {
-		w := three(t, testSettings())
-		m, up := &w.b.members[0], w.now
-		w.pass(200)
+		front := threeStores(t, testSettings())
+		member, up := &front.balancer.members[0], front.now
+		front.advance(200)
 		for n := range c.refused {
 			id := fmt.Sprint("w", n)
-			m.shut, m.suspect = 0, false
-			w.take(ask(id, "once"))
-			w.back(id, 0, Result{Ending: ConnectFailed})
-			w.b.ClientGone(w.now, id)
+			member.backoffUntil, member.suspect = 0, false
+			front.submit(newRequest(id, "once"))
+			front.finish(id, 0, Result{Ending: ConnectFailed})
+			front.balancer.ClientGone(front.now, id)
 		}
-		w.pass(100)
+		front.advance(100)
 		if !c.kept {
-			up = w.now
+			up = front.now
 		}
-		w.b.ProbeDone(w.now, 1, Result{Load: Report{Position: w.now - 2000, Role: Primary}, Since: up})
-		if anew, scarce := m.started > 0, w.b.scarce > 0; anew != c.anew || scarce != c.scarce {
-			t.Errorf("%+v: taken for a new start %v, for one with few connections %v", c, anew, scarce)
+		front.balancer.ProbeDone(front.now, 1, Result{Load: Report{Position: front.now - 2000, Role: Primary}, Since: up})
+		if restarted, scarce := member.startedAt > 0, front.balancer.connectionsScarceAt > 0; restarted != c.restarted || scarce != c.scarce {
+			t.Errorf("%+v: taken to be restarted %v, to be short of connections %v", c, restarted, scarce)
 		}
 	}
 }
 
-// TestFurtherTrips: two, and under overload none, but what broke off far sooner than an answer comes is free.
-func TestFurtherTrips(t *testing.T) {
+// TestRepeatLimit checks that a request is repeated at most twice, and not at all under overload. Attempts that
+// break off far sooner than an answer could come do not count.
+func TestRepeatLimit(t *testing.T) {
 	for _, c := range []struct {
-		crowded  bool
+		overload bool
 		took     Time
 		attempts int
 	}{{false, 500, 3}, {true, 500, 1}, {true, 1, 6}} {
-		w := three(t, testSettings())
-		if c.crowded {
-			w.b.overload()
+		front := threeStores(t, testSettings())
+		if c.overload {
+			front.balancer.recordOverload()
 		}
-		p := w.take(ask("any", "any"))
-		for p.final == 0 {
-			w.pass(c.took)
-			w.back("any", len(p.attempts)-1, Result{Ending: ConnectionLost})
-			for p.final == 0 && !p.attempts[len(p.attempts)-1].out {
-				for i := range w.b.members {
-					w.b.members[i].shut, w.b.members[i].position = 0, w.now
+		tracked := front.submit(newRequest("any", "any"))
+		for tracked.finals == 0 {
+			front.advance(c.took)
+			front.finish("any", len(tracked.attempts)-1, Result{Ending: ConnectionLost})
+			for tracked.finals == 0 && !tracked.attempts[len(tracked.attempts)-1].inFlight {
+				for i := range front.balancer.members {
+					front.balancer.members[i].backoffUntil, front.balancer.members[i].position = 0, front.now
 				}
-				w.b.release(0)
+				front.balancer.dispatchWaiting(0)
 			}
 		}
-		if len(p.attempts) != c.attempts {
-			t.Errorf("%+v: %d trips", c, len(p.attempts))
+		if len(tracked.attempts) != c.attempts {
+			t.Errorf("%+v: %d attempts", c, len(tracked.attempts))
 		}
 	}
 }
 
+// TestReadsSpillByTheirOdds guards against lagging replicas that cause all reads to go to the primary, however
+// late it answers.
 func TestReadsSpillByTheirOdds(t *testing.T) {
-	w := three(t, testSettings())
+	front := threeStores(t, testSettings())
 	spilled := 0
 	for n := range 40 {
-		w.hear(1, w.now, Primary)
-		w.b.members[1].position, w.b.members[2].position, w.b.members[0].limit = 1, 1, 8
+		front.report(1, front.now, Primary)
+		front.balancer.members[1].position, front.balancer.members[2].position, front.balancer.members[0].limit = 1, 1, 8
 		id := fmt.Sprint("r", n)
-		if w.take(ask(id, "bounded")); !w.held(id) {
+		if front.submit(newRequest(id, "bounded")); !front.waiting(id) {
 			spilled++
-			w.pass(4000)
-			w.back(id, 0, Result{Note: Report{Position: w.now, Role: Primary}})
+			front.advance(4000)
+			front.finish(id, 0, Result{Note: Report{Position: front.now, Role: Primary}})
 		}
 	}
 	if spilled < 5 || spilled > 20 {
@@ -306,546 +322,568 @@
 	}
 }
 
-// Hundreds of fronts with an attempt each pushed a cold store over; what all send together is held against the rule.
+// TestManyFrontsBeforeAColdStore guards against hundreds of fronts that overload a cold store with one attempt
+// each. It checks the sum over all fronts.
 func TestManyFrontsBeforeAColdStore(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 200
-	sent, warm := 0, Time(c.ColdOverloadSpan/2)
-	for k := range c.Fronts {
-		c.Seed = uint64(k)*7919 + 1
-		w := newWorld(t, c)
-		w.list(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: w.now})
+	settings := testSettings()
+	settings.Fronts = 200
+	sent, warm := 0, Time(settings.ColdOverloadSpan/2)
+	for k := range settings.Fronts {
+		settings.Seed = uint64(k)*7919 + 1
+		front := newModelFront(t, settings)
+		front.updateMembers(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: front.now})
 		for n := range 3 {
-			w.take(ask(fmt.Sprint("w", n), "once"))
-			w.pass(warm / 3)
+			front.submit(newRequest(fmt.Sprint("w", n), "once"))
+			front.advance(warm / 3)
 		}
-		sent += len(w.stores[1].sends)
+		sent += len(front.stores[1].sentAt)
 	}
 	if sent == 0 || sent > 16 {
-		t.Errorf("200 fronts with three held writes each sent a cold store %d in half a span", sent)
+		t.Errorf("200 fronts with three waiting writes each sent a cold store %d attempts in half a span", sent)
 	}
 }
 
-// TestWonChanceOutlastsAProbe: a read that asked a cold store for its position had to win its chance there again once
-// the answer came, for the beat in between cut it back to what is saved up in half a span.
-func TestWonChanceOutlastsAProbe(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 200
-	w := newWorld(t, c)
-	w.list(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: w.now})
-	m, p := &w.b.members[0], &w.b.classes[0]
-	for k := 0; k < 1<<16 && !w.b.room(m, p); k++ {
-		m.budget = p.typical / 32
+// TestWonBudgetOutlastsAProbe guards against a read that probes a cold store and then has to win the random
+// draw for it a second time, because the tick in between has cut the budget back to what half a span adds.
+func TestWonBudgetOutlastsAProbe(t *testing.T) {
+	settings := testSettings()
+	settings.Fronts = 200
+	front := newModelFront(t, settings)
+	front.updateMembers(ListCached, Member{Store: 1, Group: 9, Condition: Ready, Primary: true, Size: 1, Started: front.now})
+	member, class := &front.balancer.members[0], &front.balancer.classes[0]
+	for k := 0; k < 1<<16 && !front.balancer.hasCapacity(member, class); k++ {
+		member.coldBudget = class.typicalTime / 32
 	}
-	w.pass(w.b.quickest / 10)
-	if !w.b.room(m, p) || m.budget < p.typical {
-		t.Errorf("of a chance of %.0f that was won %.0f are left when the answer comes", p.typical, m.budget)
+	front.advance(front.balancer.shortestExpected / 10)
+	if !front.balancer.hasCapacity(member, class) || member.coldBudget < class.typicalTime {
+		t.Errorf("of a budget of %.0f that was won, %.0f is left when the answer comes", class.typicalTime, member.coldBudget)
 	}
-	w.pass(2 * w.b.quickest)
-	if most := p.typical / 2; m.budget > most {
-		t.Errorf("it stands for good: %.0f", m.budget)
+	front.advance(2 * front.balancer.shortestExpected)
+	if most := class.typicalTime / 2; member.coldBudget > most {
+		t.Errorf("the won budget does not expire: %.0f", member.coldBudget)
 	}
 }
 
-// An attempt from each of many fronts crowds a store, so under a limit of one a front rests; good answers end that.
-func TestFrontsRestUnderOneTrip(t *testing.T) {
-	c := testSettings()
-	c.Fronts = 240
-	w := three(t, c)
+// TestFrontsPauseBelowLimitOfOne checks that fronts pause between attempts while their limit is below one, as
+// an attempt from each of many fronts overloads a store, and that good answers end this.
+func TestFrontsPauseBelowLimitOfOne(t *testing.T) {
+	settings := testSettings()
+	settings.Fronts = 240
+	front := threeStores(t, settings)
 	for n := range 10 {
-		w.take(ask(fmt.Sprint("w", n), "once"))
+		front.submit(newRequest(fmt.Sprint("w", n), "once"))
 	}
-	if n := len(w.stores[1].sends); n == 0 || n > 2 {
-		t.Errorf("%d of 10 writes went at once", n)
+	if n := len(front.stores[1].sentAt); n == 0 || n > 2 {
+		t.Errorf("%d of 10 writes were sent at once", n)
 	}
 	for range 40 {
-		w.take(ask(fmt.Sprint("w", w.now), "once"))
-		w.pass(second / 10)
-		for _, id := range w.order {
-			if p := w.requests[id]; len(p.attempts) > 0 && p.attempts[0].out {
-				w.back(id, 0, Result{Note: Report{Position: w.now, Role: Primary}})
+		front.submit(newRequest(fmt.Sprint("w", front.now), "once"))
+		front.advance(second / 10)
+		for _, id := range front.order {
+			if tracked := front.requests[id]; len(tracked.attempts) > 0 && tracked.attempts[0].inFlight {
+				front.finish(id, 0, Result{Note: Report{Position: front.now, Role: Primary}})
 			}
 		}
-		w.hear(1, w.now, Primary)
+		front.report(1, front.now, Primary)
 	}
-	if n := len(w.stores[1].sends); n < 40 {
-		t.Errorf("%d of 50 writes went after good answers", n)
+	if n := len(front.stores[1].sentAt); n < 40 {
+		t.Errorf("%d of 50 writes were sent after good answers", n)
 	}
 }
 
-// A last try has all the time that is left, more than a first one; first tries were then refused on arrival.
-func TestFirstTriesAreNotTakenForFurtherOnes(t *testing.T) {
-	w := three(t, testSettings())
+// TestFirstTriesAreNotTakenForRetries guards against first tries that are refused on arrival. A client's last
+// try has all the time that is left, which is more than a first one has.
+func TestFirstTriesAreNotTakenForRetries(t *testing.T) {
+	front := threeStores(t, testSettings())
 	for n := range 20 {
-		in := ask(fmt.Sprint("j", n), "any")
+		in := newRequest(fmt.Sprint("j", n), "any")
 		if in.Left = 4000; n%5 == 4 {
 			in.Left = 8000
 		}
-		w.take(in)
-		if j := w.b.requests[w.b.requestOf[in.ID]]; (n%5 == 4) != (j.wanted < j.came) {
-			t.Errorf("job %d with %d left is wanted %d after it came", n, in.Left, j.wanted-j.came)
+		front.submit(in)
+		if req := front.balancer.requests[front.balancer.requestOf[in.ID]]; (n%5 == 4) != (req.expectedBy < req.arrivedAt) {
+			t.Errorf("request %d with %d left is expected %d after it arrived", n, in.Left, req.expectedBy-req.arrivedAt)
 		}
 	}
 }
 
-// All stores were listed as gone while they served; a drain that was told binds all the same.
-func TestListThatCallsAllGone(t *testing.T) {
-	c := testSettings()
-	c.OnlyDrainingBinds = true
-	w := three(t, c)
-	w.list(ListChanges, Member{Store: 3, Group: 9, Condition: Draining, Size: 1})
-	w.list(ListFull, Member{Store: 1, Group: 9, Size: 1}, Member{Store: 2, Group: 9, Size: 1}, Member{Store: 3, Group: 9})
-	w.take(ask("r0", "any"))
-	if w.at(t, "r0") == 3 || w.b.members[0].open == w.b.members[2].open {
-		t.Error("stores called gone ought to serve, the drained one ought not")
+// TestListThatReportsAllStoresGone guards against a list that reports all stores as gone while they serve. A
+// drain that was reported has to bind all the same.
+func TestListThatReportsAllStoresGone(t *testing.T) {
+	settings := testSettings()
+	settings.OnlyDrainingBinds = true
+	front := threeStores(t, settings)
+	front.updateMembers(ListChanges, Member{Store: 3, Group: 9, Condition: Draining, Size: 1})
+	front.updateMembers(ListFull, Member{Store: 1, Group: 9, Size: 1}, Member{Store: 2, Group: 9, Size: 1}, Member{Store: 3, Group: 9})
+	front.submit(newRequest("r0", "any"))
+	if front.lastStore(t, "r0") == 3 || front.balancer.members[0].accepting == front.balancer.members[2].accepting {
+		t.Error("stores reported gone must serve, and the drained one must not")
 	}
 }
 
-// TestStoresReplacedForGood: one gone for a cold time leaves no trace, and the new one has nothing of it.
+// TestStoresReplacedForGood checks that a store that has been gone for the warm-up time leaves no state, and
+// that the new store in its slot inherits none.
 func TestStoresReplacedForGood(t *testing.T) {
 	for _, onlyDrains := range []bool{false, true} {
-		c := testSettings()
-		c.OnlyDrainingBinds = onlyDrains
-		w := newWorld(t, c)
+		settings := testSettings()
+		settings.OnlyDrainingBinds = onlyDrains
+		front := newModelFront(t, settings)
 		last := Member{}
 		for n := range uint32(60) {
 			m := Member{Store: n, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1}
-			w.list(ListChanges, m)
+			front.updateMembers(ListChanges, m)
 			if last.Condition = Gone; n > 0 {
-				w.list(ListChanges, last)
+				front.updateMembers(ListChanges, last)
 			}
 			last = m
-			w.pass(c.WarmupTime / 2)
+			front.advance(settings.WarmupTime / 2)
 		}
-		if len(w.b.members) > 6 || len(w.b.memberOf) > 6 || len(w.b.groups[0].members) > 6 {
-			t.Errorf("%d members, %d known, %d in the group", len(w.b.members), len(w.b.memberOf), len(w.b.groups[0].members))
+		if len(front.balancer.members) > 6 || len(front.balancer.memberOf) > 6 || len(front.balancer.groups[0].members) > 6 {
+			t.Errorf("%d members, %d known, %d in the group", len(front.balancer.members), len(front.balancer.memberOf), len(front.balancer.groups[0].members))
 		}
-		w.hear(last.Store, w.now, Primary)
-		if w.take(ask("once", "once")); len(w.requests["once"].attempts) != 1 || w.requests["once"].attempts[0].store != last.Store {
-			t.Errorf("a write went to %+v", w.requests["once"].attempts)
+		front.report(last.Store, front.now, Primary)
+		if front.submit(newRequest("once", "once")); len(front.requests["once"].attempts) != 1 || front.requests["once"].attempts[0].store != last.Store {
+			t.Errorf("a write went to %+v", front.requests["once"].attempts)
 		}
 	}
 }
 
+// TestProbesKeepToTheirPrice checks that a front without requests sends few probes, and that a reported position
+// from the future is ignored.
 func TestProbesKeepToTheirPrice(t *testing.T) {
-	w := three(t, testSettings())
-	w.pass(20 * second)
-	if n := len(w.probes); n > 3 {
-		t.Errorf("%d probes in 20 s without a job", n)
-	}
-	w.b.ProbeDone(w.now, 2, Result{Load: Report{w.now + second, Replica}})
-	if w.b.members[1].position > w.now {
-		t.Error("a position from a time to come was believed")
-	}
-}
-
-// TestSearchForAPrimaryKeepsToWhatWaits: three hundred fronts that each held one write asked every member of its group
-// every half beat and then ever more seldom, at a cost far above that write's credit.
-func TestSearchForAPrimaryKeepsToWhatWaits(t *testing.T) {
-	c := testSettings()
-	c.ProbePrice = 0.08
-	w := three(t, c)
-	w.take(ask("w", "once"))
-	w.back("w", 0, Result{Ending: NotEligible, Note: Report{Position: w.now, Role: Replica}})
-	w.probes = nil
+	front := threeStores(t, testSettings())
+	front.advance(20 * second)
+	if n := len(front.probes); n > 3 {
+		t.Errorf("%d probes in 20 s without a request", n)
+	}
+	front.balancer.ProbeDone(front.now, 2, Result{Load: Report{front.now + second, Replica}})
+	if front.balancer.members[1].position > front.now {
+		t.Error("a position from the future was accepted")
+	}
+}
+
+// TestPrimarySearchIsBoundedByWaitingCredit guards against a search that costs more than the waiting requests
+// earn: three hundred fronts with one waiting write each probed every member of its group every half tick, and
+// later less and less often, at a cost far above that write's credit.
+func TestPrimarySearchIsBoundedByWaitingCredit(t *testing.T) {
+	settings := testSettings()
+	settings.ProbePrice = 0.08
+	front := threeStores(t, settings)
+	front.submit(newRequest("w", "once"))
+	front.finish("w", 0, Result{Ending: NotEligible, Note: Report{Position: front.now, Role: Replica}})
+	front.probes = nil
 	for range 30 {
-		w.pass(1000)
-		for _, store := range w.ids {
-			w.hear(store, w.now, Replica)
+		front.advance(1000)
+		for _, store := range front.storeIDs {
+			front.report(store, front.now, Replica)
 		}
 	}
 	credit, mean := 4.0, (1+2+1+1+4+4)/6.0
-	if most := 1 + int(searchBudget*credit/mean/c.ProbePrice); len(w.probes) > most || len(w.probes) == 0 {
-		t.Errorf("%d probes for one write that waits, %d are paid for", len(w.probes), most)
+	if most := 1 + int(searchBudget*credit/mean/settings.ProbePrice); len(front.probes) > most || len(front.probes) == 0 {
+		t.Errorf("%d probes for one waiting write, its credit pays for %d", len(front.probes), most)
 	}
 }
 
-func TestProbeThatNeverLeftBlamesNoStore(t *testing.T) {
-	w := three(t, testSettings())
-	for _, store := range w.ids {
-		w.b.ProbeDone(w.now, store, Result{Ending: NotSent})
+// TestUnsentProbeDoesNotSuspectStore checks that a store is suspected if it does not answer a probe, but not if the
+// front could not send the probe.
+func TestUnsentProbeDoesNotSuspectStore(t *testing.T) {
+	front := threeStores(t, testSettings())
+	for _, store := range front.storeIDs {
+		front.balancer.ProbeDone(front.now, store, Result{Ending: NotSent})
 	}
-	w.take(ask("a", "any"))
-	if w.held("a") {
-		t.Error("a front that could not ask takes its stores for silent")
+	front.submit(newRequest("a", "any"))
+	if front.waiting("a") {
+		t.Error("a front that could not send its probes suspects its stores")
 	}
-	for _, store := range w.ids {
-		w.b.ProbeDone(w.now, store, Result{Ending: TimedOut})
+	for _, store := range front.storeIDs {
+		front.balancer.ProbeDone(front.now, store, Result{Ending: TimedOut})
 	}
-	w.take(ask("b", "any"))
-	if !w.held("b") {
+	front.submit(newRequest("b", "any"))
+	if !front.waiting("b") {
 		t.Error("stores that did not answer are still used")
 	}
 }
 
+// TestWatchIsRenewed checks that the list is requested at once after a watch breaks, and less and less often after
+// calls that fail.
 func TestWatchIsRenewed(t *testing.T) {
-	c := testSettings()
-	c.ListPushed = false
-	w := three(t, c)
-	w.pass(c.ListInterval / 8)
-	w.b.UpdateMembers(w.now, ListFailed, nil)
-	w.pass(c.ListInterval / 4)
-	if w.watches != 2 {
-		t.Errorf("%d calls after one failed", w.watches)
-	}
-	w.list(ListFull, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1})
-	before := w.watches
-	w.b.UpdateMembers(w.now, ListFailed, nil)
-	if w.pass(c.ListInterval / 100); w.watches != before+1 { // a tenth of a second here
-		t.Error("the first call after a watch broke does not follow at once")
+	settings := testSettings()
+	settings.ListPushed = false
+	front := threeStores(t, settings)
+	front.advance(settings.ListInterval / 8)
+	front.balancer.UpdateMembers(front.now, ListFailed, nil)
+	front.advance(settings.ListInterval / 4)
+	if front.listCalls != 2 {
+		t.Errorf("%d calls for the list after one failed", front.listCalls)
+	}
+	front.updateMembers(ListFull, Member{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1})
+	before := front.listCalls
+	front.balancer.UpdateMembers(front.now, ListFailed, nil)
+	if front.advance(settings.ListInterval / 100); front.listCalls != before+1 { // 0.1 s with these settings
+		t.Error("the first call after a broken watch does not follow at once")
 	}
 	for range 3 {
-		w.b.UpdateMembers(w.now, ListFailed, nil)
+		front.balancer.UpdateMembers(front.now, ListFailed, nil)
 	}
-	if w.pass(c.ListInterval / 32); w.watches != before+1 {
-		t.Error("calls that fail are not spaced")
+	if front.advance(settings.ListInterval / 32); front.listCalls != before+1 {
+		t.Error("failed calls are not spaced out")
 	}
 }
 
+// TestSettingsRefused checks that the error for a class out of range names the class.
 func TestSettingsRefused(t *testing.T) {
-	c := testSettings()
-	c.Classes[1].Bound = -1
-	if _, err := New(0, c, &world{t: t}); err == nil || !strings.Contains(err.Error(), "bounded") {
+	settings := testSettings()
+	settings.Classes[1].Bound = -1
+	if _, err := New(0, settings, &modelFront{t: t}); err == nil || !strings.Contains(err.Error(), "bounded") {
 		t.Errorf("negative bound: %v", err)
 	}
 }
 
+// TestOrdinaryPathAllocatesNothing checks that a request that is sent and answered at once allocates no memory.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	w := three(t, testSettings())
-	f := &still{}
-	w.b.front = f
-	in := ask("j", "session")
+	front := threeStores(t, testSettings())
+	f := &lastSendFront{}
+	front.balancer.front = f
+	in := newRequest("j", "session")
 	in.Session = strings.Repeat("s", 64)
-	note := Result{Done: true, Note: Report{Position: w.now, Role: Replica}}
+	note := Result{Done: true, Note: Report{Position: front.now, Role: Replica}}
 	if n := testing.AllocsPerRun(1000, func() {
-		if err := w.b.Submit(w.now, in); err != nil {
+		if err := front.balancer.Submit(front.now, in); err != nil {
 			t.Fatal(err)
 		}
-		w.b.AttemptDone(w.now, "j", 0, f.store, note)
+		front.balancer.AttemptDone(front.now, "j", 0, f.store, note)
 	}); n != 0 {
-		t.Errorf("a job in, a trip out and an answer in allocate %v times", n)
+		t.Errorf("a request, an attempt and its answer allocate %v times", n)
 	}
 }
 
-// still is a front that only remembers where the last attempt went.
-type still struct {
-	*world
+// lastSendFront is a Front that only remembers the store of the last attempt.
+type lastSendFront struct {
+	*modelFront
 	store uint32
 }
 
-func (s *still) Send(id string, store uint32, until, _ Time) { s.store = store }
+func (s *lastSendFront) Send(id string, store uint32, until, _ Time) { s.store = store }
 
-// drive plays a generated day and returns what was done.
-func drive(t testing.TB, seed uint64, shape uint8) []string {
+// runScenario plays random events, with settings by the bits of shape, and returns the log of events and
+// actions.
+func runScenario(t testing.TB, seed uint64, shape uint8) []string {
 	r := rand.New(rand.NewPCG(seed, uint64(shape)))
-	c := testSettings()
-	c.FencesCarried, c.ListPushed, c.StoresCheckReads, c.OnlyDrainingBinds = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
-	c.Fronts, c.Seed = 1+int(shape&16)*6, seed
-	w := newWorld(t, c)
+	settings := testSettings()
+	settings.FencesCarried, settings.ListPushed, settings.StoresCheckReads, settings.OnlyDrainingBinds = shape&1 == 0, shape&2 == 0, shape&4 != 0, shape&8 != 0
+	settings.Fronts, settings.Seed = 1+int(shape&16)*6, seed
+	front := newModelFront(t, settings)
 	conditions := []Condition{Ready, Ready, Ready, Ready, Ready, Ready, Ready, Draining, Gone}
-	base := 100
+	firstStore := 100
 	member := func(i int) Member {
-		i += base
+		i += firstStore
 		m := Member{Store: uint32(i), Group: uint64(i % 2), Zone: "a", Condition: conditions[r.IntN(9)],
 			Primary: r.IntN(4) == 0, Size: 1 + float64(i%3)}
 		if r.IntN(4) == 0 {
-			m.Started = w.now - Time(r.IntN(120000))
+			m.Started = front.now - Time(r.IntN(120000))
 		}
 		return m
 	}
-	whole := func(news ListKind) {
+	fullList := func(news ListKind) {
 		var all []Member
 		for i := range 8 {
 			if r.IntN(8) > 0 {
 				all = append(all, member(i))
 			}
 		}
-		w.list(news, all...)
+		front.updateMembers(news, all...)
 	}
-	whole(ListCached)
+	fullList(ListCached)
 	report := func() Report {
-		return Report{Position: w.now - Time(r.IntN(6000)), Role: Role(r.IntN(3))}
+		return Report{Position: front.now - Time(r.IntN(6000)), Role: Role(r.IntN(3))}
 	}
 	for n := range 1500 {
 		switch k := r.IntN(20); {
 		case k < 6:
-			in := ask(fmt.Sprint("j", n), w.settings.Classes[r.IntN(len(w.settings.Classes))].Name)
+			in := newRequest(fmt.Sprint("j", n), front.settings.Classes[r.IntN(len(front.settings.Classes))].Name)
 			in.Group, in.Session, in.Left = uint64(r.IntN(2)), fmt.Sprint("s", r.IntN(9)), Time(r.IntN(12000))
 			if r.IntN(2) == 0 {
 				in.WriteAge = Time(r.IntN(8000))
 			}
-			w.take(in)
+			front.submit(in)
 		case k < 13:
-			if id, i, ok := w.out(r); ok {
+			if id, i, ok := front.randomInFlight(r); ok {
 				ending := Served
 				if r.IntN(3) == 0 {
 					ending = Ending(r.IntN(int(Cancelled) + 1))
 				}
-				back := Result{Ending: ending}
-				if ending <= Overloaded || ending == Failed { // only a store's own answer bears a note
-					back.Note = report()
+				result := Result{Ending: ending}
+				if ending <= Overloaded || ending == Failed { // only an answer of the store itself has a Note
+					result.Note = report()
 				}
-				w.back(id, i, back)
+				front.finish(id, i, result)
 				if r.IntN(9) == 0 { // a repeated result changes nothing
-					w.b.AttemptDone(w.now, id, i, w.requests[id].attempts[i].store, Result{Ending: Failed})
+					front.balancer.AttemptDone(front.now, id, i, front.requests[id].attempts[i].store, Result{Ending: Failed})
 				}
 			}
-		case k < 15 && len(w.ids) > 0:
-			w.hear(w.ids[r.IntN(len(w.ids))], w.now-Time(r.IntN(4000)), Role(r.IntN(3)))
+		case k < 15 && len(front.storeIDs) > 0:
+			front.report(front.storeIDs[r.IntN(len(front.storeIDs))], front.now-Time(r.IntN(4000)), Role(r.IntN(3)))
 		case k == 15 && r.IntN(4) == 0:
-			base += r.IntN(4) / 3 * 2 // some are replaced for good
-			whole(ListFull)
+			firstStore += r.IntN(4) / 3 * 2 // some stores are replaced for good
+			fullList(ListFull)
 		case k == 15:
-			w.list(ListChanges, member(r.IntN(9)))
-		case k == 16 && len(w.order) > 0:
-			if p := w.requests[w.order[r.IntN(len(w.order))]]; p.final == 0 {
-				p.final = 1
-				w.b.ClientGone(w.now, p.in.ID)
+			front.updateMembers(ListChanges, member(r.IntN(9)))
+		case k == 16 && len(front.order) > 0:
+			if tracked := front.requests[front.order[r.IntN(len(front.order))]]; tracked.finals == 0 {
+				tracked.finals = 1
+				front.balancer.ClientGone(front.now, tracked.request.ID)
 			}
 		case k == 17 && shape&128 != 0 && r.IntN(3) == 0:
-			w.configure(otherSettings(w.settings, r))
+			front.configure(otherSettings(front.settings, r))
 		case k == 17 && r.IntN(10) == 0:
-			w.pass(Time(r.IntN(60000)))
-		case k == 18 && len(w.ids) > 0 && shape&32 == 0: // what peers say, true or not
-			w.b.PeerPosition(w.now, w.ids[r.IntN(len(w.ids))], w.now-Time(r.IntN(2000)))
+			front.advance(Time(r.IntN(60000)))
+		case k == 18 && len(front.storeIDs) > 0 && shape&32 == 0: // positions reported by peers, true or not
+			front.balancer.PeerPosition(front.now, front.storeIDs[r.IntN(len(front.storeIDs))], front.now-Time(r.IntN(2000)))
 		case k == 18:
-			w.b.UpdateMembers(w.now, ListFailed, nil)
+			front.balancer.UpdateMembers(front.now, ListFailed, nil)
 		default:
-			w.pass(Time(r.IntN(400)))
+			front.advance(Time(r.IntN(400)))
 		}
 	}
-	w.pass(40000)
-	return w.log
+	front.advance(40000)
+	return front.log
 }
 
-// TestBudgetGrowsWhileAChanceStands: a chance that is won at a cold member must not stop what it is given anyway. Where few fronts send
-// much, it would get next to nothing for as long as it is taken to be cold.
-func TestBudgetGrowsWhileAChanceStands(t *testing.T) {
-	w := three(t, testSettings())
-	m := &w.b.members[2]
-	m.started, w.b.flow = w.now, 50
-	m.budget, m.won = 100, w.now
-	w.pass(2 * w.b.beat)
-	if m.budget < 1000 {
-		t.Errorf("a budget of 100 is %.0f after two beats", m.budget)
+// TestColdBudgetGrowsAfterAWin checks that a cold member's budget keeps growing after a random draw was won.
+// Without this, where few fronts send much, the member would get next to nothing for as long as it counts as
+// cold.
+func TestColdBudgetGrowsAfterAWin(t *testing.T) {
+	front := threeStores(t, testSettings())
+	member := &front.balancer.members[2]
+	member.startedAt, front.balancer.warmRate = front.now, 50
+	member.coldBudget, member.budgetWonAt = 100, front.now
+	front.advance(2 * front.balancer.tickInterval)
+	if member.coldBudget < 1000 {
+		t.Errorf("a budget of 100 is %.0f after two ticks", member.coldBudget)
 	}
-	m.budget, m.won = 1e9, w.now
-	if w.pass(w.b.quickest); m.budget > 1e8 {
-		t.Errorf("it grows without bound: %.0f", m.budget)
+	member.coldBudget, member.budgetWonAt = 1e9, front.now
+	if front.advance(front.balancer.shortestExpected); member.coldBudget > 1e8 {
+		t.Errorf("it grows without bound: %.0f", member.coldBudget)
 	}
 }
 
-// TestPeersVouch: a read goes to a replica that a peer says has passed its need, and its answer has to show that. One that
-// does not ends the trust for a cold time.
-func TestPeersVouch(t *testing.T) {
-	c := testSettings()
-	c.MayProbe = false
-	w := three(t, c)
-	w.pass(40000)
-	w.hear(1, w.now, Primary)
-	last := func(id string) *sending { n := w.requests[id].attempts; return n[len(n)-1] }
-	if w.take(ask("a", "bounded")); w.at(t, "a") != 1 {
-		t.Errorf("a read went to store %d, which nobody vouches for", w.at(t, "a"))
+// TestPeerPositions checks that a read goes to a replica that has passed the required position according to a
+// peer, and that its answer has to prove this. An answer that does not ends the trust in peers for the warm-up
+// time.
+func TestPeerPositions(t *testing.T) {
+	settings := testSettings()
+	settings.MayProbe = false
+	front := threeStores(t, settings)
+	front.advance(40000)
+	front.report(1, front.now, Primary)
+	last := func(id string) *modelAttempt { n := front.requests[id].attempts; return n[len(n)-1] }
+	if front.submit(newRequest("a", "bounded")); front.lastStore(t, "a") != 1 {
+		t.Errorf("a read went to store %d, for which no peer reported a position", front.lastStore(t, "a"))
 	}
-	w.back("a", 0, Result{Ending: Served, Note: Report{w.now, Primary}})
-	w.b.PeerPosition(w.now, 2, w.now)
-	if w.take(ask("b", "bounded")); w.at(t, "b") != 2 || last("b").least != w.now {
-		t.Errorf("a read went to store %d, and its answer has to show %d", w.at(t, "b"), last("b").least)
+	front.finish("a", 0, Result{Ending: Served, Note: Report{front.now, Primary}})
+	front.balancer.PeerPosition(front.now, 2, front.now)
+	if front.submit(newRequest("b", "bounded")); front.lastStore(t, "b") != 2 || last("b").minPosition != front.now {
+		t.Errorf("a read went to store %d, and its answer has to show %d", front.lastStore(t, "b"), last("b").minPosition)
 	}
-	w.back("b", 0, Result{Ending: Served, Note: Report{w.now - 30000, Replica}})
-	if w.at(t, "b") != 1 || w.requests["b"].final != 0 {
-		t.Errorf("after a stale answer it went to store %d", w.at(t, "b"))
+	front.finish("b", 0, Result{Ending: Served, Note: Report{front.now - 30000, Replica}})
+	if front.lastStore(t, "b") != 1 || front.requests["b"].finals != 0 {
+		t.Errorf("after a stale answer the read went to store %d", front.lastStore(t, "b"))
 	}
-	w.b.PeerPosition(w.now, 2, w.now)
-	if w.take(ask("c", "bounded")); w.at(t, "c") != 1 {
-		t.Error("one that lied is believed")
+	front.balancer.PeerPosition(front.now, 2, front.now)
+	if front.submit(newRequest("c", "bounded")); front.lastStore(t, "c") != 1 {
+		t.Error("a position is trusted from peers that reported a wrong one")
 	}
 }
 
+// FuzzRules checks the rules of the model on random events.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(32) {
 		f.Add(seed, uint8(seed))
-		f.Add(seed, uint8(seed)|128) // with changes of the settings
+		f.Add(seed, uint8(seed)|128) // with changes of the settings during the run
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, shape uint8) { drive(t, seed, shape) })
+	f.Fuzz(func(t *testing.T, seed uint64, shape uint8) { runScenario(t, seed, shape) })
 }
 
+// TestSameEventsSameActions checks that the decisions are deterministic: the same seed leads to the same log.
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := drive(t, 5, 0), drive(t, 5, 0)
+	a, b := runScenario(t, 5, 0), runScenario(t, 5, 0)
 	if strings.Join(a, "\n") != strings.Join(b, "\n") {
-		t.Error("the same events gave other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
-// TestOlderList: a list that has gone back was told before a drain, and would have opened the store again.
-func TestOlderList(t *testing.T) {
-	w := three(t, testSettings())
-	w.list(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
+// TestStaleList guards against a list that is older than a drain and would open the drained store again.
+func TestStaleList(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.updateMembers(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
 	old := []Member{{Store: 1, Group: 9, Zone: "a", Condition: Ready, Primary: true, Size: 1},
 		{Store: 2, Group: 9, Zone: "a", Condition: Ready, Size: 1}, {Store: 4, Group: 9, Zone: "a", Condition: Ready, Size: 1}}
-	w.b.UpdateMembers(w.now, ListStale, append([]Member(nil), old...))
+	front.balancer.UpdateMembers(front.now, ListStale, append([]Member(nil), old...))
 	for _, store := range []uint32{1, 2, 3, 4} {
-		if open := w.b.members[w.b.memberOf[store]].open; open != (store == 1 || store == 4) {
-			t.Errorf("store %d: open %v", store, open)
+		if open := front.balancer.members[front.balancer.memberOf[store]].accepting; open != (store == 1 || store == 4) {
+			t.Errorf("store %d: accepting %v", store, open)
 		}
 	}
-	old[1].Started = w.now // it drained, ended and has started anew
-	w.b.UpdateMembers(w.now, ListStale, append([]Member(nil), old...))
-	if !w.b.members[w.b.memberOf[2]].open {
-		t.Error("a store that has started since stays shut")
+	old[1].Started = front.now // it drained, stopped and has been restarted
+	front.balancer.UpdateMembers(front.now, ListStale, append([]Member(nil), old...))
+	if !front.balancer.members[front.balancer.memberOf[2]].accepting {
+		t.Error("a store that has restarted since is not accepted")
 	}
-	w.list(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
-	w.list(ListFull, old...)
-	if !w.b.members[w.b.memberOf[2]].open {
-		t.Error("a list that is not older does not open a store")
+	front.updateMembers(ListChanges, Member{Store: 2, Group: 9, Zone: "a", Condition: Draining, Size: 1})
+	front.updateMembers(ListFull, old...)
+	if !front.balancer.members[front.balancer.memberOf[2]].accepting {
+		t.Error("a list that is not stale does not open a store")
 	}
 }
 
-// TestDiscoveryIsAskedInTime: a front that may go without a list for long still has to know what discovery has had for six
-// seconds, however many calls failed before.
-func TestDiscoveryIsAskedInTime(t *testing.T) {
+// TestListIsRequestedInTime checks that a front that may go without a list for long still learns within six
+// seconds what discovery has, however many calls failed before.
+func TestListIsRequestedInTime(t *testing.T) {
 	for _, within := range []Time{20000, 100000, 3000000} {
-		c := testSettings()
-		c.ListInterval = within
-		w := three(t, c)
+		settings := testSettings()
+		settings.ListInterval = within
+		front := threeStores(t, settings)
 		for n := range 40 {
-			asked, at := w.watches, w.now
-			for w.b.UpdateMembers(w.now, ListFailed, nil); w.watches == asked && w.now < at+toldBy; {
-				w.pass(10)
+			asked, at := front.listCalls, front.now
+			for front.balancer.UpdateMembers(front.now, ListFailed, nil); front.listCalls == asked && front.now < at+discoveryDeadline; {
+				front.advance(10)
 			}
-			if gap := w.now - at; gap > toldBy/2+200 || n > 9 && gap < min(within/16, toldBy/8) {
-				t.Errorf("asked again %d after failure %d, where %d is allowed", gap, n, within)
+			if gap := front.now - at; gap > discoveryDeadline/2+200 || n > 9 && gap < min(within/16, discoveryDeadline/8) {
+				t.Errorf("list requested %d after failure %d, with an interval of %d", gap, n, within)
 			}
 		}
 	}
 }
 
-// TestAgentIsAskedWithinTheGrace: a front with an agent of its own asks it anew well inside the grace of a drain, from its
-// start and from each failure on, for as long as there is no list, and no more once there is one.
-func TestAgentIsAskedWithinTheGrace(t *testing.T) {
+// TestAgentIsPolledWithinTheGrace checks that a front with its own agent calls it well within the grace period
+// of a drain, from its start and after each failure, for as long as it has no list, and not after that.
+func TestAgentIsPolledWithinTheGrace(t *testing.T) {
 	for _, grace := range []Time{2500, 5000, 20000} {
-		c := testSettings()
-		c.ListInterval, c.AgentGrace, c.ListPushed = 100000, grace, true
-		w := three(t, c)
-		asked, last := w.watches, w.now
+		settings := testSettings()
+		settings.ListInterval, settings.AgentGrace, settings.ListPushed = 100000, grace, true
+		front := threeStores(t, settings)
+		asked, last := front.listCalls, front.now
 		for n := range 3000 {
 			if n == 1000 || n == 1010 || n == 1020 {
-				w.b.UpdateMembers(w.now, ListFailed, nil)
+				front.balancer.UpdateMembers(front.now, ListFailed, nil)
 			}
-			if w.pass(10); w.watches > asked {
-				asked, last = w.watches, w.now
+			if front.advance(10); front.listCalls > asked {
+				asked, last = front.listCalls, front.now
 			}
-			if w.now-last > grace/2+200 {
-				t.Fatalf("grace %d: no call for %d", grace, w.now-last)
+			if front.now-last > grace/2+200 {
+				t.Fatalf("grace %d: no call for %d", grace, front.now-last)
 			}
 		}
-		w.b.UpdateMembers(w.now, ListFull, nil)
-		if w.pass(100000); w.watches != asked {
-			t.Errorf("grace %d: %d calls while a watch stands", grace, w.watches-asked)
+		front.balancer.UpdateMembers(front.now, ListFull, nil)
+		if front.advance(100000); front.listCalls != asked {
+			t.Errorf("grace %d: %d calls while there is a watch", grace, front.listCalls-asked)
 		}
 	}
 }
 
-// TestRepeatInsideItsWindow: a repeat of what may have run is sent only while the way there, as long as such an attempt takes in
-// all, ends inside the window, and it may wait for a connection no longer than that.
+// TestRepeatInsideItsWindow checks that a request that may have run is repeated only if the time of a typical
+// attempt still fits into its window, and that the repeat waits for a connection no longer than that.
 func TestRepeatInsideItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after Time
 		again bool
 	}{{100, true}, {7100, true}, {7410, false}, {8900, false}} {
-		w := three(t, testSettings())
-		w.take(ask("m", "marked"))
-		w.pass(c.after)
-		w.back("m", 0, Result{Ending: ConnectionLost})
-		w.pass(210) // the store is shunned for a moment
-		if p := w.requests["m"]; len(p.attempts) > 1 != c.again || !c.again && p.final == 0 {
-			t.Errorf("after %d: %d trips, final %d", c.after, len(p.attempts), p.final)
+		front := threeStores(t, testSettings())
+		front.submit(newRequest("m", "marked"))
+		front.advance(c.after)
+		front.finish("m", 0, Result{Ending: ConnectionLost})
+		front.advance(210) // the store is avoided for a moment
+		if tracked := front.requests["m"]; len(tracked.attempts) > 1 != c.again || !c.again && tracked.finals == 0 {
+			t.Errorf("after %d: %d attempts, final %d", c.after, len(tracked.attempts), tracked.finals)
 		}
 	}
 }
 
-// TestReadThatWaitedTooLong: a read whose connection came up after what is known of its replica had grown too old is not
-// sent there, but placed anew: where something newer has been heard, or at the primary.
-func TestReadThatWaitedTooLong(t *testing.T) {
-	w := three(t, testSettings())
-	w.take(ask("r", "bounded"))
-	first := w.at(t, "r")
-	w.pass(2960)
-	w.hear(1, w.now, Primary)
-	w.back("r", 0, Result{Ending: NotSent})
-	if p := w.requests["r"]; p.final != 0 || first == 1 || !w.held("r") && len(p.attempts) > 1 && w.at(t, "r") == first {
-		t.Errorf("first to %d, then final %d, trips %d", first, p.final, len(p.attempts))
+// TestReadDelayedPastItsBound checks that a read is not sent if its replica's known position became too old
+// while it waited for a connection. It is placed again: where a newer position has been reported, or at the
+// primary.
+func TestReadDelayedPastItsBound(t *testing.T) {
+	front := threeStores(t, testSettings())
+	front.submit(newRequest("r", "bounded"))
+	first := front.lastStore(t, "r")
+	front.advance(2960)
+	front.report(1, front.now, Primary)
+	front.finish("r", 0, Result{Ending: NotSent})
+	if tracked := front.requests["r"]; tracked.finals != 0 || first == 1 || !front.waiting("r") && len(tracked.attempts) > 1 && front.lastStore(t, "r") == first {
+		t.Errorf("first store %d, then final %d, attempts %d", first, tracked.finals, len(tracked.attempts))
 	}
 }
 
-// TestFenceMovesWhileAReadWaits: where the front remembers fences, a write of the session that is answered while a read is
-// held, or waits for its connection, counts for the read as well.
+// TestFenceMovesWhileAReadWaits checks that, where the front remembers fences, a write of the session that is
+// answered while a read is queued or waits for its connection counts for the read too.
 func TestFenceMovesWhileAReadWaits(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
-	w := three(t, c)
-	write, read := ask("w", "once"), ask("r", "session")
+	settings := testSettings()
+	settings.FencesCarried = false
+	front := threeStores(t, settings)
+	write, read := newRequest("w", "once"), newRequest("r", "session")
 	write.Session, read.Session = "s", "s"
-	w.take(write)
-	w.take(read)
-	if at := w.at(t, "r"); at == 1 || !w.b.MaySend(w.now, "r") {
-		t.Fatalf("it went to %d", at)
+	front.submit(write)
+	front.submit(read)
+	if at := front.lastStore(t, "r"); at == 1 || !front.balancer.MaySend(front.now, "r") {
+		t.Fatalf("the read went to %d", at)
 	}
-	w.pass(100)
-	w.back("w", 0, Result{Note: Report{Position: w.now, Role: Primary}})
-	if w.b.MaySend(w.now, "r") {
-		t.Error("a read may set out to a replica that is not known to have its session's write")
+	front.advance(100)
+	front.finish("w", 0, Result{Note: Report{Position: front.now, Role: Primary}})
+	if front.balancer.MaySend(front.now, "r") {
+		t.Error("a read may be sent to a replica that is not known to have its session's write")
 	}
-	w.back("r", 0, Result{Ending: NotSent})
-	w.hear(2, w.now+1, Replica)
-	if w.pass(300); w.at(t, "r") == 3 {
-		t.Errorf("it went to %d, where nobody knows of the write", w.at(t, "r"))
+	front.finish("r", 0, Result{Ending: NotSent})
+	front.report(2, front.now+1, Replica)
+	if front.advance(300); front.lastStore(t, "r") == 3 {
+		t.Errorf("it went to %d, which is not known to have the write", front.lastStore(t, "r"))
 	}
 }
 
-// TestWrittenInPart: a write's answer that stops short, or that comes when its client has gone, moves the fence of its session.
-func TestWrittenInPart(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried = false
+// TestPartialWriteAnswerMovesFence checks that a write's answer that stops short, or arrives after its client
+// has gone, moves the fence of its session.
+func TestPartialWriteAnswerMovesFence(t *testing.T) {
+	settings := testSettings()
+	settings.FencesCarried = false
 	for _, position := range []Time{0, 1000090} {
 		for _, left := range []bool{false, true} {
-			w := three(t, c)
-			write, read := ask("w", "once"), ask("r", "session")
+			front := threeStores(t, settings)
+			write, read := newRequest("w", "once"), newRequest("r", "session")
 			write.Session, read.Session = "s", "s"
-			w.take(write)
-			w.pass(100)
+			front.submit(write)
+			front.advance(100)
 			if left {
-				w.b.ClientGone(w.now, "w")
+				front.balancer.ClientGone(front.now, "w")
 			}
-			if w.b.RecordWrite(w.now, "w", position); !left && position == 0 { // or all of it is lost
-				w.b.fences[w.b.requests[w.b.requestOf["w"]].slot] = 0
-				w.back("w", 0, Result{Ending: ConnectionLost})
+			if front.balancer.RecordWrite(front.now, "w", position); !left && position == 0 { // or the whole answer is lost
+				front.balancer.fences[front.balancer.requests[front.balancer.requestOf["w"]].fenceSlot] = 0
+				front.finish("w", 0, Result{Ending: ConnectionLost})
 			}
-			w.hear(2, 1000089, Replica)
-			w.take(read)
-			if !w.held("r") && w.at(t, "r") != 1 {
-				t.Errorf("position %d, left %v: a read went to %d, which has not passed the write", position, left, w.at(t, "r"))
+			front.report(2, 1000089, Replica)
+			front.submit(read)
+			if !front.waiting("r") && front.lastStore(t, "r") != 1 {
+				t.Errorf("position %d, left %v: a read went to %d, which has not passed the write", position, left, front.lastStore(t, "r"))
 			}
 		}
 	}
 }
 
-// TestReadWhileAWriteIsOut: the answer of a session's write that is out may have been written and lost. A read of the session
-// goes where a write of a moment ago is, which once its answer could have come is the primary or a replica that keeps up.
-func TestReadWhileAWriteIsOut(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried, c.MayProbe = false, false
-	w := three(t, c)
-	write := ask("w", "once")
+// TestReadDuringUnansweredWrite checks reads of a session with a write in flight, whose answer may have been
+// sent and lost. Such a read goes to a store that has the writes of a moment ago. Once the answer could have
+// come, that is the primary or a replica that keeps up.
+func TestReadDuringUnansweredWrite(t *testing.T) {
+	settings := testSettings()
+	settings.FencesCarried, settings.MayProbe = false, false
+	front := threeStores(t, settings)
+	write := newRequest("w", "once")
 	write.Session = "s"
-	w.take(write)
-	w.pass(2000)
-	w.hear(1, w.now, Primary)
+	front.submit(write)
+	front.advance(2000)
+	front.report(1, front.now, Primary)
 	read := func(id string, session string) uint32 {
-		in := ask(id, "session")
+		in := newRequest(id, "session")
 		in.Session = session
-		w.take(in)
-		return w.at(t, id)
+		front.submit(in)
+		return front.lastStore(t, id)
 	}
 	if at := read("r", "s"); at != 1 {
 		t.Errorf("a read went to %d, whose position is 0.2 s old", at)
@@ -853,25 +891,25 @@
 	if at := read("o", "other"); at == 1 {
 		t.Error("another session's read went to the primary")
 	}
-	w.hear(2, w.now-500, Replica)
+	front.report(2, front.now-500, Replica)
 	if at := read("k", "s"); at != 2 {
-		t.Errorf("a read went to %d, where 2 keeps up", at)
+		t.Errorf("a read went to %d, though 2 keeps up", at)
 	}
-	w.back("w", 0, Result{Ending: ConnectFailed})
-	if n := w.b.writes[w.b.requests[w.b.requestOf["r"]].slot]; n != 0 {
-		t.Errorf("%d writes are out", n)
+	front.finish("w", 0, Result{Ending: ConnectFailed})
+	if n := front.balancer.openWrites[front.balancer.requests[front.balancer.requestOf["r"]].fenceSlot]; n != 0 {
+		t.Errorf("%d writes are in flight", n)
 	}
 }
 
-// TestCarriedBesideRemembered: where the front remembers fences, a read that comes without a session but says how old its
-// last write is (a bookmark, say) goes by that.
-func TestCarriedBesideRemembered(t *testing.T) {
-	c := testSettings()
-	c.FencesCarried, c.MayProbe = false, false
-	w := three(t, c)
-	in := ask("r", "session")
+// TestCarriedFenceWithoutSession checks that, where the front remembers fences, a read without a session that
+// tells the age of its last write (by a bookmark, say) is handled by that.
+func TestCarriedFenceWithoutSession(t *testing.T) {
+	settings := testSettings()
+	settings.FencesCarried, settings.MayProbe = false, false
+	front := threeStores(t, settings)
+	in := newRequest("r", "session")
 	in.WriteAge = 10
-	if w.take(in); w.at(t, "r") != 1 {
-		t.Errorf("it went to %d, which is not known to have the write", w.at(t, "r"))
+	if front.submit(in); front.lastStore(t, "r") != 1 {
+		t.Errorf("it went to %d, which is not known to have the write", front.lastStore(t, "r"))
 	}
 }
