--- a/cmd/micatrack/config.go
+++ b/cmd/micatrack/config.go
@@ -39,12 +39,12 @@
 func hosted(t *together, o *orders, addr string) *configuration.Control {
 	f := &o.operators.Fleet
 	options := configuration.ControlOptions{
-		Fleet: f.Name, Name: o.name, Addr: addr, Seed: o.settings.Seed, On: f.Config.On,
+		Fleet: f.Name, Name: o.name, Addr: addr, Seed: o.settings.Seed, ServeVersions: f.Config.On,
 	}
 	control := configuration.NewControl(options, t.peers, t.log)
-	control.ToFront(func(body []byte) {
+	control.SetFrontDelivery(func(body []byte) {
 		if f := t.handsTo.Load(); f != nil {
-			f.Hand(body)
+			f.ReceiveFromControl(body)
 		}
 	})
 	return control
@@ -57,26 +57,26 @@
 	}
 	c := &configured{t: t, o: o, control: control, addr: addr}
 	f := &o.operators.Fleet
-	options := configuration.Options{
-		Fleet: f.Name, Name: o.name, Zone: o.settings.Zone, Addr: addr, Life: life, Seed: o.settings.Seed,
+	options := configuration.FrontOptions{
+		Fleet: f.Name, Name: o.name, Zone: o.settings.Zone, Addr: addr, Incarnation: life, Seed: o.settings.Seed,
 		Path: f.Config.State, Stored: o.stored,
 	}
 	c.front = configuration.NewFront(options, t.now, t.peers, c, t.wake, t.log)
 	t.handsTo.Store(c.front)
 	c.service.Ask = c.ask
-	if !t.deputy.Votes() {
-		t.peers.OnConfig(c.front.Take, nil)
+	if !t.deputy.HasVoter() {
+		t.peers.OnConfig(c.front.Receive, nil)
 		return c
 	}
-	t.peers.OnConfig(c.front.Take, c.takeControl)
+	t.peers.OnConfig(c.front.Receive, c.takeControl)
 	t.peers.OnRequest(c.answerRequest)
 	return c
 }
 
 // takeControl hands a message to the control part; several goroutines call it.
-func (c *configured) takeControl(m peers.Config) {
+func (c *configured) takeControl(m peers.ConfigMessage) {
 	m.Body = slices.Clone(m.Body)
-	c.t.deputy.Put(func(now front.Time, _ string) { c.control.Take(now, m) })
+	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
 }
 
 // answerRequest has the control part work on a request, and waits for the answer.
@@ -94,23 +94,23 @@
 		return configuration.Answer{Outcome: configuration.Refused, Error: err.Error()}
 	}
 	told := make(chan configuration.Answer, 2)
-	put := c.t.deputy.Put(func(now front.Time, leader string) {
+	put := c.t.deputy.RunOnVoter(func(now front.Time, leader string) {
 		c.control.Handle(now, &r, leader, func(a configuration.Answer) { told <- a })
 	})
 	if !put {
-		return configuration.Answer{Outcome: configuration.Elsewhere}
+		return configuration.Answer{Outcome: configuration.NotHandled}
 	}
 	select {
 	case a := <-told:
 		return a
-	case <-time.After(peers.AnswerWithin):
+	case <-time.After(peers.HandlerTimeout):
 		return configuration.Answer{Outcome: configuration.Unknown}
 	}
 }
 
 // ask asks one control machine, this one without the network.
 func (c *configured) ask(addr string, request []byte) ([]byte, error) {
-	if addr == c.addr && c.t.deputy.Votes() {
+	if addr == c.addr && c.t.deputy.HasVoter() {
 		return c.answerRequest(request), nil
 	}
 	return c.t.peers.Request(addr, request)
@@ -118,7 +118,7 @@
 
 // turn is the configuration's part of a turn of the loop.
 func (c *configured) turn(now front.Time) {
-	c.front.Turn(now)
+	c.front.Poll(now)
 	if c.target != "" && c.move != nil {
 		if c.target != c.o.discovery {
 			c.o.discovery = c.target
@@ -158,7 +158,7 @@
 // Peers tells who is there: the voters, and the fronts that membership has alive. It tells the control part
 // too.
 func (c *configured) Peers() (there config.Peers) {
-	for _, s := range c.t.deputy.Seats() {
+	for _, s := range c.t.deputy.Voters() {
 		there.Controls = append(there.Controls, config.Peer{Name: s.Name, Addr: s.Addr})
 	}
 	for _, m := range c.t.Members.List() {
@@ -166,16 +166,16 @@
 			there.Fronts = append(there.Fronts, config.Peer{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
 		}
 	}
-	c.t.deputy.Put(func(now front.Time, _ string) { c.control.SetPeers(now, there) })
+	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.SetPeers(now, there) })
 	return there
 }
 
-// ToControl hands a message of this front to the control part of this machine, if there is one.
-func (c *configured) ToControl(body []byte) bool {
-	if !c.t.deputy.Votes() {
+// DeliverToControl hands a message of this front to the control part of this machine, if there is one.
+func (c *configured) DeliverToControl(body []byte) bool {
+	if !c.t.deputy.HasVoter() {
 		return false
 	}
-	c.t.deputy.Put(func(now front.Time, _ string) { c.control.TakeFromFront(now, body) })
+	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.ReceiveFromFront(now, body) })
 	return true
 }
 
@@ -225,7 +225,7 @@
 	told := make(chan []string, 1)
 	ask := func() {
 		var list []string
-		for _, s := range c.t.deputy.Seats() {
+		for _, s := range c.t.deputy.Voters() {
 			list = append(list, s.Addr)
 		}
 		told <- list
--- a/cmd/micatrack/config_test.go
+++ b/cmd/micatrack/config_test.go
@@ -85,9 +85,9 @@
 }
 
 // here gives what a front says of its own configuration.
-func here(f *rig.Front) (v configuration.View, err error) {
+func here(f *rig.Front) (v configuration.FrontStatus, err error) {
 	out, _, _ := command(f, "", "status", "--here", "--json")
-	var told struct{ Here configuration.View }
+	var told struct{ Here configuration.FrontStatus }
 	err = json.Unmarshal([]byte(out), &told)
 	return told.Here, err
 }
--- a/cmd/micatrack/configcommands.go
+++ b/cmd/micatrack/configcommands.go
@@ -100,7 +100,7 @@
 	switch {
 	case a.Outcome == configuration.Done:
 		return nil
-	case a.Outcome == configuration.Refused && !a.Lost:
+	case a.Outcome == configuration.Refused && !a.Conflict:
 		return exit{2, err}
 	case a.Outcome == configuration.Unknown:
 		return exit{statusUnknown, err}
@@ -238,9 +238,9 @@
 }
 
 // texts gives a version's texts, or those in force here.
-func (c *configClient) texts(version uint64, here bool) ([]configuration.Text, uint64, error) {
+func (c *configClient) texts(version uint64, here bool) ([]configuration.ScopeText, uint64, error) {
 	if here {
-		var v configuration.View
+		var v configuration.FrontStatus
 		err := c.send(http.MethodGet, nil, &v)
 		return v.Texts, v.Version, err
 	}
@@ -248,7 +248,7 @@
 	return a.Texts, a.Version, err
 }
 
-func textOf(texts []configuration.Text, scope string) (string, bool) {
+func textOf(texts []configuration.ScopeText, scope string) (string, bool) {
 	for _, t := range texts {
 		if t.Scope == scope {
 			return t.Text, true
@@ -308,7 +308,7 @@
 	var text []byte
 	var err error
 	if args[1] == "-" {
-		text, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), config.MaxTexts+1))
+		text, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), config.MaxTextBytes+1))
 	} else {
 		text, err = os.ReadFile(args[1])
 	}
@@ -317,8 +317,8 @@
 		return "", err
 	case len(text) == 0:
 		return "", fmt.Errorf("%s is empty; --remove takes a scope out", args[1])
-	case len(text) > config.MaxTexts:
-		return "", fmt.Errorf("%s has %d bytes, at most %d", args[1], len(text), config.MaxTexts)
+	case len(text) > config.MaxTextBytes:
+		return "", fmt.Errorf("%s has %d bytes, at most %d", args[1], len(text), config.MaxTextBytes)
 	}
 	return string(text), nil
 }
@@ -379,7 +379,7 @@
 	return &cobra.Command{Use: "diff VERSION [VERSION]", Args: cobra.RangeArgs(1, 2),
 		Short: "Show which lines differ between two versions; the second is the newest if it is not named",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var texts [2][]configuration.Text
+			var texts [2][]configuration.ScopeText
 			for k := range texts {
 				version := uint64(0)
 				if k < len(args) {
@@ -405,7 +405,7 @@
 		Short: "Show what is in force here, and how far the newest version has come in the fleet"}
 	status.Flags().BoolVar(&alone, "here", false, "only what is in force here; no control machine is asked")
 	status.RunE = func(cmd *cobra.Command, _ []string) error {
-		var here configuration.View
+		var here configuration.FrontStatus
 		if err := c.send(http.MethodGet, nil, &here); err != nil {
 			return err
 		}
@@ -428,7 +428,7 @@
 }
 
 // showHere prints what is in force on this machine's front.
-func showHere(out io.Writer, v *configuration.View) {
+func showHere(out io.Writer, v *configuration.FrontStatus) {
 	if v.Version == 0 {
 		fmt.Fprintf(out, "%s: no version is in force; it goes by its files\n", v.Front)
 	} else {
@@ -440,7 +440,7 @@
 }
 
 // age says how old the version in force is.
-func age(v *configuration.View) string {
+func age(v *configuration.FrontStatus) string {
 	switch {
 	case v.Fresh:
 		return "the newest"
--- a/cmd/micatrack/configdiff.go
+++ b/cmd/micatrack/configdiff.go
@@ -16,7 +16,7 @@
 const maxCompared = 4 << 20
 
 // printDiff prints which lines differ, scope by scope.
-func printDiff(out io.Writer, old, new []configuration.Text) {
+func printDiff(out io.Writer, old, new []configuration.ScopeText) {
 	var scopes []string
 	for _, t := range slices.Concat(old, new) {
 		scopes = append(scopes, t.Scope)
--- a/cmd/micatrack/configlive_test.go
+++ b/cmd/micatrack/configlive_test.go
@@ -139,16 +139,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery := config.ScopeText{Scope: configuration.Discovery, Text: text}
+	discovery := config.ScopeText{Scope: configuration.DiscoveryScope, Text: text}
 	read(t, "../../example/config.json", &file)
 	delete(file.Settings, "Az")
 	file.Settings["RegistryMode"] = "pushed"
 	file.Settings["Contract"].(map[string]any)["DrainGrace"] = 2_000_000
-	settings := config.ScopeText{Scope: configuration.Settings}
+	settings := config.ScopeText{Scope: configuration.SettingsScope}
 	if settings.Text, err = json.Marshal(file.Settings); err != nil {
 		t.Fatal(err)
 	}
-	door := config.ScopeText{Scope: configuration.Operators, Text: []byte(`{"door": {"on": true, "jobs": 77}}`)}
+	door := config.ScopeText{Scope: configuration.OperatorsScope, Text: []byte(`{"door": {"on": true, "jobs": 77}}`)}
 
 	// A version has its scopes in this order.
 	whole, err := o.under([]config.ScopeText{discovery, door, settings})
@@ -171,9 +171,9 @@
 		t.Errorf("without a text: %+v, %v", back.own, err)
 	}
 	for _, faulty := range []config.ScopeText{
-		{Scope: configuration.Settings, Text: []byte(`{"Profiles": []}`)},
-		{Scope: configuration.Operators, Text: []byte(`{"door": {"jobs": "many"}}`)},
-		{Scope: configuration.Discovery, Text: []byte(`{"discovery": "nowhere"}`)},
+		{Scope: configuration.SettingsScope, Text: []byte(`{"Profiles": []}`)},
+		{Scope: configuration.OperatorsScope, Text: []byte(`{"door": {"jobs": "many"}}`)},
+		{Scope: configuration.DiscoveryScope, Text: []byte(`{"discovery": "nowhere"}`)},
 	} {
 		got, err := o.under([]config.ScopeText{faulty})
 		if err == nil || got.discovery != o.discovery || got.operators.Door != o.operators.Door {
--- a/cmd/micatrack/fleet.go
+++ b/cmd/micatrack/fleet.go
@@ -19,7 +19,7 @@
 	"micatrack/fleet"
 	"micatrack/fleet/membership"
 	"micatrack/fleet/zones"
-	"micatrack/internal/bridge"
+	"micatrack/internal/fleetadapter"
 	"micatrack/internal/front"
 	"micatrack/internal/operators"
 	"micatrack/internal/peers"
@@ -32,10 +32,10 @@
 type together struct {
 	*fleet.Fleet
 	now     func() front.Time
-	peers   *peers.Peers
+	peers   *peers.Transport
 	core    *front.Core
 	log     *slog.Logger
-	bridge  bridge.Bridge
+	bridge  fleetadapter.Adapter
 	deputy  *deputy     // nil: no leases
 	look    *lookout    // nil: no watch of positions
 	config  *configured // nil: each front goes by its own files
@@ -90,7 +90,7 @@
 // Danger: a front that starts while a zone is being returned to would send it all that it can.
 func (t *together) serves(c *front.Core, known front.StoreList, wait time.Duration) {
 	t.core = c
-	t.bridge.Listed(t.now(), known)
+	t.bridge.UpdateStores(t.now(), known)
 	for end := time.Now().Add(wait); !t.Members.Joined() && time.Now().Before(end); {
 		t.turn(nil, false)
 		time.Sleep(5 * time.Millisecond)
@@ -102,7 +102,7 @@
 func (t *together) turn(lists []front.StoreList, halt bool) {
 	now := t.now()
 	for _, l := range lists {
-		t.bridge.Listed(now, l)
+		t.bridge.UpdateStores(now, l)
 	}
 	if halt && !t.left {
 		t.left = true
@@ -111,7 +111,7 @@
 			t.deputy.ending = true
 		}
 	}
-	t.peers.Take(func(m *membership.Message) bool { return t.Fleet.Receive(now, m) },
+	t.peers.Receive(func(m *membership.Message) bool { return t.Fleet.Receive(now, m) },
 		func() *membership.Message { return t.Members.SyncMessage(membership.SyncResponse) })
 	for {
 		select {
@@ -143,7 +143,7 @@
 		next = min(next, t.deputy.next())
 	}
 	if t.look != nil {
-		next = min(next, t.look.w.Next())
+		next = min(next, t.look.w.NextTick())
 	}
 	if t.config != nil {
 		next = min(next, t.config.front.Next())
@@ -164,7 +164,7 @@
 // Send, Exchange, Part and Log are what the fleet's decisions ask for.
 func (t *together) Send(addr string, m *membership.Message) { t.peers.Send(addr, m) }
 func (t *together) StartSync(addr string) {
-	t.peers.Exchange(addr, t.Members.SyncMessage(membership.SyncRequest))
+	t.peers.StartSync(addr, t.Members.SyncMessage(membership.SyncRequest))
 }
 func (t *together) SetShare(zone string, part float64) { t.core.SetZoneShare(zone, part) }
 func (t *together) Log(text string)                    { t.log.Info(text) }
@@ -214,7 +214,7 @@
 	}
 	if t.config != nil {
 		t.config.answer(mux)
-		handle("GET /config", func(front.Time, url.Values) (any, error) { return t.config.front.View(), nil })
+		handle("GET /config", func(front.Time, url.Values) (any, error) { return t.config.front.Status(), nil })
 	} else {
 		withoutConfig(mux)
 	}
@@ -229,7 +229,7 @@
 	handle("GET /counts", func(front.Time, url.Values) (any, error) {
 		if t.look != nil {
 			w := t.look.w
-			return map[string]any{"peers": t.peers.Counts(), "asked": w.Asked, "answered": w.Answered, "surveys": w.Surveys, "refused": w.Refused}, nil
+			return map[string]any{"peers": t.peers.Counts(), "asked": w.QueriesSent, "answered": w.AnswersReceived, "surveys": w.StoreQueries, "refused": w.Rejected}, nil
 		}
 		return t.peers.Counts(), nil
 	})
--- a/cmd/micatrack/lease.go
+++ b/cmd/micatrack/lease.go
@@ -44,18 +44,18 @@
 const tokenHeader = "Micatrack-Token"
 
 // depute opens a front's part in leases.
-func depute(t *together, o *orders, life uint64, addr string, wake func(), c leases.Companion) (*deputy, error) {
+func depute(t *together, o *orders, life uint64, addr string, wake func(), c leases.HostedMachine) (*deputy, error) {
 	l := &o.operators.Fleet.Lease
 	if len(l.Voters)%2 == 0 {
 		return nil, fmt.Errorf("lease.voters: %d voters bear no more losses than %d", len(l.Voters), len(l.Voters)-1)
 	}
-	order := leases.Order{Fleet: o.operators.Fleet.Name, Self: lease.Party{Name: o.name, Life: life}, Addr: addr, State: l.State,
-		Terms: lease.Terms{Span: l.SpanMS * 10, Drift: l.Drift, Margin: l.MarginMS * 10}, Seed: o.settings.Seed, Companion: c}
+	order := leases.Config{Fleet: o.operators.Fleet.Name, Self: lease.Instance{Name: o.name, Life: life}, Addr: addr, StatePath: l.State,
+		Terms: lease.Terms{Span: l.SpanMS * 10, Drift: l.Drift, Margin: l.MarginMS * 10}, Seed: o.settings.Seed, HostedMachine: c}
 	for _, v := range l.Voters {
-		if slices.ContainsFunc(order.Seats, func(s lease.Seat) bool { return s.Name == v.Name }) {
+		if slices.ContainsFunc(order.Voters, func(s lease.VoterInfo) bool { return s.Name == v.Name }) {
 			return nil, fmt.Errorf("lease.voters: %s is named twice", v.Name)
 		}
-		order.Seats = append(order.Seats, lease.Seat{Name: v.Name, Addr: v.Addr})
+		order.Voters = append(order.Voters, lease.VoterInfo{Name: v.Name, Addr: v.Addr})
 	}
 	if l.Collector != "" {
 		u, err := url.Parse(l.Collector)
@@ -70,7 +70,7 @@
 	d.Leases = leases.Open(order, t.now, t.peers, d, wake, t.log)
 	if l.SummaryMS > 0 {
 		d.summary = summary.New(t.now(), l.SummaryMS*10, l.SpanMS*10/4, d)
-		if err := d.Holder.Want(t.now(), summary.LeaseName); err != nil {
+		if err := d.Holder.Acquire(t.now(), summary.LeaseName); err != nil {
 			return nil, err
 		}
 	}
@@ -79,7 +79,7 @@
 
 // turn is the leases' part of a turn of the loop.
 func (d *deputy) turn(now front.Time) {
-	d.Turn(now)
+	d.Poll(now)
 	if d.summary != nil {
 		select {
 		case o := <-d.told:
@@ -93,11 +93,11 @@
 	if d.ending && !d.handed && (d.summary == nil || !d.summary.Sending()) {
 		// Danger: what is given back while an act is under way is another's before that act is over.
 		d.handed = true
-		d.Holder.DropAll(now)
+		d.Holder.ReleaseAll(now)
 	}
 	if d.handed && !d.yielded && d.Holder.Empty() {
 		d.yielded = true
-		d.Yield()
+		d.TransferLeadership()
 	}
 }
 
@@ -109,17 +109,17 @@
 	return next
 }
 
-// Held, Lost, May, Tell and Log are what the leases and the summary ask for.
-func (d *deputy) Held(name string, token uint64) {
+// LeaseAcquired, Lost, May, Tell and Log are what the leases and the summary ask for.
+func (d *deputy) LeaseAcquired(name string, token uint64) {
 	d.t.log.Info("lease held", "lease", name, "token", token)
 	if d.summary != nil && name == summary.LeaseName {
 		d.summary.LeaseAcquired(d.t.now())
 	}
 }
-func (d *deputy) Lost(name, why string) { d.t.log.Info("lease lost", "lease", name, "why", why) }
-func (d *deputy) Log(text string)       { d.t.log.Info(text) }
+func (d *deputy) LeaseLost(name, why string) { d.t.log.Info("lease lost", "lease", name, "why", why) }
+func (d *deputy) Log(text string)            { d.t.log.Info(text) }
 func (d *deputy) LeaseToken(name string, longest front.Time) (uint64, bool) {
-	return d.Holder.May(name, longest)
+	return d.Holder.UsableToken(name, longest)
 }
 
 // SendSummary logs a summary, and posts it. The loop does not wait for the collector.
@@ -148,11 +148,11 @@
 		Number  uint64             `json:"number"`
 		Members map[string]int     `json:"members"`
 		Zones   []zones.ZoneStatus `json:"zones"`
-		Leases  *leases.View       `json:"leases,omitempty"`
+		Leases  *leases.Status     `json:"leases,omitempty"`
 	}{d.t.name, d.t.Members.List()[0].Name, token, number, states, rows, nil}
 	until := time.Now().Add(time.Duration(within) * tick)
 	go func() {
-		if v, err := d.View(); err == nil {
+		if v, err := d.Status(); err == nil {
 			s.Leases = &v
 		}
 		d.told <- post(d.collector, token, &s, time.Until(until)) // there is room: one is out at a time
@@ -191,9 +191,9 @@
 
 // leaseCommands ask this machine's front about leases.
 func leaseCommands(ask func(c *cobra.Command, method, path string, q url.Values, show func(w io.Writer, text []byte) error) error) []*cobra.Command {
-	view := func(show func(w *tabwriter.Writer, v *leases.View)) func(out io.Writer, text []byte) error {
+	view := func(show func(w *tabwriter.Writer, v *leases.Status)) func(out io.Writer, text []byte) error {
 		return func(out io.Writer, text []byte) error {
-			var v leases.View
+			var v leases.Status
 			if err := json.Unmarshal(text, &v); err != nil {
 				return err
 			}
@@ -205,15 +205,15 @@
 			return w.Flush()
 		}
 	}
-	showVoters := view(func(w *tabwriter.Writer, v *leases.View) {
+	showVoters := view(func(w *tabwriter.Writer, v *leases.Status) {
 		fmt.Fprintln(w, "NUMBER\tNAME\tADDRESS\tLEADS\tHERE")
-		for _, c := range v.Chairs {
+		for _, c := range v.Voters {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%v\n", c.ID, c.Name, c.Addr, c.Leads, c.Here)
 		}
 	})
 	held := &cobra.Command{Use: "leases", Short: "List the leases, as this front's voter has them", Args: unexpected,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return ask(c, "GET", "/leases", nil, view(func(w *tabwriter.Writer, v *leases.View) {
+			return ask(c, "GET", "/leases", nil, view(func(w *tabwriter.Writer, v *leases.Status) {
 				fmt.Fprintln(w, "LEASE\tHOLDER\tLIFE\tTOKEN\tKEPT FOR\tWAITING")
 				for _, l := range v.Leases {
 					kept := "as the leader has it"
@@ -244,7 +244,7 @@
 
 // answer serves the commands that are the voter's matter and not the loop's.
 func (d *deputy) answer(mux *http.ServeMux) {
-	reply := func(w http.ResponseWriter, v leases.View, err error) {
+	reply := func(w http.ResponseWriter, v leases.Status, err error) {
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
@@ -253,7 +253,7 @@
 		json.NewEncoder(w).Encode(v)
 	}
 	mux.HandleFunc("GET /leases", func(w http.ResponseWriter, _ *http.Request) {
-		v, err := d.View()
+		v, err := d.Status()
 		reply(w, v, err)
 	})
 	mux.HandleFunc("POST /voter", func(w http.ResponseWriter, r *http.Request) {
@@ -264,11 +264,11 @@
 			err = fmt.Errorf("give --name and --addr of the voter's front")
 		}
 		if err == nil {
-			err = d.Change(lease.Seat{ID: id, Name: q.Get("name"), Addr: q.Get("addr")}, add)
+			err = d.ChangeVoters(lease.VoterInfo{ID: id, Name: q.Get("name"), Addr: q.Get("addr")}, add)
 		}
-		var v leases.View
+		var v leases.Status
 		for n := 0; err == nil && n < 40; n++ { // until it counts
-			if v, err = d.View(); slices.ContainsFunc(v.Chairs, func(c leases.Chair) bool { return c.ID == id }) == add {
+			if v, err = d.Status(); slices.ContainsFunc(v.Voters, func(c leases.VoterStatus) bool { return c.ID == id }) == add {
 				break
 			}
 			time.Sleep(25 * time.Millisecond)
--- a/cmd/micatrack/lease_test.go
+++ b/cmd/micatrack/lease_test.go
@@ -146,7 +146,7 @@
 	alone(r, true)
 }
 
-func views(t *testing.T, f *rig.Front) (v leases.View, err error) {
+func views(t *testing.T, f *rig.Front) (v leases.Status, err error) {
 	c := exec.Command(program, "fleet", "leases", "--control", f.Control, "--json")
 	c.Env = append(os.Environ(), noSleep) // else it is told a second late who leads
 	out, err := c.Output()
@@ -365,10 +365,10 @@
 			t.Logf("%s", text)
 		}
 		change("add", number, "--name", in.Name, "--addr", in.Relayed())
-		if v, err := views(t, leader(r)); err != nil || len(v.Chairs) != 4 {
+		if v, err := views(t, leader(r)); err != nil || len(v.Voters) != 4 {
 			t.Errorf("%+v, %v", v, err)
 		}
-		for _, c := range func() []leases.Chair { v, _ := views(t, leader(r)); return v.Chairs }() {
+		for _, c := range func() []leases.VoterStatus { v, _ := views(t, leader(r)); return v.Voters }() {
 			if c.Name == out.Name {
 				change("remove", fmt.Sprint(c.ID))
 			}
--- a/cmd/micatrack/serve.go
+++ b/cmd/micatrack/serve.go
@@ -38,11 +38,11 @@
 	version                 int64
 	settings                balance.Settings
 	host                    settings.Process
-	operators               operators.Orders
-	stored                  configuration.Stored // the fleet's configuration, as this front had it last
-	trouble                 string               // why it was not taken, if it was not
-	pinned                  bool                 // a flag names discovery
-	own                     parts                // as the front's files have them
+	operators               operators.Options
+	stored                  configuration.StoredVersion // the fleet's configuration, as this front had it last
+	trouble                 string                      // why it was not taken, if it was not
+	pinned                  bool                        // a flag names discovery
+	own                     parts                       // as the front's files have them
 }
 
 // readConfiguration reads the file. What flags name comes first; the environment fills in what is named nowhere
@@ -192,7 +192,7 @@
 			read = others.config.reader(read)
 		}
 		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took front.Time) {
-			others.bridge.Saw(now(), store, how, expected, took)
+			others.bridge.RecordOutcome(now(), store, how, expected, took)
 		}
 	}
 	if others != nil && others.look != nil {
--- a/cmd/micatrack/settings.go
+++ b/cmd/micatrack/settings.go
@@ -15,7 +15,7 @@
 	discovery string
 	settings  balance.Settings
 	host      settings.Process
-	door      operators.Door
+	door      operators.Admission
 }
 
 // settle works out what the settings leave to the program round the module.
@@ -32,7 +32,7 @@
 	fresh.settings, fresh.host, fresh.operators.Door = o.own.settings, o.own.host, o.own.door
 	fresh.discovery = o.own.discovery
 	version := config.Document{Texts: texts}
-	if text, has := version.Text(configuration.Settings); has {
+	if text, has := version.Text(configuration.SettingsScope); has {
 		settings, host, err := configuration.FleetSettings(text)
 		if err != nil {
 			return *o, err
@@ -40,14 +40,14 @@
 		settings.Zone, settings.Seed = o.own.settings.Zone, o.own.settings.Seed
 		fresh.settings, fresh.host = settings, host
 	}
-	if text, has := version.Text(configuration.Operators); has {
+	if text, has := version.Text(configuration.OperatorsScope); has {
 		shared, err := configuration.FleetOperators(text)
 		if err != nil {
 			return *o, err
 		}
 		fresh.operators.Door = shared.Door
 	}
-	if text, has := version.Text(configuration.Discovery); has && !o.pinned {
+	if text, has := version.Text(configuration.DiscoveryScope); has && !o.pinned {
 		addr, err := configuration.FleetDiscovery(text)
 		if err != nil {
 			return *o, err
@@ -59,7 +59,7 @@
 }
 
 // doorBounds returns the bounds of the door, nil if it is off.
-func doorBounds(d *operators.Door) *admission.Bounds {
+func doorBounds(d *operators.Admission) *admission.Bounds {
 	if !d.On {
 		return nil
 	}
--- a/cmd/micatrack/state.go
+++ b/cmd/micatrack/state.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"micatrack/internal/voterdisk"
+	"micatrack/internal/voterstate"
 )
 
 // stateCommands look at what a voter keeps on disk, while no voter has it open.
@@ -20,7 +20,7 @@
 			if fleet == "" || voter == "" {
 				return fmt.Errorf("give --fleet and --voter")
 			}
-			w, err := voterdisk.Create(args[0], fleet, voter, first, voters)
+			w, err := voterstate.Create(args[0], fleet, voter, first, voters)
 			if err != nil {
 				return exit{1, err}
 			}
@@ -34,7 +34,7 @@
 		"it is one of the fleet's first voters; never for one that lost its disk: that one is removed, and added anew")
 	show := &cobra.Command{Use: "show FILE", Short: "Show what is in it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := voterdisk.Show(args[0])
+			s, err := voterstate.ReadSummary(args[0])
 			if err != nil {
 				return exit{1, err}
 			}
@@ -51,7 +51,7 @@
 	show.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	verify := &cobra.Command{Use: "verify FILE", Short: "Tell whether it is whole, and end with status 1 where it is not", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := voterdisk.Show(args[0]); err != nil {
+			if _, err := voterstate.ReadSummary(args[0]); err != nil {
 				return exit{1, err}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: whole\n", args[0])
--- a/cmd/micatrack/zones_test.go
+++ b/cmd/micatrack/zones_test.go
@@ -584,7 +584,7 @@
 		said := func(name string, m membership.Message) []byte {
 			m.Kind = cmp.Or(m.Kind, membership.Gossip)
 			m.Sender = membership.Fact{Name: []byte(name), Zone: []byte("a"), Addr: []byte("127.0.0.1:9"), Incarnation: 1}
-			return peers.Append(nil, "rig", &m)
+			return peers.AppendMessage(nil, "rig", &m)
 		}
 		for n := range 600 {
 			good := said(fmt.Sprint("ghost", n), membership.Message{})
@@ -593,7 +593,7 @@
 			c.Write(make([]byte, 1300))
 			good[chance.IntN(len(good))] ^= byte(1 + chance.IntN(255))
 			c.Write(good)
-			c.Write(peers.Append(nil, "another", &membership.Message{Kind: membership.Ping, Sender: membership.Fact{Name: []byte("x"), Incarnation: 1}}))
+			c.Write(peers.AppendMessage(nil, "another", &membership.Message{Kind: membership.Ping, Sender: membership.Fact{Name: []byte("x"), Incarnation: 1}}))
 			c.Write(said("ghost0", membership.Message{Facts: []membership.Fact{{Name: []byte("f1"), Incarnation: 1, State: membership.Dead}}, // of long ago
 				Notes: []membership.Note{{Key: []byte("pa\x00c"), Version: 1 << 60, Body: []byte("noise")}, {Key: []byte("pa\x00b"), Version: 1 << 60, Age: 1 << 39}}}))
 			time.Sleep(5 * time.Millisecond)
@@ -603,7 +603,7 @@
 			whole.Facts = append(whole.Facts, membership.Fact{Name: fmt.Appendf(nil, "crowd%d", n), Zone: []byte("b"), Addr: []byte("127.0.0.1:9"), Incarnation: 1})
 		}
 		if k, err := net.Dial("tcp", f.Fleet()); err == nil {
-			text := peers.Append(make([]byte, 4), "rig", &whole)
+			text := peers.AppendMessage(make([]byte, 4), "rig", &whole)
 			binary.BigEndian.PutUint32(text, uint32(len(text)-4))
 			k.Write(text)
 			k.SetDeadline(time.Now().Add(2 * time.Second))
--- a/fleet/config/agent.go
+++ b/fleet/config/agent.go
@@ -13,19 +13,19 @@
 	// on, on all of them or, with an error, on none. The error's text goes into the fleet's status, so it
 	// names the key in one line.
 	PutInForce(version Version, texts []ScopeText) error
-	Keep(kept []byte) // writes to disk what AgentOptions.Kept brings back; nothing where there is no disk
+	Persist(kept []byte) // writes to disk what AgentOptions.Kept brings back; nothing where there is no disk
 	Log(text string)
 }
 
 // AgentOptions is what an Agent is started with.
 type AgentOptions struct {
-	Fleet   string // messages of another are dropped
-	Name    string
-	Zone    string
-	Life    uint64 // grows with each start of a front of this name, for example its Unix milliseconds
-	Program uint32 // this program's number, held against ScopeText.Program
-	Seed    uint64
-	Kept    []byte // what Keep wrote last; none, or a spoilt one: it starts with no version
+	Fleet       string // messages of another are dropped
+	Name        string
+	Zone        string
+	Incarnation uint64 // grows with each start of a front of this name, for example its Unix milliseconds
+	Program     uint32 // this program's number, held against ScopeText.Program
+	Seed        uint64
+	Persisted   []byte // what Keep wrote last; none, or a spoilt one: it starts with no version
 }
 
 // Agent holds one front's configuration. Not safe for use from several goroutines.
@@ -51,7 +51,7 @@
 	a.children.most = maxChildren
 	a.upstreams = []*upstream{{reportsTo: true}, {}}
 	a.node.adopted, a.node.confirmed = a.adopt, a.confirm
-	a.restore(options.Kept)
+	a.restore(options.Persisted)
 	a.tell()
 	return a
 }
@@ -101,7 +101,7 @@
 // adopt puts a version in force, or says why not. Danger: a front that acts on parts of two versions; the
 // host is asked once, with all texts of the one.
 func (a *Agent) adopt(document *Document) {
-	texts := document.For(a.options.Name, a.options.Zone)
+	texts := document.TextsFor(a.options.Name, a.options.Zone)
 	if reason := a.tooNew(texts); reason != "" {
 		a.hold(StateHeld, document.Version, reason)
 		return
@@ -115,7 +115,7 @@
 	if a.proof.has {
 		a.newest = a.proof
 	}
-	a.host.Keep(keptOf(a.options.Fleet, a.versions.document))
+	a.host.Persist(keptOf(a.options.Fleet, a.versions.document))
 	a.tell()
 }
 
@@ -124,7 +124,7 @@
 	for _, t := range texts {
 		if t.Program > a.options.Program {
 			own := a.options.Program
-			return fmt.Sprintf("%s %v: program %d, this is %d", t.Scope, ErrProgram, t.Program, own)
+			return fmt.Sprintf("%s %v: program %d, this is %d", t.Scope, ErrProgramTooOld, t.Program, own)
 		}
 	}
 	return ""
@@ -149,7 +149,7 @@
 	a.reports.forget(a.now, forgetReports)
 	a.count++
 	a.refreshAt = a.now + refreshSpan - refreshSpan/10 + a.source.Below(refreshSpan/5)
-	a.reports.put(a.now, report{id: a.id(), life: a.options.Life, count: a.count, inForce: a.inForce,
+	a.reports.put(a.now, report{id: a.id(), life: a.options.Incarnation, count: a.count, inForce: a.inForce,
 		received: a.chain.version, state: a.state, program: a.options.Program, reason: a.reason})
 }
 
@@ -159,8 +159,8 @@
 	a.setPeers(peers)
 }
 
-// Take takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
-func (a *Agent) Take(now Time, from string, message []byte) {
+// Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
+func (a *Agent) Receive(now Time, from string, message []byte) {
 	a.now = now
 	a.take(from, message)
 }
@@ -168,8 +168,8 @@
 // Next is when Beat must be called again.
 func (a *Agent) Next() Time { return min(a.next(), max(a.refreshAt, a.now+1)) }
 
-// Beat does what is due.
-func (a *Agent) Beat(now Time) {
+// Tick does what is due.
+func (a *Agent) Tick(now Time) {
 	a.now = now
 	if now >= a.refreshAt {
 		a.tell()
@@ -180,28 +180,28 @@
 // InForce gives the version in force, 0 if there is none.
 func (a *Agent) InForce() Version { return a.inForce }
 
-// Guarded tells whether this front may act on guarded settings: its version in force was proven, within
+// ProofFresh tells whether this front may act on guarded settings: its version in force was proven, within
 // GuardSpan by its own clock, to be the fleet's newest. Others may be acted on for as long as the front runs.
 // Danger: a process can be stopped between this look at the clock and its act; what is acted on has to
 // compare versions.
-func (a *Agent) Guarded(now Time) bool {
-	return a.inForce != 0 && a.newest.has && now-a.newest.at <= GuardSpan
+func (a *Agent) ProofFresh(now Time) bool {
+	return a.inForce != 0 && a.newest.has && now-a.newest.at <= ProofTTL
 }
 
 // Status tells what this front has.
 func (a *Agent) Status(now Time) AgentStatus {
 	return AgentStatus{InForce: a.inForce, Received: a.chain.version, State: a.state, Reason: a.reason,
-		Age: a.newest.age(now), Guarded: a.Guarded(now), Upstream: a.upstreams[0].addr, Dropped: a.dropped}
+		Age: a.newest.age(now), ProofFresh: a.ProofFresh(now), Upstream: a.upstreams[0].addr, Dropped: a.dropped}
 }
 
 // AgentStatus is one front's own view.
 type AgentStatus struct {
-	InForce  Version
-	Received Version // newer than InForce where that one is held or refused
-	State    FrontState
-	Reason   string
-	Age      Time // since InForce was proven to be the fleet's newest, at most; -1: not since the start
-	Guarded  bool
-	Upstream string // address of the one that reports go to
-	Dropped  uint64 // malformed messages
+	InForce    Version
+	Received   Version // newer than InForce where that one is held or refused
+	State      FrontState
+	Reason     string
+	Age        Time // since InForce was proven to be the fleet's newest, at most; -1: not since the start
+	ProofFresh bool
+	Upstream   string // address of the one that reports go to
+	Dropped    uint64 // malformed messages
 }
--- a/fleet/config/config.go
+++ b/fleet/config/config.go
@@ -40,18 +40,18 @@
 
 // Bounds of what is kept and sent. Lengths are bytes unless they say otherwise.
 const (
-	MaxTexts       = 64 << 10 // all texts of one version together; so one change has at most this
+	MaxTextBytes   = 64 << 10 // all texts of one version together; so one change has at most this
 	MaxScopes      = 8
 	MaxScopeName   = 32
 	MaxAuthor      = 64
 	MaxReason      = 200
 	MaxName        = 64 // of a front, a zone or a fleet
 	MaxAddress     = 64
-	MaxEntry       = MaxTexts + 4<<10   // one entry of the log
-	MaxSnapshot    = 1 << 20            // the whole state of a Log
-	MaxDocument    = 2*MaxTexts + 4<<10 // one version as it is carried whole: its texts and a staged one
-	MaxHistory     = 512                // versions that history tells of, and that can be rolled back to
-	MaxMessage     = 1150               // one message between machines, so that it goes as one datagram
+	MaxEntry       = MaxTextBytes + 4<<10   // one entry of the log
+	MaxSnapshot    = 1 << 20                // the whole state of a Log
+	MaxDocument    = 2*MaxTextBytes + 4<<10 // one version as it is carried whole: its texts and a staged one
+	MaxHistory     = 512                    // versions that history tells of, and that can be rolled back to
+	MaxMessage     = 1150                   // one message between machines, so that it goes as one datagram
 	MaxFronts      = 1024
 	MaxControls    = 16
 	MessageVersion = 1 // of the messages; one of another is dropped
@@ -60,22 +60,22 @@
 // SwiftChange is up to how many bytes, as carried, a change is in force within six seconds at any size of
 // fleet that the package is for. Larger ones, up to MaxTexts, take as long as the fronts' budget of bytes
 // says.
-const SwiftChange = 1000
+const FastChangeBytes = 1000
 
 // GuardSpan is for how long after its version was proven to be the newest a front may act on guarded
 // settings.
-const GuardSpan = 15 * Second
+const ProofTTL = 15 * Second
 
 // Errors that callers tell apart with errors.Is. Each is told in one line.
 var (
 	ErrVersionConflict = errors.New("the configuration has changed since")
 	ErrTooLarge        = errors.New("too large")
-	ErrFaulty          = errors.New("faulty") // the check's own words follow, with the path of the key
-	ErrRollout         = errors.New("a roll-out is open")
+	ErrInvalid         = errors.New("faulty") // the check's own words follow, with the path of the key
+	ErrRolloutOpen     = errors.New("a roll-out is open")
 	ErrNoRollout       = errors.New("no roll-out is open")
 	ErrUnknownVersion  = errors.New("no such version in the history")
 	ErrMalformed       = errors.New("malformed")
-	ErrProgram         = errors.New("needs a newer program")
+	ErrProgramTooOld   = errors.New("needs a newer program")
 )
 
 // ConflictError is an ErrVersionConflict with both versions.
@@ -89,9 +89,9 @@
 // Unwrap gives ErrVersionConflict.
 func (e *ConflictError) Unwrap() error { return ErrVersionConflict }
 
-// Check tells what is wrong with a scope's text, by the same code as a file's check; the error names the
+// CheckFunc tells what is wrong with a scope's text, by the same code as a file's check; the error names the
 // key's path. It must depend on nothing but its arguments. An unknown scope is an error.
-type Check func(scope Scope, text []byte) error
+type CheckFunc func(scope Scope, text []byte) error
 
 // Plan is a step-wise roll-out: one front, then a zone, then all. The next step follows once every live front
 // of a step has said that the version is in force there, and Soak has passed since. A front that refuses it
--- a/fleet/config/distributor.go
+++ b/fleet/config/distributor.go
@@ -43,9 +43,9 @@
 	d.setPeers(peers)
 }
 
-// Lead tells who leads the replicated log as far as known: whether this machine does, or at which address who
+// SetLeader tells who leads the replicated log as far as known: whether this machine does, or at which address who
 // does is reached (none: not known).
-func (d *Distributor) Lead(now Time, leads bool, leader string) {
+func (d *Distributor) SetLeader(now Time, leads bool, leader string) {
 	d.now = now
 	if leads != d.leads {
 		d.leads = leads
@@ -63,16 +63,16 @@
 	d.reports.again(now)
 }
 
-// Confirmed tells that a read by quorum, asked at the moment asked, has found this machine to lead, and that
+// LeadershipConfirmed tells that a read by quorum, asked at the moment asked, has found this machine to lead, and that
 // all entries up to then are applied. Without it, this machine does not say that its newest version is the
 // fleet's. Ask about once a second while this machine leads.
-func (d *Distributor) Confirmed(now, asked Time) {
+func (d *Distributor) LeadershipConfirmed(now, asked Time) {
 	d.now = now
 	d.proof.prove(asked)
 }
 
-// Applied tells that entries were applied to the log, or a snapshot was restored.
-func (d *Distributor) Applied(now Time) {
+// LogChanged tells that entries were applied to the log, or a snapshot was restored.
+func (d *Distributor) LogChanged(now Time) {
 	d.now = now
 	if d.log.Newest() == d.served {
 		return
@@ -82,8 +82,8 @@
 	d.newVersion()
 }
 
-// Take takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
-func (d *Distributor) Take(now Time, from string, message []byte) {
+// Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
+func (d *Distributor) Receive(now Time, from string, message []byte) {
 	d.now = now
 	d.take(from, message)
 }
@@ -91,8 +91,8 @@
 // Next is when Beat must be called again.
 func (d *Distributor) Next() Time { return min(d.next(), max(d.rollout.lookAt, d.now+1)) }
 
-// Beat does what is due.
-func (d *Distributor) Beat(now Time) {
+// Tick does what is due.
+func (d *Distributor) Tick(now Time) {
 	d.now = now
 	d.beat()
 	d.reports.forget(now, forgetFronts)
--- a/fleet/config/document.go
+++ b/fleet/config/document.go
@@ -59,10 +59,10 @@
 	return nil, false
 }
 
-// For gives the texts that count for one front, sorted by scope, a staged one included if the front is in its
+// TextsFor gives the texts that count for one front, sorted by scope, a staged one included if the front is in its
 // audience.
-func (d *Document) For(front, zone string) []ScopeText {
-	if d.Stage == nil || !d.Stage.Reaches(front, zone) {
+func (d *Document) TextsFor(front, zone string) []ScopeText {
+	if d.Stage == nil || !d.Stage.Includes(front, zone) {
 		return d.Texts
 	}
 	staged := Document{Texts: slices.Clone(d.Texts)}
@@ -70,8 +70,8 @@
 	return staged.Texts
 }
 
-// Reaches tells whether a front is in the stage's audience. A zone's step keeps the first front.
-func (s *Stage) Reaches(front, zone string) bool {
+// Includes tells whether a front is in the stage's audience. A zone's step keeps the first front.
+func (s *Stage) Includes(front, zone string) bool {
 	if front == s.Plan.Front && front != "" {
 		return true
 	}
@@ -106,8 +106,8 @@
 	if len(d.Texts) > MaxScopes {
 		return fmt.Errorf("%w: %d scopes, at most %d", ErrTooLarge, len(d.Texts), MaxScopes)
 	}
-	if size := d.size(); size > MaxTexts {
-		return fmt.Errorf("%w: all texts together have %d bytes, at most %d", ErrTooLarge, size, MaxTexts)
+	if size := d.size(); size > MaxTextBytes {
+		return fmt.Errorf("%w: all texts together have %d bytes, at most %d", ErrTooLarge, size, MaxTextBytes)
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 		}
 		return nil
 	})
-	if err == nil && (!t.Scope.sound() || len(t.Text) > MaxTexts) {
+	if err == nil && (!t.Scope.sound() || len(t.Text) > MaxTextBytes) {
 		err = fmt.Errorf("%w: a scope's name or its text", ErrMalformed)
 	}
 	return t, err
--- a/fleet/config/hardcases_test.go
+++ b/fleet/config/hardcases_test.go
@@ -67,12 +67,12 @@
 			w.run(hour * Second / 30)
 			w.mustReach(v, lastFront, here)
 		}
-		w.run(GuardSpan + 2*guardMargin) // of the last change
+		w.run(ProofTTL + 2*guardMargin) // of the last change
 		behind, guarded := 0, 0
 		for _, m := range w.fronts {
 			if away(m) && m.agent.InForce() < v {
 				behind++
-				if m.agent.Guarded(w.now) {
+				if m.agent.ProofFresh(w.now) {
 					guarded++
 				}
 			}
@@ -118,7 +118,7 @@
 func TestHardCase4LargestChange(t *testing.T) {
 	w := hard(t, 5)
 	random := rand.New(rand.NewSource(1))
-	text := make([]byte, MaxTexts-len(settings(40, 0, 1)))
+	text := make([]byte, MaxTextBytes-len(settings(40, 0, 1)))
 	random.Read(text)
 	from := w.second()
 	v := w.change("plans", string(text), nil)
@@ -137,7 +137,7 @@
 	w.loss = 50
 	w.run(startsTalk * Second)
 	random := rand.New(rand.NewSource(2))
-	for _, size := range []int{100, 250, 500, SwiftChange} {
+	for _, size := range []int{100, 250, 500, FastChangeBytes} {
 		text := make([]byte, size)
 		random.Read(text)
 		v := w.change("plans", string(text), nil)
@@ -161,7 +161,7 @@
 	}
 	c := Change{Scope: "operators", Text: []byte("bad"), Author: "ana", Reason: "a test"}
 	_, err := l.Prepare(c, check)
-	if !errors.Is(err, ErrFaulty) || !strings.Contains(err.Error(), "operators: /door/jobs:") || strings.Contains(err.Error(), "\n") {
+	if !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), "operators: /door/jobs:") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
 	if l.Newest() != 0 {
@@ -169,7 +169,7 @@
 	}
 	c.Text = []byte("good")
 	for name, spoil := range map[string]func(c *Change){
-		"text":   func(c *Change) { c.Text = make([]byte, MaxTexts+1) },
+		"text":   func(c *Change) { c.Text = make([]byte, MaxTextBytes+1) },
 		"reason": func(c *Change) { c.Reason = strings.Repeat("x", MaxReason+1) },
 	} {
 		x := c
@@ -198,7 +198,7 @@
 		w.cut = func(x, y *machine) bool { return x == m || y == m }
 		w.run(Second)
 		w.start(m)
-		if s := m.agent.Status(w.now); s.Guarded || (s.InForce == v) == m.diskless || (s.State == StateEmpty) != m.diskless {
+		if s := m.agent.Status(w.now); s.ProofFresh || (s.InForce == v) == m.diskless || (s.State == StateEmpty) != m.diskless {
 			t.Errorf("%s starts alone, without a disk %v: %+v", m.name, m.diskless, s)
 		}
 		w.run(Second)
@@ -211,7 +211,7 @@
 	for _, m := range w.fronts {
 		s := m.agent.Status(w.now)
 		known := m.since < 1000*Second+2*Second
-		if s.InForce != v || s.Guarded || known && (s.Age < (hour-30)*Second || s.Age > (hour+200)*Second) {
+		if s.InForce != v || s.ProofFresh || known && (s.Age < (hour-30)*Second || s.Age > (hour+200)*Second) {
 			t.Errorf("%s: %+v", m.name, s)
 		}
 	}
@@ -323,7 +323,7 @@
 		w.fronts[where].refuse = refuse
 		acted := map[string]bool{}
 		w.onForce = func(m *machine, v Version) {
-			for _, s := range w.known[v].For(m.name, m.zone) {
+			for _, s := range w.known[v].TextsFor(m.name, m.zone) {
 				if strings.Contains(string(s.Text), "9999") {
 					acted[m.zone] = true
 				}
@@ -360,7 +360,7 @@
 	a := w.fronts[0].agent
 	for k := range 5000 {
 		m := &message{kind: heartbeat, seq: 1, reports: []report{{id: uint64(k)*2 + 1, life: 1, count: 1, state: StateInForce}}}
-		a.Take(w.now, fmt.Sprint("x", k), m.encode(nil, "blue"))
+		a.Receive(w.now, fmt.Sprint("x", k), m.encode(nil, "blue"))
 	}
 	if len(a.children.list) > maxChildren || len(a.reports.entries) > MaxFronts {
 		t.Errorf("%d children, %d reports", len(a.children.list), len(a.reports.entries))
--- a/fleet/config/log.go
+++ b/fleet/config/log.go
@@ -25,7 +25,7 @@
 
 // Prepare checks a change and gives the entry to propose. The change is not in force by that: its entry has
 // to be applied. Errors: ErrFaulty, ErrTooLarge, ErrVersionConflict, ErrRollout.
-func (l *Log) Prepare(c Change, check Check) (entry []byte, err error) {
+func (l *Log) Prepare(c Change, check CheckFunc) (entry []byte, err error) {
 	if err := c.sound(); err != nil {
 		return nil, err
 	}
@@ -45,11 +45,11 @@
 
 // PrepareRollback does the same for a rollback; the old texts are checked as new ones are. Errors:
 // ErrUnknownVersion and those of Prepare but ErrRollout.
-func (l *Log) PrepareRollback(r Rollback, check Check) (entry []byte, err error) {
+func (l *Log) PrepareRollback(r Rollback, check CheckFunc) (entry []byte, err error) {
 	if err := soundNotes(r.Author, r.Reason, r.At); err != nil {
 		return nil, err
 	}
-	old, err := l.At(r.To)
+	old, err := l.DocumentAt(r.To)
 	if err != nil {
 		return nil, err
 	}
@@ -104,10 +104,10 @@
 // sound tells which bound a change breaks.
 func (c *Change) sound() error {
 	if !c.Scope.sound() {
-		return fmt.Errorf("%w: a scope's name is 1 to %d of a-z, 0-9, - and _", ErrFaulty, MaxScopeName)
+		return fmt.Errorf("%w: a scope's name is 1 to %d of a-z, 0-9, - and _", ErrInvalid, MaxScopeName)
 	}
-	if len(c.Text) > MaxTexts {
-		return fmt.Errorf("%w: %s has %d bytes, at most %d", ErrTooLarge, c.Scope, len(c.Text), MaxTexts)
+	if len(c.Text) > MaxTextBytes {
+		return fmt.Errorf("%w: %s has %d bytes, at most %d", ErrTooLarge, c.Scope, len(c.Text), MaxTextBytes)
 	}
 	if p := c.Plan; p != nil {
 		if len(p.Front) > MaxName || len(p.Zone) > MaxName {
@@ -123,7 +123,7 @@
 // soundNotes tells which bound the notes for the history break.
 func soundNotes(author, reason string, at int64) error {
 	if author == "" || reason == "" || at < 0 {
-		return fmt.Errorf("%w: author, reason and time have to be named", ErrFaulty)
+		return fmt.Errorf("%w: author, reason and time have to be named", ErrInvalid)
 	}
 	if len(author) > MaxAuthor || len(reason) > MaxReason {
 		return fmt.Errorf("%w: author at most %d bytes, reason %d", ErrTooLarge, MaxAuthor, MaxReason)
@@ -132,12 +132,12 @@
 }
 
 // checkText has a scope's text checked. A scope that is removed is not.
-func checkText(scope Scope, text []byte, check Check) error {
+func checkText(scope Scope, text []byte, check CheckFunc) error {
 	if len(text) == 0 || check == nil {
 		return nil
 	}
 	if err := check(scope, text); err != nil {
-		return fmt.Errorf("%w: %s: %s", ErrFaulty, scope, oneLine(err.Error()))
+		return fmt.Errorf("%w: %s: %s", ErrInvalid, scope, oneLine(err.Error()))
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 // change makes a change in a document, or stages it.
 func (d *Document) change(e *entry) error {
 	if d.Stage != nil {
-		return fmt.Errorf("%w since version %d", ErrRollout, d.Stage.Began)
+		return fmt.Errorf("%w since version %d", ErrRolloutOpen, d.Stage.Began)
 	}
 	text := ScopeText{Scope: e.scope, Program: e.program}
 	if len(e.patch) > 0 {
@@ -249,7 +249,7 @@
 
 // rollback gives a document the texts of an older version.
 func (l *Log) rollback(next *Document, to Version) error {
-	old, err := l.At(to)
+	old, err := l.DocumentAt(to)
 	if err != nil {
 		return err
 	}
@@ -258,8 +258,8 @@
 	return nil
 }
 
-// At gives an older version, without its stage if it had one. Errors: ErrUnknownVersion.
-func (l *Log) At(v Version) (*Document, error) {
+// DocumentAt gives an older version, without its stage if it had one. Errors: ErrUnknownVersion.
+func (l *Log) DocumentAt(v Version) (*Document, error) {
 	var found []byte
 	l.history.back(l.chain.document, func(version Version, document []byte) bool {
 		if version == v {
--- a/fleet/config/log_test.go
+++ b/fleet/config/log_test.go
@@ -88,7 +88,7 @@
 }
 
 func (l *Log) mustEncode(t *testing.T, v Version) []byte {
-	d, err := l.At(v)
+	d, err := l.DocumentAt(v)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,13 +99,13 @@
 	l := NewLog()
 	made(t, l, "settings", "one", nil)
 	v := made(t, l, "settings", "two", &Plan{Front: "a", Zone: "z"})
-	if texts := l.Document().For("a", "y"); string(texts[0].Text) != "two" {
+	if texts := l.Document().TextsFor("a", "y"); string(texts[0].Text) != "two" {
 		t.Errorf("%s", texts[0].Text)
 	}
-	if texts := l.Document().For("b", "z"); string(texts[0].Text) != "one" {
+	if texts := l.Document().TextsFor("b", "z"); string(texts[0].Text) != "one" {
 		t.Errorf("%s", texts[0].Text)
 	}
-	if _, err := l.Prepare(Change{Base: v, Scope: "plans", Text: []byte("x"), Author: "ana", Reason: "y"}, nil); !errors.Is(err, ErrRollout) {
+	if _, err := l.Prepare(Change{Base: v, Scope: "plans", Text: []byte("x"), Author: "ana", Reason: "y"}, nil); !errors.Is(err, ErrRolloutOpen) {
 		t.Errorf("%v", err)
 	}
 	entry, err := l.PrepareAbort("ana", "no more", 1)
@@ -145,11 +145,11 @@
 	for k := range kept {
 		spoilt := bytes.Clone(kept)
 		spoilt[k] ^= 1
-		if a := NewAgent(w.now, AgentOptions{Fleet: "blue", Name: "x", Kept: spoilt}, m); a.InForce() != 0 {
+		if a := NewAgent(w.now, AgentOptions{Fleet: "blue", Name: "x", Persisted: spoilt}, m); a.InForce() != 0 {
 			t.Fatalf("byte %d spoilt: version %d", k, a.InForce())
 		}
 	}
-	if a := NewAgent(w.now, AgentOptions{Fleet: "green", Name: "x", Kept: kept}, m); a.InForce() != 0 {
+	if a := NewAgent(w.now, AgentOptions{Fleet: "green", Name: "x", Persisted: kept}, m); a.InForce() != 0 {
 		t.Error("another fleet's disk")
 	}
 }
@@ -188,11 +188,11 @@
 		for k := range 3 {
 			sum := checksum("blue", given)
 			message = append(bytes.Clone(given), byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24))
-			w.fronts[0].agent.Take(w.now, "control0", message)
-			w.controls[0].control.Take(w.now, fmt.Sprint("x", k), message)
+			w.fronts[0].agent.Receive(w.now, "control0", message)
+			w.controls[0].control.Receive(w.now, fmt.Sprint("x", k), message)
 			w.now += 3 * Second
-			w.fronts[0].agent.Beat(w.now)
-			w.controls[0].control.Beat(w.now)
+			w.fronts[0].agent.Tick(w.now)
+			w.controls[0].control.Tick(w.now)
 			w.controls[0].control.Status(w.now)
 		}
 		if m, err := readMessage(message, "blue"); err == nil {
--- a/fleet/config/rollout.go
+++ b/fleet/config/rollout.go
@@ -46,7 +46,7 @@
 // fallen silent since it had it in force is reached and not done.
 func (d *Distributor) audience(stage *Stage) (reached, done int, refusal string) {
 	for _, f := range d.fronts(d.now) {
-		if !stage.Reaches(f.Name, f.Zone) || f.State == StateSilent && f.Received < stage.Began {
+		if !stage.Includes(f.Name, f.Zone) || f.State == StateSilent && f.Received < stage.Began {
 			continue
 		}
 		reached++
--- a/fleet/config/seeds_test.go
+++ b/fleet/config/seeds_test.go
@@ -149,7 +149,7 @@
 		}
 		entry, err := leader.log.Prepare(c, nil)
 		if err != nil {
-			if !errors.Is(err, ErrRollout) {
+			if !errors.Is(err, ErrRolloutOpen) {
 				d.fault("%v", err)
 			}
 			return
@@ -180,7 +180,7 @@
 		return
 	}
 	d.commit(entry)
-	old, _ := leader.log.At(r.To)
+	old, _ := leader.log.DocumentAt(r.To)
 	if !bytes.Equal((&Document{Texts: old.Texts}).Append(nil), (&Document{Texts: leader.log.Document().Texts}).Append(nil)) {
 		d.fault("rollback to %d has other texts", r.To)
 	}
@@ -190,7 +190,7 @@
 func (d *drawn) whole() bool {
 	s := d.leader().control.Status(d.now)
 	for _, m := range d.fronts {
-		if m.agent.InForce() != s.Newest || !m.agent.Guarded(d.now) {
+		if m.agent.InForce() != s.Newest || !m.agent.ProofFresh(d.now) {
 			return false
 		}
 	}
@@ -204,7 +204,7 @@
 	}
 	for _, m := range d.fronts {
 		next := d.committedAt[m.agent.InForce()+1]
-		if !m.down && m.agent.Guarded(d.now) && next != 0 && d.now-next > GuardSpan {
+		if !m.down && m.agent.ProofFresh(d.now) && next != 0 && d.now-next > ProofTTL {
 			d.fault("%s acts on guarded settings of version %d, %d s too old", m.name, m.agent.InForce(), (d.now-next)/Second)
 		}
 	}
@@ -214,7 +214,7 @@
 	for _, f := range s.Fronts {
 		m := d.machines[f.Name]
 		older := !m.down && m.agent.InForce() > 0 && m.agent.InForce() < s.Newest
-		if s.Everywhere && older && (f.State != StateSilent || m.agent.Guarded(d.now)) {
+		if s.Everywhere && older && (f.State != StateSilent || m.agent.ProofFresh(d.now)) {
 			d.fault("%s has version %d, and %d is said to be in force everywhere", m.name, m.agent.InForce(), s.Newest)
 		}
 	}
@@ -242,7 +242,7 @@
 		if r.Version != Version(k+1) {
 			d.fault("history has version %d in place %d", r.Version, k)
 		}
-		if at, err := want.At(r.Version); err != nil || !bytes.Equal((&Document{Texts: at.Texts}).Append(nil), (&Document{Texts: d.known[r.Version].Texts}).Append(nil)) {
+		if at, err := want.DocumentAt(r.Version); err != nil || !bytes.Equal((&Document{Texts: at.Texts}).Append(nil), (&Document{Texts: d.known[r.Version].Texts}).Append(nil)) {
 			d.fault("version %d in history is another: %v", r.Version, err)
 		}
 	}
--- a/fleet/config/status.go
+++ b/fleet/config/status.go
@@ -62,7 +62,7 @@
 
 // guardMargin is added to GuardSpan before a silent front counts as one that acts on no guarded setting:
 // clocks may run apart by a part in ten over the span.
-const guardMargin = GuardSpan / 10
+const guardMargin = ProofTTL / 10
 
 // Status tells how far the newest version has come. Complete where this machine leads, and once reports have
 // come in.
@@ -75,7 +75,7 @@
 	for _, f := range s.Fronts {
 		if f.State == StateSilent {
 			s.Silent++
-			s.Everywhere = s.Everywhere && now-d.appliedAt > GuardSpan+guardMargin
+			s.Everywhere = s.Everywhere && now-d.appliedAt > ProofTTL+guardMargin
 			continue
 		}
 		if f.InForce == s.Newest {
--- a/fleet/config/world_test.go
+++ b/fleet/config/world_test.go
@@ -164,8 +164,8 @@
 		if len(kept) > 0 {
 			m.inForce-- // the same version is put in force again
 		}
-		m.agent = NewAgent(w.now, AgentOptions{Fleet: "blue", Name: m.name, Zone: m.zone, Life: m.life,
-			Program: m.program, Seed: seed, Kept: kept}, m)
+		m.agent = NewAgent(w.now, AgentOptions{Fleet: "blue", Name: m.name, Zone: m.zone, Incarnation: m.life,
+			Program: m.program, Seed: seed, Persisted: kept}, m)
 		m.agent.SetPeers(w.now, w.peers())
 	}
 	m.wakeAt = 0
@@ -192,9 +192,9 @@
 			return
 		}
 		if m.agent != nil {
-			m.agent.Beat(m.w.now)
+			m.agent.Tick(m.w.now)
 		} else {
-			m.control.Beat(m.w.now)
+			m.control.Tick(m.w.now)
 		}
 		m.wake()
 	})
@@ -260,16 +260,16 @@
 	}
 	m.count(len(message))
 	if m.agent != nil {
-		m.agent.Take(m.w.now, from, message)
+		m.agent.Receive(m.w.now, from, message)
 	} else {
-		m.control.Take(m.w.now, from, message)
+		m.control.Receive(m.w.now, from, message)
 	}
 	m.wake()
 }
 
 func (m *machine) Log(string)              {}
 func (m *machine) UnixMilliseconds() int64 { return m.w.now / Millisecond }
-func (m *machine) Keep(kept []byte)        { m.kept = bytes.Clone(kept) }
+func (m *machine) Persist(kept []byte)     { m.kept = bytes.Clone(kept) }
 func (m *machine) Propose(entry []byte) error {
 	if !m.w.commit(entry) {
 		return fmt.Errorf("no majority")
@@ -295,7 +295,7 @@
 		w.fault("%s: version %d was never committed", m.name, v)
 		return nil
 	}
-	if !bytes.Equal((&Document{Texts: texts}).Append(nil), (&Document{Texts: want.For(m.name, m.zone)}).Append(nil)) {
+	if !bytes.Equal((&Document{Texts: texts}).Append(nil), (&Document{Texts: want.TextsFor(m.name, m.zone)}).Append(nil)) {
 		w.fault("%s: version %d is not what was committed", m.name, v)
 	}
 	if m.refuse != nil {
@@ -340,7 +340,7 @@
 			addr = leader.name
 			w.catchUp(m)
 		}
-		m.control.Lead(w.now, m == leader, addr)
+		m.control.SetLeader(w.now, m == leader, addr)
 		m.wake()
 	}
 }
@@ -349,7 +349,7 @@
 func (w *world) confirm() {
 	w.lead()
 	if leader := w.leader(); leader != nil {
-		leader.control.Confirmed(w.now, w.now-50*Millisecond)
+		leader.control.LeadershipConfirmed(w.now, w.now-50*Millisecond)
 	}
 	w.at(w.now+Second, w.confirm)
 }
@@ -385,7 +385,7 @@
 			w.fault("%s: entry %d leads to another version", m.name, m.applied)
 		}
 	}
-	m.control.Applied(w.now)
+	m.control.LogChanged(w.now)
 	m.wake()
 }
 
--- a/fleet/lease/asks.go
+++ b/fleet/lease/asks.go
@@ -15,29 +15,29 @@
 
 // waiter is who waits for one.
 type waiter struct {
-	ask  Ask
+	ask  Request
 	seen Time // when it asked last
 }
 
 // read is a question that waits until a quorum confirms that this is the leader.
 type read struct {
 	id    uint64
-	ask   Ask
+	ask   Request
 	done  func() // in place of an answer to ask; nil: none
 	index uint64 // from then on it is answered; 0: not confirmed
 }
 
-// Hear takes a question in, of an asker or passed on by another voter.
-func (v *Voter) Hear(now Time, a Ask) {
+// HandleRequest takes a question in, of an asker or passed on by another voter.
+func (v *Voter) HandleRequest(now Time, a Request) {
 	defer v.recoverCore()
 	v.now = now
 	if v.aside != nil || !validName(a.Name) || !validName(a.From.Name) {
 		return
 	}
 	if !v.leads {
-		if lead := v.Leader(); lead != 0 && lead != v.id && a.Via == 0 {
-			a.Via = v.id
-			v.host.Pass(lead, a)
+		if lead := v.Leader(); lead != 0 && lead != v.id && a.ForwardedBy == 0 {
+			a.ForwardedBy = v.id
+			v.host.Forward(lead, a)
 		}
 		return // the asker tries another
 	}
@@ -52,7 +52,7 @@
 		} else {
 			v.proposeGrant(a.Name, g.token)
 		}
-	case a.Op != Want && a.Op != Renew:
+	case a.Op != Acquire && a.Op != Renew:
 	case g == nil && a.Op == Renew, a.Op == Renew && (g.token != a.Token || g.holder != a.From):
 		v.answer(a, Reply{})
 	case g == nil:
@@ -74,27 +74,27 @@
 		if t == nil {
 			return
 		}
-		v.answer(a, Reply{Held: g.holder, Before: v.queue(t, a)})
+		v.answer(a, Reply{Holder: g.holder, QueuePosition: v.queue(t, a)})
 	}
 	v.handleReady()
 }
 
-func validName(name string) bool { return name != "" && len(name) <= MostName }
+func validName(name string) bool { return name != "" && len(name) <= MaxNameBytes }
 
 // deaf tells whether a holder has asked for a whole span and heard nothing.
-func (v *Voter) deaf(a Ask) bool {
+func (v *Voter) deaf(a Request) bool {
 	t := v.timingOf(a.Name)
 	if t == nil {
 		return false
 	}
-	if a.Heard != t.heard || t.heardAt == 0 {
-		t.heard, t.heardAt = a.Heard, v.now
+	if a.AckedSeq != t.heard || t.heardAt == 0 {
+		t.heard, t.heardAt = a.AckedSeq, v.now
 	}
 	return v.now-t.heardAt > v.terms.Span
 }
 
 // queue puts who asks among those that wait, or notes that it still does, and tells how many are before it.
-func (v *Voter) queue(t *timing, a Ask) int {
+func (v *Voter) queue(t *timing, a Request) int {
 	for k := range t.waiters {
 		if t.waiters[k].ask.From == a.From {
 			t.waiters[k] = waiter{a, v.now}
@@ -110,7 +110,7 @@
 func (v *Voter) timingOf(name string) *timing {
 	t := v.timed[name]
 	if t == nil {
-		if len(v.order) >= MostLeases {
+		if len(v.order) >= MaxLeases {
 			return nil
 		}
 		t = &timing{}
@@ -146,7 +146,7 @@
 }
 
 // confirm answers a holder once most voters have said, after now, that this is still the leader.
-func (v *Voter) confirm(a Ask) {
+func (v *Voter) confirm(a Request) {
 	v.readIndex(read{ask: a})
 }
 
@@ -158,7 +158,7 @@
 	v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, r.id))
 }
 
-func (v *Voter) answer(a Ask, r Reply) {
+func (v *Voter) answer(a Request, r Reply) {
 	r.Name, r.To, r.Seq = a.Name, a.From, a.Seq
-	v.host.Reply(a.Via, a.Addr, r)
+	v.host.Reply(a.ForwardedBy, a.Addr, r)
 }
--- a/fleet/lease/book.go
+++ b/fleet/lease/book.go
@@ -14,17 +14,17 @@
 
 // Bounds. Lengths are bytes.
 const (
-	MostLeases = 10_000
-	MostName   = 64
-	mostWait   = 1024 // who wait for one lease
-	mostSeats  = 16   // voters added after the first start that are there at once
-	format     = 1
+	MaxLeases    = 10_000
+	MaxNameBytes = 64
+	mostWait     = 1024 // who wait for one lease
+	mostSeats    = 16   // voters added after the first start that are there at once
+	format       = 1
 )
 
 var errShape = errors.New("an entry of an unknown shape")
 
-// Party is one life of one front.
-type Party struct {
+// Instance is one life of one front.
+type Instance struct {
 	Name string
 	Life uint64
 }
@@ -32,7 +32,7 @@
 // grant is what the book holds of one lease.
 type grant struct {
 	name   string
-	holder Party
+	holder Instance
 	token  uint64
 }
 
@@ -40,8 +40,8 @@
 // proposer saw: what a leader proposed that has been deposed since may come into the log late.
 type entry struct {
 	name   string
-	over   uint64 // token of the grant that it ends; 0: there is none
-	holder Party  // no name: nobody follows
+	over   uint64   // token of the grant that it ends; 0: there is none
+	holder Instance // no name: nobody follows
 }
 
 func (e *entry) append(dst []byte) []byte {
@@ -69,7 +69,7 @@
 
 func (r *reader) text() string {
 	n := int(r.byte())
-	if r.bad || n > MostName || n > len(r.b) {
+	if r.bad || n > MaxNameBytes || n > len(r.b) {
 		r.bad = true
 		return ""
 	}
@@ -106,8 +106,8 @@
 	grants  []grant // by place; a free one has no name
 	byName  map[string]int
 	free    []int
-	seats   []Seat // by number
-	Applied uint64 // index of the last entry
+	seats   []VoterInfo // by number
+	Applied uint64      // index of the last entry
 }
 
 func newBook() *Book { return &Book{byName: map[string]int{}} }
@@ -137,7 +137,7 @@
 		b.grants[i] = grant{}
 		b.free = append(b.free, i)
 		return nil, was, true
-	case e.holder.Name == "", g == nil && len(b.byName) >= MostLeases:
+	case e.holder.Name == "", g == nil && len(b.byName) >= MaxLeases:
 		return nil, was, false
 	case g == nil:
 		if len(b.free) == 0 {
@@ -153,17 +153,17 @@
 	return g, was, true
 }
 
-func (s *Seat) append(dst []byte) []byte {
+func (s *VoterInfo) append(dst []byte) []byte {
 	dst = append(append(dst, format, byte(len(s.Name))), s.Name...)
 	return append(append(dst, byte(len(s.Addr))), s.Addr...)
 }
 
-func readSeat(id uint64, b []byte) (Seat, error) {
+func readSeat(id uint64, b []byte) (VoterInfo, error) {
 	r := reader{b: b}
 	if r.byte() != format {
-		return Seat{}, errShape
+		return VoterInfo{}, errShape
 	}
-	s := Seat{ID: id, Name: r.text(), Addr: r.text()}
+	s := VoterInfo{ID: id, Name: r.text(), Addr: r.text()}
 	if r.bad || len(r.b) > 0 || id == 0 {
 		return s, errShape
 	}
@@ -171,8 +171,8 @@
 }
 
 // seat notes a voter that was added, or that one has gone.
-func (b *Book) seat(s Seat, there bool) {
-	k, has := slices.BinarySearchFunc(b.seats, s.ID, func(x Seat, id uint64) int { return cmp.Compare(x.ID, id) })
+func (b *Book) seat(s VoterInfo, there bool) {
+	k, has := slices.BinarySearchFunc(b.seats, s.ID, func(x VoterInfo, id uint64) int { return cmp.Compare(x.ID, id) })
 	switch {
 	case has && there:
 		b.seats[k] = s
@@ -214,7 +214,7 @@
 		return nil, errShape
 	}
 	applied, n := r.number(), r.number()
-	if r.bad || n > MostLeases {
+	if r.bad || n > MaxLeases {
 		return nil, errShape
 	}
 	for range n {
@@ -253,8 +253,8 @@
 	return b, nil
 }
 
-// Names gives the leases that what a voter kept tells of, as far as it knows them granted, with their tokens.
-func Names(k Kept) (names []string, err error) {
+// DescribeLeases gives the leases that what a voter kept tells of, as far as it knows them granted, with their tokens.
+func DescribeLeases(k PersistedState) (names []string, err error) {
 	b := newBook()
 	if k.Snapshot != nil {
 		text, _, err := splitSnapshot(k.Snapshot.Data)
@@ -266,7 +266,7 @@
 		}
 	}
 	for _, e := range k.Entries {
-		if e.GetIndex() > k.Hard.GetCommit() {
+		if e.GetIndex() > k.HardState.GetCommit() {
 			break
 		}
 		if x, err := readEntry(e.Data); err == nil {
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -65,19 +65,19 @@
 		}
 		old := *a.h
 		w.begin(a)
-		a.h.Want(a.clock(), "l")
+		a.h.Acquire(a.clock(), "l")
 		w.ghosts = append(w.ghosts, &asker{machine: a.machine, n: a.n, life: a.life, ghost: " of before", h: &old}) // its old one may yet live
 	}},
 	{"the holder gives it back, or asks anew", nil, func(w *world) {
 		if h := w.askers[0].h; h.Empty() {
-			h.Want(w.askers[0].clock(), "l")
+			h.Acquire(w.askers[0].clock(), "l")
 		} else {
-			h.Drop(w.askers[0].clock(), "l")
+			h.Release(w.askers[0].clock(), "l")
 		}
 	}},
 	{"the leader yields", func(w *world) bool { return w.leader() != nil }, func(w *world) {
 		v := w.leader()
-		v.v.Yield(v.clock())
+		v.v.TransferLeadership(v.clock())
 		w.after(v)
 	}},
 	{"the holder is deaf, or no longer", nil, func(w *world) {
@@ -256,11 +256,11 @@
 		}},
 		{name: "a new life of a holder is taken for the old one", sameLife: true},
 		{name: "a machine that slept trusts its clock", asked: func(h *Holder, _ Time) {
-			if mono, boot := h.host.Moment(); true {
+			if mono, boot := h.host.Clocks(); true {
 				h.slept = boot - mono
 			}
 		}, may: func(h *Holder, name string) bool {
-			mono, _ := h.host.Moment()
+			mono, _ := h.host.Clocks()
 			return mono <= h.find(name).safe && h.find(name).token != 0
 		}},
 		{name: "a leader times before it knows all that was granted", leads: func(v *Voter) {
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -23,39 +23,39 @@
 type Op uint8
 
 const (
-	Want Op = iota + 1
+	Acquire Op = iota + 1
 	Renew
 	Release
 )
 
-// Ask is a question to the voters.
-type Ask struct {
-	Op    Op
-	Name  string
-	From  Party
-	Token uint64 // Renew, Release
-	Seq   uint64 // the asker's, larger each time
-	Heard uint64 // the newest of them that it has heard an answer to
-	Via   uint64 // voter that passed it on; 0: none
-	Addr  string // where the asker is reached
+// Request is a question to the voters.
+type Request struct {
+	Op          Op
+	Name        string
+	From        Instance
+	Token       uint64 // Renew, Release
+	Seq         uint64 // the asker's, larger each time
+	AckedSeq    uint64 // the newest of them that it has heard an answer to
+	ForwardedBy uint64 // voter that passed it on; 0: none
+	Addr        string // where the asker is reached
 }
 
 // Reply is what a voter says to one.
 type Reply struct {
-	Name   string
-	To     Party
-	Seq    uint64
-	Token  uint64 // 0: not granted
-	Held   Party  // who has it then, if anybody
-	Before int    // who wait before the asker
+	Name          string
+	To            Instance
+	Seq           uint64
+	Token         uint64   // 0: not granted
+	Holder        Instance // who has it then, if anybody
+	QueuePosition int      // who wait before the asker
 }
 
-// Asker is what a holder does.
-type Asker interface {
-	Ask(voter int, a Ask)           // of the voters in their order
-	Held(name string, token uint64) // it is this front's from now on
-	Lost(name string, why string)   // it no longer is
-	Moment() (monotonic, boot Time) // of this machine, read now: a sleep moves only the second
+// HolderHost is what a holder does.
+type HolderHost interface {
+	SendRequest(voter int, a Request)        // of the voters in their order
+	LeaseAcquired(name string, token uint64) // it is this front's from now on
+	LeaseLost(name string, why string)       // it no longer is
+	Clocks() (monotonic, boot Time)          // of this machine, read now: a sleep moves only the second
 }
 
 // holding is one lease that a front wants or has.
@@ -75,8 +75,8 @@
 
 // Holder keeps the leases of one front. It holds one for no longer than its own clock says, whatever anybody tells it.
 type Holder struct {
-	host     Asker
-	self     Party
+	host     HolderHost
+	self     Instance
 	addr     string
 	terms    Terms
 	voters   int
@@ -89,8 +89,8 @@
 }
 
 // NewHolder starts with no leases.
-func NewHolder(now Time, self Party, addr string, voters int, t Terms, seed uint64, h Asker) *Holder {
-	mono, boot := h.Moment()
+func NewHolder(now Time, self Instance, addr string, voters int, t Terms, seed uint64, h HolderHost) *Holder {
+	mono, boot := h.Clocks()
 	return &Holder{host: h, self: self, addr: addr, terms: t, voters: voters, mwc: random.New(seed), now: now, slept: boot - mono}
 }
 
@@ -103,10 +103,10 @@
 	return nil
 }
 
-// Want asks for a lease from now on. An error says why that cannot be.
-func (h *Holder) Want(now Time, name string) error {
+// Acquire asks for a lease from now on. An error says why that cannot be.
+func (h *Holder) Acquire(now Time, name string) error {
 	h.now = now
-	if name == "" || len(name) > MostName || len(h.holdings) >= 256 {
+	if name == "" || len(name) > MaxNameBytes || len(h.holdings) >= 256 {
 		return fmt.Errorf("lease %q: no name, a long one, or too many", name)
 	}
 	if l := h.find(name); l != nil {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Drop gives a lease back, and asks for it no more. No act may be under way.
-func (h *Holder) Drop(now Time, name string) {
+// Release gives a lease back, and asks for it no more. No act may be under way.
+func (h *Holder) Release(now Time, name string) {
 	h.now = now
 	l := h.find(name)
 	if l == nil {
@@ -144,7 +144,7 @@
 	l.askAt = h.now + h.terms.Span/24
 	for range min(2, h.voters) {
 		l.voter = (l.voter + 1) % h.voters
-		h.host.Ask(l.voter, Ask{Op: Release, Name: l.name, From: h.self, Token: l.giving, Seq: h.seq, Heard: h.heard, Addr: h.addr})
+		h.host.SendRequest(l.voter, Request{Op: Release, Name: l.name, From: h.self, Token: l.giving, Seq: h.seq, AckedSeq: h.heard, Addr: h.addr})
 	}
 }
 
@@ -160,18 +160,18 @@
 // Empty tells that nothing is held, wanted or being given back.
 func (h *Holder) Empty() bool { return len(h.holdings) == 0 }
 
-// Reseat has so many voters be asked from now on.
-func (h *Holder) Reseat(voters int) {
+// SetVoterCount has so many voters be asked from now on.
+func (h *Holder) SetVoterCount(voters int) {
 	h.voters = max(voters, 1)
 	for i := range h.holdings {
 		h.holdings[i].voter %= h.voters
 	}
 }
 
-// DropAll gives all back, at a planned stop.
-func (h *Holder) DropAll(now Time) {
+// ReleaseAll gives all back, at a planned stop.
+func (h *Holder) ReleaseAll(now Time) {
 	for i := len(h.holdings) - 1; i >= 0; i-- {
-		h.Drop(now, h.holdings[i].name)
+		h.Release(now, h.holdings[i].name)
 	}
 }
 
@@ -188,15 +188,15 @@
 	if l.token != 0 {
 		l.token, l.safe = 0, 0
 		l.seqs = [4]uint64{} // what was asked for the old one grants nothing of a new one's time
-		h.host.Lost(l.name, why)
+		h.host.LeaseLost(l.name, why)
 	}
 }
 
-// May tells whether an act of at most so long may begin now, and under which token. The clock is read here, not
+// UsableToken tells whether an act of at most so long may begin now, and under which token. The clock is read here, not
 // handed in: between two turns the process may have been stopped. It may still be stopped between this and the act, so
 // what is acted on has to refuse a token older than one that it has seen.
-func (h *Holder) May(name string, longest Time) (token uint64, ok bool) {
-	mono, boot := h.host.Moment()
+func (h *Holder) UsableToken(name string, longest Time) (token uint64, ok bool) {
+	mono, boot := h.host.Clocks()
 	l := h.find(name)
 	if l == nil || l.token == 0 || longest < 0 || mono+longest > l.safe || boot-mono-h.slept > h.terms.Margin {
 		return 0, false
@@ -204,8 +204,8 @@
 	return l.token, true
 }
 
-// Take takes a reply in, and tells whether it answers something that was asked of late.
-func (h *Holder) Take(now Time, r Reply) bool {
+// HandleReply takes a reply in, and tells whether it answers something that was asked of late.
+func (h *Holder) HandleReply(now Time, r Reply) bool {
 	h.now = now
 	l := h.find(r.Name)
 	if l == nil || r.To != h.self {
@@ -242,16 +242,16 @@
 		l.token, l.safe = r.Token, max(l.safe, at+h.terms.safe())
 		l.askAt = min(at+h.terms.Span/3, l.safe)
 		if fresh {
-			h.host.Held(l.name, l.token)
+			h.host.LeaseAcquired(l.name, l.token)
 		}
 	}
 	return true
 }
 
-// Beat asks, renews and gives up what is over.
-func (h *Holder) Beat(now Time) {
+// Tick asks, renews and gives up what is over.
+func (h *Holder) Tick(now Time) {
 	h.now = now
-	mono, boot := h.host.Moment()
+	mono, boot := h.host.Clocks()
 	if s := boot - mono; s-h.slept > h.terms.Margin {
 		// Danger: a machine that slept has a monotonic clock that did not, and others have long taken over.
 		for i := range h.holdings {
@@ -278,7 +278,7 @@
 			continue
 		}
 		h.seq++
-		a := Ask{Op: Want, Name: l.name, From: h.self, Seq: h.seq, Heard: h.heard, Addr: h.addr}
+		a := Request{Op: Acquire, Name: l.name, From: h.self, Seq: h.seq, AckedSeq: h.heard, Addr: h.addr}
 		if l.token != 0 {
 			a.Op, a.Token = Renew, l.token
 		}
@@ -288,7 +288,7 @@
 		k := h.seq % uint64(len(l.seqs))
 		l.seqs[k], l.asked[k] = h.seq, now // before it goes out
 		l.askAt = now + h.terms.Span/12 + h.mwc.Below(h.terms.Span/24)
-		h.host.Ask(l.voter, a)
+		h.host.SendRequest(l.voter, a)
 	}
 }
 
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -14,10 +14,10 @@
 	w.voters[0].v.node.Campaign()
 	w.voters[0].v.handleReady()
 	w.settle()
-	w.askers[0].h.Want(w.askers[0].clock(), "l")
+	w.askers[0].h.Acquire(w.askers[0].clock(), "l")
 	w.advance(1)
 	w.settle()
-	w.askers[1].h.Want(w.askers[1].clock(), "l")
+	w.askers[1].h.Acquire(w.askers[1].clock(), "l")
 	w.advance(1)
 	w.settle()
 	return w
@@ -25,30 +25,30 @@
 
 func TestGrantedAndHandedOver(t *testing.T) {
 	w := ready(flaw{})
-	if _, ok := w.askers[0].h.May("l", second); !ok || w.trouble != "" {
+	if _, ok := w.askers[0].h.UsableToken("l", second); !ok || w.trouble != "" {
 		t.Fatalf("asker 0 does not hold it: %s %v", w.trouble, w.log)
 	}
-	if _, ok := w.askers[0].h.May("l", 4*second); ok {
+	if _, ok := w.askers[0].h.UsableToken("l", 4*second); ok {
 		t.Error("an act is begun that cannot end in time")
 	}
 	for range 200 { // renewed for long
 		w.advance(terms.Span / 20)
 		w.settle()
 	}
-	if _, ok := w.askers[0].h.May("l", 0); !ok {
+	if _, ok := w.askers[0].h.UsableToken("l", 0); !ok {
 		t.Error("it is not renewed")
 	}
 	at := w.now
-	w.askers[0].h.DropAll(w.askers[0].clock())
+	w.askers[0].h.ReleaseAll(w.askers[0].clock())
 	w.settle()
 	for range 40 {
-		if _, ok := w.askers[1].h.May("l", 0); ok {
+		if _, ok := w.askers[1].h.UsableToken("l", 0); ok {
 			break
 		}
 		w.advance(terms.Span / 40)
 		w.settle()
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok || w.now-at > terms.Span/4 {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok || w.now-at > terms.Span/4 {
 		t.Errorf("a planned stop hands it over after %d ms, held %v", (w.now-at)/10, ok)
 	}
 }
@@ -59,18 +59,18 @@
 	w.askers[0].down = true
 	at := w.now
 	for range 400 {
-		if _, ok := w.askers[1].h.May("l", 0); ok {
+		if _, ok := w.askers[1].h.UsableToken("l", 0); ok {
 			break
 		}
 		w.advance(terms.Span / 100)
 		w.settle()
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok || w.now-at > terms.waits()+terms.Span/2 {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok || w.now-at > terms.waits()+terms.Span/2 {
 		t.Errorf("followed after %d ms, held %v", (w.now-at)/10, ok)
 	}
 	// The one that was stopped goes on where it was: neither its clock nor its token lets it act.
 	w.askers[0].down = false
-	if _, ok := w.askers[0].h.May("l", 0); ok {
+	if _, ok := w.askers[0].h.UsableToken("l", 0); ok {
 		t.Error("it acts on")
 	}
 }
@@ -81,13 +81,13 @@
 	w.cut = func(from, to string) bool { return to == "a0" }
 	at := w.now
 	for range 400 {
-		if _, ok := w.askers[1].h.May("l", 0); ok {
+		if _, ok := w.askers[1].h.UsableToken("l", 0); ok {
 			break
 		}
 		w.advance(terms.Span / 100)
 		w.settle()
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok || w.now-at > 2*terms.waits()+terms.Span/2 {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok || w.now-at > 2*terms.waits()+terms.Span/2 {
 		t.Errorf("followed after %d ms, held %v", (w.now-at)/10, ok)
 	}
 	w.cut = nil
@@ -95,7 +95,7 @@
 		w.advance(terms.Span / 100)
 		w.settle()
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok || w.trouble != "" {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok || w.trouble != "" {
 		t.Errorf("the one that follows has lost it: %v %s", ok, w.trouble)
 	}
 }
@@ -104,19 +104,19 @@
 func TestReleaseIsRepeated(t *testing.T) {
 	w := ready(flaw{})
 	w.cut = func(from, to string) bool { return from == "a0" }
-	w.askers[0].h.DropAll(w.askers[0].clock())
+	w.askers[0].h.ReleaseAll(w.askers[0].clock())
 	w.settle()
 	w.advance(terms.Span / 20)
 	w.cut = nil
 	at := w.now
 	for range 100 {
-		if _, ok := w.askers[1].h.May("l", 0); ok {
+		if _, ok := w.askers[1].h.UsableToken("l", 0); ok {
 			break
 		}
 		w.advance(terms.Span / 100)
 		w.settle()
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok || w.now-at > terms.Span/4 {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok || w.now-at > terms.Span/4 {
 		t.Errorf("handed over after %d ms, held %v", (w.now-at)/10, ok)
 	}
 	for range 20 {
@@ -136,17 +136,17 @@
 	w.settle()
 	v := w.voters[0]
 	ask := func(name, from string, seq uint64) {
-		v.v.Hear(v.clock(), Ask{Op: Want, Name: name, From: Party{from, 1}, Seq: seq, Addr: "nowhere"})
+		v.v.HandleRequest(v.clock(), Request{Op: Acquire, Name: name, From: Instance{from, 1}, Seq: seq, Addr: "nowhere"})
 	}
 	began := time.Now()
-	for n := range MostLeases {
+	for n := range MaxLeases {
 		ask(fmt.Sprint("l", n), "x", 1)
 		if n%500 == 0 {
 			w.settle()
 		}
 	}
 	w.settle()
-	if n := len(v.v.book.byName); n != MostLeases {
+	if n := len(v.v.book.byName); n != MaxLeases {
 		t.Fatalf("%d are granted", n)
 	}
 	ask("one too many", "x", 2)
@@ -182,10 +182,10 @@
 		w.advance(terms.Span / 50)
 		w.settle()
 	}
-	if w.voters[0].v.Aside() == nil {
+	if w.voters[0].v.Err() == nil {
 		t.Error("it does not step aside")
 	}
-	if _, ok := w.askers[1].h.May("l", 0); !ok {
+	if _, ok := w.askers[1].h.UsableToken("l", 0); !ok {
 		t.Errorf("the others do not go on: %v", w.log)
 	}
 	for _, v := range w.voters[1:] {
@@ -195,12 +195,12 @@
 		v.full = false
 		w.revive(v)
 	}
-	held, _ := w.askers[1].h.May("l", 0)
+	held, _ := w.askers[1].h.UsableToken("l", 0)
 	for range 100 {
 		w.advance(terms.Span / 50)
 		w.settle()
 	}
-	if token, ok := w.askers[1].h.May("l", 0); !ok || token != held {
+	if token, ok := w.askers[1].h.UsableToken("l", 0); !ok || token != held {
 		t.Errorf("after all were killed and started again token %d is %d, held %v", held, token, ok)
 	}
 }
@@ -209,7 +209,7 @@
 func TestChangeOfVoters(t *testing.T) {
 	w := ready(flaw{})
 	for _, id := range []uint64{3} {
-		if err := w.leader().v.Change(w.leader().clock(), Seat{ID: id}, false); err != nil {
+		if err := w.leader().v.ChangeVoters(w.leader().clock(), VoterInfo{ID: id}, false); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
@@ -220,7 +220,7 @@
 			t.Errorf("%d voters", n)
 		}
 	}
-	if err := w.leader().v.Change(w.leader().clock(), Seat{ID: 3, Name: "c", Addr: "there"}, true); err != nil {
+	if err := w.leader().v.ChangeVoters(w.leader().clock(), VoterInfo{ID: 3, Name: "c", Addr: "there"}, true); err != nil {
 		t.Fatal(err)
 	}
 	for range 40 {
@@ -230,10 +230,10 @@
 	if n := len(w.leader().v.Voters()); n != 3 {
 		t.Errorf("%d voters", n)
 	}
-	if _, ok := w.askers[0].h.May("l", 0); !ok || w.trouble != "" {
+	if _, ok := w.askers[0].h.UsableToken("l", 0); !ok || w.trouble != "" {
 		t.Errorf("the lease is lost: %s %v", w.trouble, w.log)
 	}
-	if err := w.voters[1].v.Change(0, Seat{ID: 9}, true); err == nil {
+	if err := w.voters[1].v.ChangeVoters(0, VoterInfo{ID: 9}, true); err == nil {
 		t.Error("one that does not lead changes voters")
 	}
 }
--- a/fleet/lease/machine_test.go
+++ b/fleet/lease/machine_test.go
@@ -88,7 +88,7 @@
 // and a voter that was away gets a snapshot of both machines.
 func TestSecondMachine(t *testing.T) {
 	w := hosting(t)
-	w.askers[0].h.Want(w.askers[0].clock(), "l")
+	w.askers[0].h.Acquire(w.askers[0].clock(), "l")
 	w.advance(second / 10)
 	w.settle()
 	lead := w.leader()
@@ -126,7 +126,7 @@
 			t.Errorf("voter %d after a restart: %d bytes, %d grants", v.id, len(v.list.state), len(v.v.book.grants))
 		}
 	}
-	if names, err := Names(lead.kept); err != nil || len(names) != 1 {
+	if names, err := DescribeLeases(lead.kept); err != nil || len(names) != 1 {
 		t.Errorf("%v, %v", names, err)
 	}
 }
--- a/fleet/lease/ready.go
+++ b/fleet/lease/ready.go
@@ -20,7 +20,7 @@
 			v.setLeading(rd.SoftState.RaftState == raft.StateLeader)
 		}
 		for _, m := range rd.Messages {
-			v.host.Carry(m.GetTo(), m)
+			v.host.Send(m.GetTo(), m)
 		}
 		v.confirmReads(rd.ReadStates)
 		for _, e := range rd.CommittedEntries {
@@ -34,11 +34,11 @@
 
 // persist writes through what the log's core asks for, and then has the core's own view of the disk follow.
 func (v *Voter) persist(rd *raft.Ready) error {
-	b := Batch{Hard: rd.HardState, Entries: rd.Entries}
+	b := Batch{HardState: rd.HardState, Entries: rd.Entries}
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		b.Snapshot = rd.Snapshot
 	}
-	if !raft.IsEmptyHardState(b.Hard) || len(b.Entries) > 0 || b.Snapshot != nil {
+	if !raft.IsEmptyHardState(b.HardState) || len(b.Entries) > 0 || b.Snapshot != nil {
 		if err := v.host.Save(b); err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 		return
 	}
 	keep := v.keepFrom()
-	if err := v.host.Save(Batch{Snapshot: s, Keep: keep}); err != nil {
+	if err := v.host.Save(Batch{Snapshot: s, KeepFrom: keep}); err != nil {
 		v.stepAside(err)
 		return
 	}
--- a/fleet/lease/timing.go
+++ b/fleet/lease/timing.go
@@ -93,7 +93,7 @@
 // Grant is one lease, as it is shown.
 type Grant struct {
 	Name    string
-	Holder  Party
+	Holder  Instance
 	Token   uint64
 	Left    Time
 	Waiters int
--- a/fleet/lease/voter.go
+++ b/fleet/lease/voter.go
@@ -44,41 +44,41 @@
 
 // Voter is one that keeps the record.
 type Voter struct {
-	host          VoterHost
-	id            uint64
-	terms         Terms
-	node          *raft.RawNode
-	disk          *raft.MemoryStorage // what is on disk, as raft reads it
-	conf          *pb.ConfState
-	book          *Book
-	now           Time
-	tickAt        Time
-	silentTicks   int // ticks without a sign of a leader
-	electionTicks int // silent ticks after which this voter stands
-	mwc           random.Source
-	leads         bool
-	readyAt       uint64 // term that this voter leads in and has applied an entry of; 0: none
-	timed         map[string]*timing
-	order         []string // of timed, so that nothing is decided by a map's order
-	open          int
-	reads         []read
-	machine       StateMachine // nil: none
-	proposals     []proposal   // of the machine, in their order
-	machineBytes  int          // of its entries since the last snapshot
-	readID        uint64
-	snapshotIndex uint64 // index of the last snapshot
-	aside         error
-	changing      bool   // a change of the voters is proposed
-	Refused       uint64 // messages that could not be another voter's
+	host             VoterHost
+	id               uint64
+	terms            Terms
+	node             *raft.RawNode
+	disk             *raft.MemoryStorage // what is on disk, as raft reads it
+	conf             *pb.ConfState
+	book             *Book
+	now              Time
+	tickAt           Time
+	silentTicks      int // ticks without a sign of a leader
+	electionTicks    int // silent ticks after which this voter stands
+	mwc              random.Source
+	leads            bool
+	readyAt          uint64 // term that this voter leads in and has applied an entry of; 0: none
+	timed            map[string]*timing
+	order            []string // of timed, so that nothing is decided by a map's order
+	open             int
+	reads            []read
+	machine          StateMachine // nil: none
+	proposals        []proposal   // of the machine, in their order
+	machineBytes     int          // of its entries since the last snapshot
+	readID           uint64
+	snapshotIndex    uint64 // index of the last snapshot
+	aside            error
+	changing         bool   // a change of the voters is proposed
+	RejectedMessages uint64 // messages that could not be another voter's
 }
 
 // ErrAside: the voter takes no part any more.
-var ErrAside = errors.New("this voter has stepped aside")
+var ErrSteppedAside = errors.New("this voter has stepped aside")
 
 // NewVoter starts a voter from what its disk holds. voters are those of the fleet's first start; later ones
 // stand in what is kept.
 func NewVoter(
-	now Time, id uint64, voters []uint64, k Kept, t Terms, seed uint64, h VoterHost, m StateMachine,
+	now Time, id uint64, voters []uint64, k PersistedState, t Terms, seed uint64, h VoterHost, m StateMachine,
 ) (*Voter, error) {
 	v := &Voter{
 		host: h, machine: m, id: id, terms: t, now: now, mwc: random.New(seed), disk: raft.NewMemoryStorage(),
@@ -93,8 +93,8 @@
 	if err := v.disk.Append(k.Entries); err != nil {
 		return nil, err
 	}
-	if !raft.IsEmptyHardState(k.Hard) {
-		v.disk.SetHardState(k.Hard)
+	if !raft.IsEmptyHardState(k.HardState) {
+		v.disk.SetHardState(k.HardState)
 	} else {
 		v.disk.SetHardState(&pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))})
 	}
@@ -132,14 +132,14 @@
 // drawElectionTicks gives the ticks after which this voter stands. The library's own draw is not from a seed.
 func (v *Voter) drawElectionTicks() int { return election + int(v.mwc.Below(election)) }
 
-// Leads tells whether this voter leads, as far as it knows.
-func (v *Voter) Leads() bool { return v.leads }
+// IsLeader tells whether this voter leads, as far as it knows.
+func (v *Voter) IsLeader() bool { return v.leads }
 
 // Leader gives who leads, 0 if that is not known.
 func (v *Voter) Leader() uint64 { return v.node.BasicStatus().Lead }
 
-// Aside tells why the voter has stepped aside, nil if it has not.
-func (v *Voter) Aside() error { return v.aside }
+// Err tells why the voter has stepped aside, nil if it has not.
+func (v *Voter) Err() error { return v.aside }
 
 // Next is when Beat must be called again.
 func (v *Voter) Next() Time { return v.tickAt }
@@ -153,14 +153,14 @@
 }
 
 func (v *Voter) stepAside(err error) {
-	v.aside = fmt.Errorf("%w: %w", ErrAside, err)
+	v.aside = fmt.Errorf("%w: %w", ErrSteppedAside, err)
 	v.leads, v.readyAt = false, 0
 	v.dropProposals()
 	v.host.Log(fmt.Sprintf("voter %d steps aside: %v", v.id, err))
 }
 
-// Beat lets time pass.
-func (v *Voter) Beat(now Time) {
+// Tick lets time pass.
+func (v *Voter) Tick(now Time) {
 	defer v.recoverCore()
 	if v.now = now; v.aside != nil {
 		return
@@ -190,14 +190,14 @@
 	}
 }
 
-// Take takes another voter's message in.
-func (v *Voter) Take(now Time, m *pb.Message) {
+// HandleMessage takes another voter's message in.
+func (v *Voter) HandleMessage(now Time, m *pb.Message) {
 	defer v.recoverCore()
 	if v.now = now; v.aside != nil {
 		return
 	}
 	if why := v.rejectReason(m); why != "" {
-		v.Refused++
+		v.RejectedMessages++
 		return
 	}
 	switch m.GetType() {
--- a/fleet/lease/voters.go
+++ b/fleet/lease/voters.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Seat is a voter that was added after the fleet's first start, with where it is reached.
-type Seat struct {
+// VoterInfo is a voter that was added after the fleet's first start, with where it is reached.
+type VoterInfo struct {
 	ID         uint64
 	Name, Addr string
 }
@@ -27,8 +27,8 @@
 	}
 }
 
-// Change adds a voter, or removes one. One change at a time; the next only once this is done.
-func (v *Voter) Change(now Time, s Seat, add bool) error {
+// ChangeVoters adds a voter, or removes one. One change at a time; the next only once this is done.
+func (v *Voter) ChangeVoters(now Time, s VoterInfo, add bool) error {
 	defer v.recoverCore()
 	v.now = now
 	if v.aside != nil {
@@ -40,8 +40,8 @@
 	if v.changing {
 		return fmt.Errorf("another change is not done yet")
 	}
-	if len(s.Name) > MostName || len(s.Addr) > MostName || s.ID == 0 {
-		return fmt.Errorf("no number, or a name or address over %d bytes", MostName)
+	if len(s.Name) > MaxNameBytes || len(s.Addr) > MaxNameBytes || s.ID == 0 {
+		return fmt.Errorf("no number, or a name or address over %d bytes", MaxNameBytes)
 	}
 	votes := slices.Contains(v.conf.Voters, s.ID)
 	kind := pb.ConfChangeAddNode
@@ -60,8 +60,8 @@
 	return err
 }
 
-// Yield hands the lead to the voter that has most of the log, before a planned stop.
-func (v *Voter) Yield(now Time) {
+// TransferLeadership hands the lead to the voter that has most of the log, before a planned stop.
+func (v *Voter) TransferLeadership(now Time) {
 	defer v.recoverCore()
 	if v.now = now; v.aside != nil || !v.leads {
 		return
@@ -78,8 +78,8 @@
 	}
 }
 
-// Seats gives the voters that were added after the first start.
-func (v *Voter) Seats() []Seat { return v.book.seats }
+// AddedVoters gives the voters that were added after the first start.
+func (v *Voter) AddedVoters() []VoterInfo { return v.book.seats }
 
 // Voters gives who votes.
 func (v *Voter) Voters() []uint64 { return v.conf.Voters }
--- a/fleet/lease/world_test.go
+++ b/fleet/lease/world_test.go
@@ -31,14 +31,14 @@
 
 func (m *machine) clock() Time { return m.ahead + Time(float64(m.w.now)*m.rate) - m.slept }
 
-// Moment is the machine's clocks, as Holder reads them.
-func (m *machine) Moment() (mono, boot Time) { return m.clock(), m.clock() + m.slept }
+// Clocks is the machine's clocks, as Holder reads them.
+func (m *machine) Clocks() (mono, boot Time) { return m.clock(), m.clock() + m.slept }
 
 type voter struct {
 	machine
 	v    *Voter
 	id   uint64
-	kept Kept
+	kept PersistedState
 	full bool       // its disk takes nothing
 	list *entryList // its second state machine
 	fake bool       // it promises without writing: broken on purpose
@@ -117,7 +117,7 @@
 
 func (w *world) boot(v *voter, ids []uint64) {
 	var err error
-	k := Kept{Hard: v.kept.Hard, Snapshot: v.kept.Snapshot, Entries: append([]*pb.Entry(nil), v.kept.Entries...)}
+	k := PersistedState{HardState: v.kept.HardState, Snapshot: v.kept.Snapshot, Entries: append([]*pb.Entry(nil), v.kept.Entries...)}
 	if v.v, err = NewVoter(v.clock(), v.id, ids, k, w.terms, v.id*7919, v, w.machine(v)); err != nil {
 		w.trouble = err.Error()
 	}
@@ -129,7 +129,7 @@
 	if w.flaw.terms != nil {
 		w.flaw.terms(&t)
 	}
-	a.h = NewHolder(a.clock(), Party{fmt.Sprint("a", a.n), a.life}, fmt.Sprint("a", a.n), len(w.voters), t, uint64(a.n)*31+a.life, a)
+	a.h = NewHolder(a.clock(), Instance{fmt.Sprint("a", a.n), a.life}, fmt.Sprint("a", a.n), len(w.voters), t, uint64(a.n)*31+a.life, a)
 	a.down, a.held = false, false
 }
 
@@ -141,8 +141,8 @@
 	if v.fake || v.w.flaw.noFlush {
 		return nil
 	}
-	if b.Hard != nil {
-		v.kept.Hard = proto.Clone(b.Hard).(*pb.HardState)
+	if b.HardState != nil {
+		v.kept.HardState = proto.Clone(b.HardState).(*pb.HardState)
 	}
 	if b.Snapshot != nil {
 		v.kept.Snapshot = proto.Clone(b.Snapshot).(*pb.Snapshot)
@@ -171,23 +171,23 @@
 	w.mail = append(w.mail, parcel{to, from + ">" + to + " " + text, do})
 }
 
-func (v *voter) Carry(to uint64, m *pb.Message) {
+func (v *voter) Send(to uint64, m *pb.Message) {
 	text, _ := proto.Marshal(m)
 	w := v.w
 	w.put(fmt.Sprint("v", v.id), fmt.Sprint("v", to), string(text), func() {
 		var c pb.Message
 		if o := w.voters[to-1]; !o.down && proto.Unmarshal(text, &c) == nil {
-			o.v.Take(o.clock(), &c)
+			o.v.HandleMessage(o.clock(), &c)
 			w.after(o)
 		}
 	})
 }
 
-func (v *voter) Pass(to uint64, a Ask) {
+func (v *voter) Forward(to uint64, a Request) {
 	w := v.w
 	w.put(fmt.Sprint("v", v.id), fmt.Sprint("v", to), fmt.Sprint(a), func() {
 		if o := w.voters[to-1]; !o.down {
-			o.v.Hear(o.clock(), a)
+			o.v.HandleRequest(o.clock(), a)
 			w.after(o)
 		}
 	})
@@ -206,7 +206,7 @@
 	w.put(fmt.Sprint("v", v.id), addr, fmt.Sprint(r), func() {
 		for _, a := range w.askers {
 			if fmt.Sprint("a", a.n) == addr && !a.down {
-				a.h.Take(a.clock(), r)
+				a.h.HandleReply(a.clock(), r)
 			}
 		}
 	})
@@ -216,21 +216,21 @@
 	v.w.log = append(v.w.log, fmt.Sprintf("%.2f %s", float64(v.w.now)/float64(second), text))
 }
 
-func (a *asker) Ask(n int, q Ask) {
+func (a *asker) SendRequest(n int, q Request) {
 	w := a.w
 	w.put(fmt.Sprint("a", a.n), fmt.Sprint("v", n+1), fmt.Sprint(q), func() {
 		if o := w.voters[n]; !o.down {
-			o.v.Hear(o.clock(), q)
+			o.v.HandleRequest(o.clock(), q)
 			w.after(o)
 		}
 	})
 }
 
-func (a *asker) Held(name string, token uint64) {
+func (a *asker) LeaseAcquired(name string, token uint64) {
 	a.w.reached["held"]++
 	a.w.log = append(a.w.log, fmt.Sprintf("%.2f a%d holds %s under %d", float64(a.w.now)/float64(second), a.n, name, token))
 }
-func (a *asker) Lost(name, why string) {
+func (a *asker) LeaseLost(name, why string) {
 	a.w.log = append(a.w.log, fmt.Sprintf("%.2f a%d lost %s: %s", float64(a.w.now)/float64(second), a.n, name, why))
 }
 
@@ -245,13 +245,13 @@
 	w.now += span
 	for _, v := range w.voters {
 		if !v.down && v.v.Next() <= v.clock() {
-			v.v.Beat(v.clock())
+			v.v.Tick(v.clock())
 			w.after(v)
 		}
 	}
 	for _, a := range w.askers {
 		if !a.down && a.h.Next() <= a.clock() {
-			a.h.Beat(a.clock())
+			a.h.Tick(a.clock())
 			if w.flaw.asked != nil {
 				w.flaw.asked(a.h, a.clock())
 			}
@@ -267,7 +267,7 @@
 		}
 		return 0, false
 	}
-	return a.h.May(name, 0)
+	return a.h.UsableToken(name, 0)
 }
 
 // check: no two may act at once; whoever stands still counts as well, for it goes on where it was.
@@ -380,7 +380,7 @@
 func (w *world) crash(v *voter) {
 	v.down = true
 	if w.flaw.lostDisk {
-		v.kept = Kept{}
+		v.kept = PersistedState{}
 	}
 }
 
@@ -445,7 +445,7 @@
 func (w *world) play(seed uint64, span Time) {
 	chance := random.New(seed)
 	for _, a := range w.askers {
-		a.h.Want(a.clock(), fmt.Sprint("l", a.n%2))
+		a.h.Acquire(a.clock(), fmt.Sprint("l", a.n%2))
 	}
 	const step = 200 // 20 ms
 	loss, delay := chance.Below(200), 1+chance.Below(10)
@@ -511,7 +511,7 @@
 		case 7:
 			a.life++ // a new life of that front; the old one may not go on
 			w.begin(a)
-			a.h.Want(a.clock(), fmt.Sprint("l", a.n%2))
+			a.h.Acquire(a.clock(), fmt.Sprint("l", a.n%2))
 		default:
 			a.slept += chance.Below(int64(second)) // the machine slept
 		}
--- a/fleet/watch/watch.go
+++ b/fleet/positions/watch.go
@@ -9,7 +9,7 @@
 // proof hangs on that: what a watcher says is a hint. A read that goes to a store on a peer's word alone has to show in its
 // answer that it has seen enough (balance.Front.Send), so a watcher that lies costs a trip and is then not believed for a cold
 // time. One that is late, gone or cut off costs a part of the time that a read may wait, and then fronts ask for themselves.
-package watch
+package positions
 
 import (
 	"encoding/binary"
@@ -26,53 +26,53 @@
 
 // Bounds.
 const (
-	MostSeen  = 16   // stores in one answer
-	mostOpen  = 256  // questions of this front that are out
-	mostWait  = 1024 // askers that wait for this front's stores
-	pauses    = 6    // doublings of the pause in which a watcher that was silent is not asked
-	shareMost = 4    // times the mean of groups that one front watches at most,
-	mostMine  = 200  // and in any case; a front's leases are 256
+	MaxPositions = 16   // stores in one answer
+	mostOpen     = 256  // questions of this front that are out
+	mostWait     = 1024 // askers that wait for this front's stores
+	pauses       = 6    // doublings of the pause in which a watcher that was silent is not asked
+	shareMost    = 4    // times the mean of groups that one front watches at most,
+	mostMine     = 200  // and in any case; a front's leases are 256
 )
 
-// Seen is what a store has shown.
-type Seen struct {
+// StorePosition is what a store has shown.
+type StorePosition struct {
 	Store    string
 	Position Time
 }
 
 // Query asks for a group's positions. Need is the one that the asker would like to see.
 type Query struct {
-	Seq, Group uint64
-	Need       Time
-	Store      string // that has to show it; empty: any of the group
-	Addr       string // of the asker
+	Seq, Group  uint64
+	MinPosition Time
+	Store       string // that has to show it; empty: any of the group
+	Addr        string // of the asker
 }
 
 // Answer is what its watcher says; nothing seen: it does not watch that group.
 type Answer struct {
 	Seq, Group uint64
-	Seen       []Seen
+	Positions  []StorePosition
 }
 
 // Host is what a front does for this package.
 type Host interface {
-	Query(addr string, q Query)
-	Answer(addr string, a Answer)
-	Survey(store string)                 // asks a store itself; Learned or Failed follows
-	Vouch(store string, position Time)   // a peer says that it has shown so much
-	Proxied(store string, answered bool) // the question is settled; or not, and the store itself is to be asked
-	Want(lease string)
-	Drop(lease string)
-	Holds(lease string) bool
+	SendQuery(addr string, q Query)
+	SendAnswer(addr string, a Answer)
+	QueryPosition(store string)                   // asks a store itself; Learned or Failed follows
+	ReportPosition(store string, position Time)   // a peer says that it has shown so much
+	PositionResolved(store string, answered bool) // the question is settled; or not, and the store itself is to be asked
+	AcquireLease(lease string)
+	ReleaseLease(lease string)
+	HoldsLease(lease string) bool
 }
 
-// Self is the front itself.
-type Self struct {
-	Name, Addr string
-	Wait       Time // for an answer, at most
-	Period     Time // of the membership protocol
-	Patience   Time // for a store's answer
-	Seed       uint64
+// Config is the front itself.
+type Config struct {
+	Name, Addr    string
+	AnswerTimeout Time // for an answer, at most
+	Period        Time // of the membership protocol
+	StoreTimeout  Time // for a store's answer
+	Seed          uint64
 }
 
 // group is what is known of one group.
@@ -109,10 +109,10 @@
 	until Time
 }
 
-// Watch is one front's part.
-type Watch struct {
+// Service is one front's part.
+type Service struct {
 	host    Host
-	self    Self
+	self    Config
 	now     Time
 	mwc     random.Source
 	members []Peer
@@ -129,27 +129,27 @@
 	stale   bool // members or stores have changed
 	weighed uint64
 
-	Asked, Answered, Surveys, Refused uint64 // for those who look
+	QueriesSent, AnswersReceived, StoreQueries, Rejected uint64 // for those who look
 }
 
 // New starts without members and stores.
-func New(now Time, s Self, h Host) *Watch {
-	w := &Watch{host: h, self: s, now: now, mwc: random.New(s.Seed), byID: map[uint64]int{}, byStore: map[string][2]int{}, indexOf: map[string]int{}, beatAt: now}
+func New(now Time, s Config, h Host) *Service {
+	w := &Service{host: h, self: s, now: now, mwc: random.New(s.Seed), byID: map[uint64]int{}, byStore: map[string][2]int{}, indexOf: map[string]int{}, beatAt: now}
 	w.seq = uint64(w.mwc.Uint32())<<32 | uint64(w.mwc.Uint32()) // an answer that nobody asked for has to guess it
 	return w
 }
 
 // Configure takes over how long a watcher's answer and a store's are waited for. Questions that are out keep their time.
-func (w *Watch) Configure(wait, storeWait Time) {
-	w.self.Wait, w.self.Patience = wait, storeWait
+func (w *Service) Configure(wait, storeWait Time) {
+	w.self.AnswerTimeout, w.self.StoreTimeout = wait, storeWait
 	w.beatAt = min(w.beatAt, w.now) // it may be due sooner
 }
 
 // Peer is another front that is there.
 type Peer struct{ Name, Addr string }
 
-// Members takes in who is there, this front or not.
-func (w *Watch) Members(all []Peer) {
+// UpdateMembers takes in who is there, this front or not.
+func (w *Service) UpdateMembers(all []Peer) {
 	w.members = w.members[:0]
 	before := w.indexOf
 	w.indexOf = make(map[string]int, len(all))
@@ -169,8 +169,8 @@
 	w.stale = true
 }
 
-// Listed takes in a store of a group, or that it is none any more.
-func (w *Watch) Listed(name string, id uint64, primary, there bool) {
+// UpdateStore takes in a store of a group, or that it is none any more.
+func (w *Service) UpdateStore(name string, id uint64, primary, there bool) {
 	at, known := w.byStore[name]
 	if known && (!there || w.groups[at[0]].id != id) {
 		g := &w.groups[at[0]]
@@ -210,10 +210,10 @@
 
 // forget gives a group's place back, and its lease.
 // Danger: where groups come and go for good, their leases would be held for ever.
-func (w *Watch) forget(gi int) {
+func (w *Service) forget(gi int) {
 	g := &w.groups[gi]
 	if w.settle(g); g.mine {
-		w.host.Drop(g.lease)
+		w.host.ReleaseLease(g.lease)
 	}
 	delete(w.byID, g.id)
 	*g = group{watcher: -1}
@@ -222,7 +222,7 @@
 }
 
 // weigh returns the weight of a member for a group.
-func (w *Watch) weigh(g *group, name string) uint64 {
+func (w *Service) weigh(g *group, name string) uint64 {
 	w.weighed++
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), g.id))
 }
@@ -232,7 +232,7 @@
 //
 // Danger: at 800 members and 266 groups a whole assignment weighs 212,800 pairs, and members change by the hundred where a
 // zone is lost.
-func (w *Watch) elect(g *group) {
+func (w *Service) elect(g *group) {
 	_, there := w.indexOf[g.best]
 	if g.weighed && (there || g.best == "") {
 		for _, name := range w.came {
@@ -249,14 +249,14 @@
 }
 
 // challenge has a member take a group from the one before it, if it weighs more.
-func (w *Watch) challenge(g *group, name string) {
+func (w *Service) challenge(g *group, name string) {
 	if weight := w.weigh(g, name); weight > g.weight {
 		g.best, g.weight = name, weight
 	}
 }
 
 // assign finds each group's watcher.
-func (w *Watch) assign() {
+func (w *Service) assign() {
 	w.stale = false
 	mine, share := 0, min(shareMost*len(w.byID)/(len(w.members)+1)+1, mostMine)
 	for gi := range w.groups {
@@ -275,20 +275,20 @@
 		if best < 0 && mine < share {
 			if mine++; !g.mine {
 				g.mine = true
-				w.host.Want(g.lease)
+				w.host.AcquireLease(g.lease)
 			}
 		} else if g.mine {
 			g.mine = false
-			w.host.Drop(g.lease)
+			w.host.ReleaseLease(g.lease)
 			w.settle(g)
 		}
 	}
 	w.came = w.came[:0]
 }
 
-// Ask is told that this front would ask a store for its position, since a read of its group has to see need (any), or to
+// RequestPosition is told that this front would ask a store for its position, since a read of its group has to see need (any), or to
 // hear that it is there and has come so far. It tells whether the group's watcher is asked instead; Proxied follows then.
-func (w *Watch) Ask(now Time, name string, need Time, any bool) bool {
+func (w *Service) RequestPosition(now Time, name string, need Time, any bool) bool {
 	w.now = now
 	at, ok := w.byStore[name]
 	if !ok || w.stale {
@@ -299,58 +299,58 @@
 		return false
 	}
 	w.seq++
-	w.Asked++
-	w.open = append(w.open, open{w.seq, at[0], name, need, any, now + w.self.Wait})
-	w.beatAt = min(w.beatAt, now+w.self.Wait)
-	q := Query{Seq: w.seq, Group: g.id, Need: need, Addr: w.self.Addr}
+	w.QueriesSent++
+	w.open = append(w.open, open{w.seq, at[0], name, need, any, now + w.self.AnswerTimeout})
+	w.beatAt = min(w.beatAt, now+w.self.AnswerTimeout)
+	q := Query{Seq: w.seq, Group: g.id, MinPosition: need, Addr: w.self.Addr}
 	if !any {
 		q.Store = name
 	}
-	w.host.Query(w.members[g.watcher].Addr, q)
+	w.host.SendQuery(w.members[g.watcher].Addr, q)
 	return true
 }
 
-// Told takes a watcher's answer in.
-func (w *Watch) Told(now Time, a Answer) {
+// HandleAnswer takes a watcher's answer in.
+func (w *Service) HandleAnswer(now Time, a Answer) {
 	w.now = now
 	k := slices.IndexFunc(w.open, func(o open) bool { return o.seq == a.Seq })
 	if k < 0 {
-		w.Refused++
+		w.Rejected++
 		return
 	}
 	o := w.open[k]
 	w.open = slices.Delete(w.open, k, k+1)
 	g := &w.groups[o.group]
-	if g.id != a.Group || len(a.Seen) == 0 {
+	if g.id != a.Group || len(a.Positions) == 0 {
 		w.silent(g)
-		w.host.Proxied(o.store, false)
+		w.host.PositionResolved(o.store, false)
 		return
 	}
 	g.pause, g.shutTo = 0, 0
-	w.Answered++
+	w.AnswersReceived++
 	settled := false
-	for _, s := range a.Seen {
+	for _, s := range a.Positions {
 		if at, ok := w.byStore[s.Store]; ok && at[0] == o.group {
-			w.host.Vouch(s.Store, s.Position)
+			w.host.ReportPosition(s.Store, s.Position)
 			settled = settled || s.Position >= o.need && (o.any || s.Store == o.store)
 		}
 	}
-	w.host.Proxied(o.store, settled)
+	w.host.PositionResolved(o.store, settled)
 }
 
 // silent has a watcher that did not answer left alone, longer each time.
-func (w *Watch) silent(g *group) {
+func (w *Service) silent(g *group) {
 	g.shutTo = w.now + w.self.Period<<g.pause
 	g.pause = min(g.pause+1, pauses)
 }
 
-// Hear takes another front's question in.
-func (w *Watch) Hear(now Time, q Query) {
+// HandleQuery takes another front's question in.
+func (w *Service) HandleQuery(now Time, q Query) {
 	w.now = now
 	gi, ok := w.byID[q.Group]
-	if !ok || !w.groups[gi].mine || !w.host.Holds(w.groups[gi].lease) || w.waiting >= mostWait {
-		w.Refused++
-		w.host.Answer(q.Addr, Answer{Seq: q.Seq, Group: q.Group})
+	if !ok || !w.groups[gi].mine || !w.host.HoldsLease(w.groups[gi].lease) || w.waiting >= mostWait {
+		w.Rejected++
+		w.host.SendAnswer(q.Addr, Answer{Seq: q.Seq, Group: q.Group})
 		return
 	}
 	g := &w.groups[gi]
@@ -368,35 +368,35 @@
 // knows tells whether what a question needs is known.
 func (g *group) knows(q *Query) bool {
 	for k := range g.stores {
-		if s := &g.stores[k]; s.position >= q.Need && (s.name == q.Store || q.Store == "" && !s.primary) {
+		if s := &g.stores[k]; s.position >= q.MinPosition && (s.name == q.Store || q.Store == "" && !s.primary) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Watch) answer(g *group, q Query) {
+func (w *Service) answer(g *group, q Query) {
 	a := Answer{Seq: q.Seq, Group: q.Group}
 	for k := range g.stores {
-		if s := &g.stores[k]; s.position > 0 && len(a.Seen) < MostSeen {
-			a.Seen = append(a.Seen, Seen{s.name, s.position})
+		if s := &g.stores[k]; s.position > 0 && len(a.Positions) < MaxPositions {
+			a.Positions = append(a.Positions, StorePosition{s.name, s.position})
 		}
 	}
-	w.host.Answer(q.Addr, a)
+	w.host.SendAnswer(q.Addr, a)
 }
 
 // survey asks a group's replicas themselves, or the one store that a question is about.
-func (w *Watch) survey(g *group, q *Query) {
+func (w *Service) survey(g *group, q *Query) {
 	if g.askedAt == 0 {
 		g.askedAt = w.now
 	}
-	w.beatAt = min(w.beatAt, w.now+w.self.Patience)
+	w.beatAt = min(w.beatAt, w.now+w.self.StoreTimeout)
 	asked := false
 	for k := range g.stores {
 		if s := &g.stores[k]; !s.out && (s.name == q.Store || q.Store == "" && !s.primary) {
 			s.out, asked = true, true
-			w.Surveys++
-			w.host.Survey(s.name)
+			w.StoreQueries++
+			w.host.QueryPosition(s.name)
 		}
 	}
 	if !asked && !slices.ContainsFunc(g.stores, func(s store) bool { return s.out }) {
@@ -404,8 +404,8 @@
 	}
 }
 
-// Learned takes in a position that a store has shown to this front, in whatever way.
-func (w *Watch) Learned(now Time, name string, position Time) {
+// PositionObserved takes in a position that a store has shown to this front, in whatever way.
+func (w *Service) PositionObserved(now Time, name string, position Time) {
 	w.now = now
 	if at, ok := w.byStore[name]; ok {
 		g := &w.groups[at[0]]
@@ -415,8 +415,8 @@
 	}
 }
 
-// Failed takes in that a survey came to nothing.
-func (w *Watch) Failed(now Time, name string) {
+// QueryFailed takes in that a survey came to nothing.
+func (w *Service) QueryFailed(now Time, name string) {
 	w.now = now
 	if at, ok := w.byStore[name]; ok {
 		g := &w.groups[at[0]]
@@ -426,7 +426,7 @@
 }
 
 // serve answers those whose need is known now, and the others once no store is left to answer.
-func (w *Watch) serve(g *group) {
+func (w *Service) serve(g *group) {
 	if len(g.waits) == 0 && g.askedAt == 0 {
 		return
 	}
@@ -446,7 +446,7 @@
 }
 
 // settle ends a survey: who still waits is told what there is.
-func (w *Watch) settle(g *group) {
+func (w *Service) settle(g *group) {
 	g.askedAt = 0
 	for _, q := range g.waits {
 		w.answer(g, q)
@@ -455,11 +455,11 @@
 	g.waits = g.waits[:0]
 }
 
-// Next is when Beat must be called again.
-func (w *Watch) Next() Time { return w.beatAt }
+// NextTick is when Beat must be called again.
+func (w *Service) NextTick() Time { return w.beatAt }
 
-// Beat ends what took too long.
-func (w *Watch) Beat(now Time) {
+// Tick ends what took too long.
+func (w *Service) Tick(now Time) {
 	w.now = now
 	if w.stale {
 		w.assign()
@@ -478,14 +478,14 @@
 		w.open = slices.Delete(w.open, k, k+1)
 		k--
 		w.silent(&w.groups[o.group])
-		w.host.Proxied(o.store, false)
+		w.host.PositionResolved(o.store, false)
 	}
 	for gi := range w.groups {
 		g := &w.groups[gi]
 		if g.askedAt == 0 {
 			continue
 		}
-		if until := g.askedAt + w.self.Patience; now < until {
+		if until := g.askedAt + w.self.StoreTimeout; now < until {
 			w.beatAt = min(w.beatAt, until)
 			continue
 		}
--- a/fleet/watch/watch_test.go
+++ b/fleet/positions/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package positions
 
 import (
 	"fmt"
@@ -18,30 +18,30 @@
 	withheld bool // its leases
 }
 
-func (b *bench) Query(_ string, q Query)           { b.queries = append(b.queries, q) }
-func (b *bench) Answer(_ string, a Answer)         { b.answers = append(b.answers, a) }
-func (b *bench) Survey(store string)               { b.surveys = append(b.surveys, store) }
-func (b *bench) Vouch(store string, position Time) { b.vouched[store] = position }
-func (b *bench) Proxied(store string, ok bool)     { b.proxied[store] = ok }
-func (b *bench) Want(lease string)                 { b.wants[lease] = true }
-func (b *bench) Drop(lease string)                 { delete(b.wants, lease) }
-func (b *bench) Holds(lease string) bool           { return b.wants[lease] && !b.withheld }
+func (b *bench) SendQuery(_ string, q Query)                { b.queries = append(b.queries, q) }
+func (b *bench) SendAnswer(_ string, a Answer)              { b.answers = append(b.answers, a) }
+func (b *bench) QueryPosition(store string)                 { b.surveys = append(b.surveys, store) }
+func (b *bench) ReportPosition(store string, position Time) { b.vouched[store] = position }
+func (b *bench) PositionResolved(store string, ok bool)     { b.proxied[store] = ok }
+func (b *bench) AcquireLease(lease string)                  { b.wants[lease] = true }
+func (b *bench) ReleaseLease(lease string)                  { delete(b.wants, lease) }
+func (b *bench) HoldsLease(lease string) bool               { return b.wants[lease] && !b.withheld }
 
 // front gives one of so many, with groups of a primary and two replicas.
-func front(n, fronts, groups int) (*Watch, *bench) {
+func front(n, fronts, groups int) (*Service, *bench) {
 	b := &bench{vouched: map[string]Time{}, proxied: map[string]bool{}, wants: map[string]bool{}}
-	w := New(1000, Self{Name: fmt.Sprint("f", n), Addr: fmt.Sprint("f", n), Wait: 150, Period: 5000, Patience: 2500, Seed: uint64(n)}, b)
+	w := New(1000, Config{Name: fmt.Sprint("f", n), Addr: fmt.Sprint("f", n), AnswerTimeout: 150, Period: 5000, StoreTimeout: 2500, Seed: uint64(n)}, b)
 	var all []Peer
 	for k := range fronts {
 		all = append(all, Peer{fmt.Sprint("f", k), fmt.Sprint("f", k)})
 	}
-	w.Members(all)
+	w.UpdateMembers(all)
 	for g := range groups {
 		for k := range 3 {
-			w.Listed(fmt.Sprintf("g%d-%d", g, k), uint64(g), k == 0, true)
+			w.UpdateStore(fmt.Sprintf("g%d-%d", g, k), uint64(g), k == 0, true)
 		}
 	}
-	w.Beat(1000)
+	w.Tick(1000)
 	return w, b
 }
 
@@ -55,15 +55,15 @@
 				continue
 			}
 			if gone != "" {
-				w.Members(w.members[:0:0])
+				w.UpdateMembers(w.members[:0:0])
 				var rest []Peer
 				for k := range fronts {
 					if name := fmt.Sprint("f", k); name != gone {
 						rest = append(rest, Peer{name, name})
 					}
 				}
-				w.Members(rest)
-				w.Beat(2000)
+				w.UpdateMembers(rest)
+				w.Tick(2000)
 			}
 			if len(b.wants) > shareMost*40/fronts+1 {
 				t.Errorf("f%d watches %d of 40 groups", n, len(b.wants))
@@ -101,30 +101,30 @@
 		t.Fatal("the other front watches nothing")
 	}
 	store := w.groups[g].stores[1].name
-	if !w.Ask(2000, store, 1990, true) || len(b.queries) != 1 {
+	if !w.RequestPosition(2000, store, 1990, true) || len(b.queries) != 1 {
 		t.Fatal("the watcher is not asked")
 	}
 	q := b.queries[0]
-	w.Told(2001, Answer{Seq: q.Seq + 1, Group: q.Group, Seen: []Seen{{store, 2000}}})
+	w.HandleAnswer(2001, Answer{Seq: q.Seq + 1, Group: q.Group, Positions: []StorePosition{{store, 2000}}})
 	if len(b.vouched) > 0 || len(b.proxied) > 0 {
 		t.Error("an answer to nothing counts")
 	}
-	w.Told(2002, Answer{Seq: q.Seq, Group: q.Group, Seen: []Seen{{store, 1980}, {"g99-1", 2000}}})
+	w.HandleAnswer(2002, Answer{Seq: q.Seq, Group: q.Group, Positions: []StorePosition{{store, 1980}, {"g99-1", 2000}}})
 	if b.vouched[store] != 1980 || len(b.vouched) != 1 || b.proxied[store] {
 		t.Errorf("vouched %v, settled %v by a position before the need", b.vouched, b.proxied)
 	}
 	paused := Time(0)
 	for range 3 {
 		now := w.now + paused + w.self.Period
-		if !w.Ask(now, store, now, true) {
+		if !w.RequestPosition(now, store, now, true) {
 			t.Fatal("it is left alone for ever")
 		}
 		delete(b.proxied, store)
-		w.Beat(now + w.self.Wait)
+		w.Tick(now + w.self.AnswerTimeout)
 		if ok, told := b.proxied[store]; !told || ok {
 			t.Fatal("a question that nobody answers is not ended")
 		}
-		if w.Ask(w.now+1, store, w.now, true) {
+		if w.RequestPosition(w.now+1, store, w.now, true) {
 			t.Error("a silent watcher is asked on")
 		}
 		paused = w.groups[g].shutTo - w.now
@@ -139,41 +139,41 @@
 func TestStoresAreAskedOnce(t *testing.T) {
 	w, b := front(0, 1, 1)
 	for n := range 50 {
-		w.Hear(2000, Query{Seq: uint64(n + 1), Need: 1990, Addr: "x"})
+		w.HandleQuery(2000, Query{Seq: uint64(n + 1), MinPosition: 1990, Addr: "x"})
 	}
 	if len(b.surveys) != 2 || len(b.answers) != 0 {
 		t.Fatalf("%d questions to stores, %d answers", len(b.surveys), len(b.answers))
 	}
-	w.Learned(2010, "g0-1", 1985)
+	w.PositionObserved(2010, "g0-1", 1985)
 	if len(b.answers) != 0 {
 		t.Error("they are told what does not show their need")
 	}
-	if w.Learned(2011, "g0-2", 1995); len(b.answers) != 50 || len(b.answers[0].Seen) != 2 {
+	if w.PositionObserved(2011, "g0-2", 1995); len(b.answers) != 50 || len(b.answers[0].Positions) != 2 {
 		t.Errorf("%d are answered", len(b.answers))
 	}
-	w.Hear(2100, Query{Seq: 99, Need: 2090, Addr: "x"})
-	w.Failed(2110, "g0-1")
-	w.Beat(2100 + w.self.Patience)
+	w.HandleQuery(2100, Query{Seq: 99, MinPosition: 2090, Addr: "x"})
+	w.QueryFailed(2110, "g0-1")
+	w.Tick(2100 + w.self.StoreTimeout)
 	if len(b.answers) != 51 || w.waiting != 0 {
 		t.Errorf("after stores that do not answer %d are, %d wait", len(b.answers), w.waiting)
 	}
 	for k := range 3 {
-		w.Listed(fmt.Sprintf("g0-%d", k), 0, false, false)
+		w.UpdateStore(fmt.Sprintf("g0-%d", k), 0, false, false)
 	}
 	if len(b.wants) != 0 || len(w.byID) != 0 {
 		t.Errorf("a group without stores is watched: %v", b.wants)
 	}
 	for g := range 20 { // one after the other, for good
-		w.Listed("s", uint64(100+g), false, true)
-		w.Beat(w.now + w.self.Period)
+		w.UpdateStore("s", uint64(100+g), false, true)
+		w.Tick(w.now + w.self.Period)
 	}
 	if len(w.groups) > 2 || len(b.wants) != 1 {
 		t.Errorf("%d places, %v wanted", len(w.groups), b.wants)
 	}
-	w.Listed("s", 0, false, true)
-	w.Beat(w.now + w.self.Period)
+	w.UpdateStore("s", 0, false, true)
+	w.Tick(w.now + w.self.Period)
 	b.withheld = true
-	if w.Hear(9000, Query{Seq: 100, Addr: "x"}); len(b.answers) != 52 || len(b.answers[51].Seen) != 0 {
+	if w.HandleQuery(9000, Query{Seq: 100, Addr: "x"}); len(b.answers) != 52 || len(b.answers[51].Positions) != 0 {
 		t.Error("one without the lease answers")
 	}
 }
@@ -206,23 +206,23 @@
 			k := 1 + random.Below(fronts-1)
 			there[k] = !there[k]
 		}
-		w.Members(listed())
+		w.UpdateMembers(listed())
 		if round%3 == 0 { // twice before the next beat, and the last comings are taken back
 			k := 1 + random.Below(fronts-1)
 			there[k] = !there[k]
-			w.Members(listed())
+			w.UpdateMembers(listed())
 			there[k] = !there[k]
-			w.Members(listed())
+			w.UpdateMembers(listed())
 		}
 		before := w.weighed
 		now += 5000
-		w.Beat(now)
+		w.Tick(now)
 		if pairs := w.weighed - before; changes < 4 && pairs > 6*groups+8*fronts {
 			t.Errorf("round %d: %d pairs were weighed for %d changes", round, pairs, changes)
 		}
 		whole, _ := front(0, 0, groups)
-		whole.Members(listed())
-		whole.Beat(now)
+		whole.UpdateMembers(listed())
+		whole.Tick(now)
 		for gi := range w.groups {
 			if w.groups[gi].best != whole.groups[gi].best {
 				t.Fatalf("round %d, group %d: watched by %q, a whole assignment says %q", round, gi, w.groups[gi].best, whole.groups[gi].best)
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -20,13 +20,13 @@
 
 // The scopes of the configuration.
 const (
-	Settings  config.Scope = "settings"  // as "settings" in a front's file, but for the zone
-	Operators config.Scope = "operators" // as the operators' file, but only parts that are alike on all fronts
-	Discovery config.Scope = "discovery" // {"discovery": "HOST:PORT"}
+	SettingsScope  config.Scope = "settings"  // as "settings" in a front's file, but for the zone
+	OperatorsScope config.Scope = "operators" // as the operators' file, but only parts that are alike on all fronts
+	DiscoveryScope config.Scope = "discovery" // {"discovery": "HOST:PORT"}
 )
 
 // Program is this program's number, which a change may ask for.
-const Program = 1
+const ProgramVersion = 1
 
 // shared are the parts of the operators' file that all fronts may have from the fleet's configuration. The
 // others name addresses and files of one machine.
@@ -36,14 +36,14 @@
 func Check(scope config.Scope, text []byte) error {
 	var err error
 	switch scope {
-	case Settings:
+	case SettingsScope:
 		_, _, err = FleetSettings(text)
-	case Operators:
+	case OperatorsScope:
 		_, err = FleetOperators(text)
-	case Discovery:
+	case DiscoveryScope:
 		_, err = FleetDiscovery(text)
 	default:
-		err = fmt.Errorf("no such scope; there are %s, %s and %s", Settings, Operators, Discovery)
+		err = fmt.Errorf("no such scope; there are %s, %s and %s", SettingsScope, OperatorsScope, DiscoveryScope)
 	}
 	return err
 }
@@ -70,7 +70,7 @@
 }
 
 // FleetOperators reads the shared parts of the operators' file.
-func FleetOperators(text []byte) (operators.Orders, error) {
+func FleetOperators(text []byte) (operators.Options, error) {
 	o, err := operators.Parse(text)
 	if err != nil {
 		return o, err
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -14,20 +14,20 @@
 	"micatrack/internal/peers"
 )
 
-func stored() *Stored {
-	discovery := config.ScopeText{Scope: Discovery, Text: []byte(`{"discovery":"127.0.0.1:8500"}`)}
-	settings := config.ScopeText{Scope: Settings, Text: []byte(`{}`)}
-	return &Stored{
-		ProvenAt: 1_700_000_000_000, ForceAt: 1_600_000_000_000, Version: 7,
-		Texts: []config.ScopeText{discovery, settings}, Kept: []byte("what the agent keeps"),
+func stored() *StoredVersion {
+	discovery := config.ScopeText{Scope: DiscoveryScope, Text: []byte(`{"discovery":"127.0.0.1:8500"}`)}
+	settings := config.ScopeText{Scope: SettingsScope, Text: []byte(`{}`)}
+	return &StoredVersion{
+		ProvenAt: 1_700_000_000_000, InForceAt: 1_600_000_000_000, Version: 7,
+		Texts: []config.ScopeText{discovery, settings}, AgentState: []byte("what the agent keeps"),
 	}
 }
 
-func same(a, b *Stored) bool {
-	x, _ := a.Text(Settings)
-	y, _ := b.Text(Settings)
-	moments := a.ProvenAt == b.ProvenAt && a.ForceAt == b.ForceAt
-	return moments && a.Version == b.Version && bytes.Equal(a.Kept, b.Kept) && bytes.Equal(x, y)
+func same(a, b *StoredVersion) bool {
+	x, _ := a.Text(SettingsScope)
+	y, _ := b.Text(SettingsScope)
+	moments := a.ProvenAt == b.ProvenAt && a.InForceAt == b.InForceAt
+	return moments && a.Version == b.Version && bytes.Equal(a.AgentState, b.AgentState) && bytes.Equal(x, y)
 }
 
 // TestDiskWholeOrNot: a file is read as it was written, or not at all: cut at each byte, with any bit
@@ -39,7 +39,7 @@
 	}
 	want := stored()
 	for range 2 { // the second takes the place of the first
-		if err := Store(path, want); err != nil {
+		if err := Save(path, want); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := Load(path); err != nil || !same(&got, want) {
@@ -81,15 +81,15 @@
 		text  string
 		key   string
 	}{
-		{Discovery, `{"discovery":"127.0.0.1"}`, "/discovery"},
-		{Discovery, `{"discovery":7}`, "/discovery"},
-		{Discovery, `{}`, "/discovery"},
-		{Discovery, `{"discovery":"127.0.0.1:1","other":1}`, "/other"},
-		{Operators, `{"door":{"on":true,"jobs":"many"}}`, "/door/jobs"},
-		{Operators, `{"bolt":{"on":true,"listen":"127.0.0.1:1"}}`, "/bolt"},
-		{Operators, `[]`, "/"},
-		{Settings, `{"Round":"soon"}`, "Round"},
-		{Settings, `{"Profiles":[]}`, "Profiles"},
+		{DiscoveryScope, `{"discovery":"127.0.0.1"}`, "/discovery"},
+		{DiscoveryScope, `{"discovery":7}`, "/discovery"},
+		{DiscoveryScope, `{}`, "/discovery"},
+		{DiscoveryScope, `{"discovery":"127.0.0.1:1","other":1}`, "/other"},
+		{OperatorsScope, `{"door":{"on":true,"jobs":"many"}}`, "/door/jobs"},
+		{OperatorsScope, `{"bolt":{"on":true,"listen":"127.0.0.1:1"}}`, "/bolt"},
+		{OperatorsScope, `[]`, "/"},
+		{SettingsScope, `{"Round":"soon"}`, "Round"},
+		{SettingsScope, `{"Profiles":[]}`, "Profiles"},
 		{"plans", `{}`, "scope"},
 	} {
 		err := Check(c.scope, []byte(c.text))
@@ -97,7 +97,7 @@
 			t.Errorf("%s %s: %v", c.scope, c.text, err)
 		}
 	}
-	sound := map[config.Scope]string{Discovery: `{"discovery":"127.0.0.1:1"}`, Operators: `{"door":{"on":true}}`}
+	sound := map[config.Scope]string{DiscoveryScope: `{"discovery":"127.0.0.1:1"}`, OperatorsScope: `{"door":{"on":true}}`}
 	for scope, text := range sound {
 		if err := Check(scope, []byte(text)); err != nil {
 			t.Error(err)
@@ -109,14 +109,14 @@
 // answer was lost, nothing may be called refused but what can no more be committed.
 func TestServiceOutcomes(t *testing.T) {
 	down, lost := peers.ErrUnreachable, peers.ErrNoAnswer
-	done, elsewhere := Answer{Outcome: Done, Version: 3}, Answer{Outcome: Elsewhere}
-	faulty, conflict := Answer{Outcome: Refused, Error: "faulty"}, Answer{Outcome: Refused, Lost: true}
+	done, elsewhere := Answer{Outcome: Done, Version: 3}, Answer{Outcome: NotHandled}
+	faulty, conflict := Answer{Outcome: Refused, Error: "faulty"}, Answer{Outcome: Refused, Conflict: true}
 	for name, c := range map[string]struct {
 		told []any // by one machine after the other, the last again and again
 		op   Op
 		want Outcome
 	}{
-		"all gone":                      {[]any{down}, OpSet, Elsewhere},
+		"all gone":                      {[]any{down}, OpSet, NotHandled},
 		"done":                          {[]any{down, elsewhere, done}, OpSet, Done},
 		"faulty at once":                {[]any{faulty}, OpSet, Refused},
 		"lost, then done":               {[]any{lost, done}, OpSet, Done},
@@ -124,7 +124,7 @@
 		"lost, then faulty":             {[]any{lost, faulty}, OpSet, Unknown},
 		"lost, then another was first":  {[]any{lost, conflict}, OpSet, Refused},
 		"not known, then all gone":      {[]any{Answer{Outcome: Unknown}, down}, OpSet, Unknown},
-		"a question's answer was lost":  {[]any{lost, down}, OpGet, Elsewhere},
+		"a question's answer was lost":  {[]any{lost, down}, OpGet, NotHandled},
 		"an answer that cannot be read": {[]any{"?", down}, OpRollback, Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/configuration/control.go
+++ b/internal/configuration/control.go
@@ -25,10 +25,10 @@
 
 // ControlOptions is what a control machine's part is started with.
 type ControlOptions struct {
-	Fleet, Name string
-	Addr        string // where other machines reach this one
-	Seed        uint64
-	On          bool // versions are served; without it they are only kept, as the log tells them
+	Fleet, Name   string
+	Addr          string // where other machines reach this one
+	Seed          uint64
+	ServeVersions bool // versions are served; without it they are only kept, as the log tells them
 }
 
 // Control is the control machine's part: the second state machine in the voters' log, and what hands its
@@ -36,7 +36,7 @@
 type Control struct {
 	options     ControlOptions
 	log         *slog.Logger
-	peers       *peers.Peers
+	peers       *peers.Transport
 	state       *config.Log
 	distributor *config.Distributor // nil: versions are only kept
 	voter       Voter
@@ -47,7 +47,7 @@
 }
 
 // NewControl starts a control machine's part, empty: the voter fills it.
-func NewControl(o ControlOptions, p *peers.Peers, log *slog.Logger) *Control {
+func NewControl(o ControlOptions, p *peers.Transport, log *slog.Logger) *Control {
 	return &Control{options: o, log: log, peers: p, state: config.NewLog()}
 }
 
@@ -60,7 +60,7 @@
 // Apply takes a committed entry.
 func (c *Control) Apply(entry []byte) error {
 	r := c.state.Apply(entry)
-	if c.options.On && r.Err == nil {
+	if c.options.ServeVersions && r.Err == nil {
 		c.log.Info("configuration committed", "version", uint64(r.Version))
 	}
 	return r.Err
@@ -75,13 +75,13 @@
 // Restore replaces all versions.
 func (c *Control) Restore(snapshot []byte) error { return c.state.Restore(snapshot) }
 
-// ToFront has messages for this machine's front handed to it. To be called before the voter starts.
-func (c *Control) ToFront(hand func(body []byte)) { c.toFront = hand }
+// SetFrontDelivery has messages for this machine's front handed to it. To be called before the voter starts.
+func (c *Control) SetFrontDelivery(hand func(body []byte)) { c.toFront = hand }
 
 // Started begins to hand versions out.
 func (c *Control) Started(now Time, v *lease.Voter) {
 	c.now, c.voter = now, v
-	if c.options.On {
+	if c.options.ServeVersions {
 		options := config.DistributorOptions{
 			Fleet: c.options.Fleet, Name: controlName + c.options.Name, Seed: c.options.Seed,
 		}
@@ -96,8 +96,8 @@
 		c.toFront(message)
 		return
 	}
-	m := peers.Config{ToControl: control, FromControl: true, Addr: c.options.Addr, Body: message}
-	c.peers.Config(target, &m)
+	m := peers.ConfigMessage{ToControl: control, FromControl: true, Addr: c.options.Addr, Body: message}
+	c.peers.SendConfig(target, &m)
 }
 
 // Propose proposes an entry of the distributor's own: the next step of a roll-out, or its end.
@@ -115,8 +115,8 @@
 // Log tells what the distributor has to say.
 func (c *Control) Log(text string) { c.log.Info(text) }
 
-// Take takes a message of another machine in.
-func (c *Control) Take(now Time, m peers.Config) {
+// Receive takes a message of another machine in.
+func (c *Control) Receive(now Time, m peers.ConfigMessage) {
 	from := m.Addr
 	if m.FromControl {
 		from = controlPrefix + m.Addr
@@ -126,13 +126,13 @@
 
 func (c *Control) take(now Time, from string, body []byte) {
 	if c.now = now; c.distributor != nil {
-		c.distributor.Take(now, from, body)
+		c.distributor.Receive(now, from, body)
 		c.due = min(c.due, c.distributor.Next())
 	}
 }
 
-// TakeFromFront takes a message of this machine's front in.
-func (c *Control) TakeFromFront(now Time, body []byte) { c.take(now, c.options.Addr, body) }
+// ReceiveFromFront takes a message of this machine's front in.
+func (c *Control) ReceiveFromFront(now Time, body []byte) { c.take(now, c.options.Addr, body) }
 
 // SetPeers tells who is there.
 func (c *Control) SetPeers(now Time, there config.Peers) {
@@ -141,23 +141,23 @@
 	}
 }
 
-// Beat does what is due, after each step of the voter. leader is where the voter that leads is reached, if
+// Tick does what is due, after each step of the voter. leader is where the voter that leads is reached, if
 // that is known.
-func (c *Control) Beat(now Time, leader string) {
+func (c *Control) Tick(now Time, leader string) {
 	if c.now = now; c.distributor == nil {
 		return
 	}
 	if leader != "" {
 		leader = controlPrefix + leader
 	}
-	c.distributor.Lead(now, c.voter.Ready(), leader)
-	c.distributor.Applied(now)
+	c.distributor.SetLeader(now, c.voter.Ready(), leader)
+	c.distributor.LogChanged(now)
 	if c.voter.Ready() && now >= c.confirmAt {
 		c.confirmAt = now + confirmEvery
-		c.voter.Confirm(now, func() { c.distributor.Confirmed(c.now, now) })
+		c.voter.Confirm(now, func() { c.distributor.LeadershipConfirmed(c.now, now) })
 	}
 	if now >= c.due {
-		c.distributor.Beat(now)
+		c.distributor.Tick(now)
 		c.due = c.distributor.Next()
 	}
 	c.due = min(c.due, c.distributor.Next())
@@ -191,7 +191,7 @@
 	if r.Op != OpSet || r.Rollout != nil {
 		return true
 	}
-	d, err := c.state.At(version)
+	d, err := c.state.DocumentAt(version)
 	if err != nil {
 		return true
 	}
@@ -207,7 +207,7 @@
 		return
 	}
 	if !c.voter.Ready() {
-		tell(Answer{Outcome: Elsewhere, Leader: leader})
+		tell(Answer{Outcome: NotHandled, Leader: leader})
 		return
 	}
 	switch r.Op {
@@ -228,7 +228,7 @@
 		d := c.state.Document()
 		if r.Version != 0 && r.Version != a.Version {
 			var err error
-			if d, err = c.state.At(config.Version(r.Version)); err != nil {
+			if d, err = c.state.DocumentAt(config.Version(r.Version)); err != nil {
 				return refused(err)
 			}
 		}
@@ -251,7 +251,7 @@
 		return
 	case base > c.state.Newest():
 		// Danger: a leader that was deposed and does not know it yet would refuse what others have accepted.
-		tell(Answer{Outcome: Elsewhere})
+		tell(Answer{Outcome: NotHandled})
 		return
 	}
 	entry, err := c.prepare(r)
@@ -271,7 +271,7 @@
 		}
 	})
 	if err != nil {
-		tell(Answer{Outcome: Elsewhere, Error: err.Error()})
+		tell(Answer{Outcome: NotHandled, Error: err.Error()})
 	}
 }
 
--- a/internal/configuration/disk.go
+++ b/internal/configuration/disk.go
@@ -26,33 +26,33 @@
 	errSpoilt  = errors.New("it is spoilt")
 )
 
-// Stored is what a front finds on its disk.
-type Stored struct {
-	ProvenAt int64 // Unix milliseconds at which the version was last known to be the fleet's newest; 0: never
-	ForceAt  int64 // Unix milliseconds at which it was put in force here
-	Version  config.Version
-	Texts    []config.ScopeText // that count for this front
-	Kept     []byte             // for the agent
+// StoredVersion is what a front finds on its disk.
+type StoredVersion struct {
+	ProvenAt   int64 // Unix milliseconds at which the version was last known to be the fleet's newest; 0: never
+	InForceAt  int64 // Unix milliseconds at which it was put in force here
+	Version    config.Version
+	Texts      []config.ScopeText // that count for this front
+	AgentState []byte             // for the agent
 }
 
 // Text gives a scope's text.
-func (s *Stored) Text(scope config.Scope) ([]byte, bool) {
+func (s *StoredVersion) Text(scope config.Scope) ([]byte, bool) {
 	d := config.Document{Texts: s.Texts}
 	return d.Text(scope)
 }
 
-func (s *Stored) encode() []byte {
+func (s *StoredVersion) encode() []byte {
 	body := binary.BigEndian.AppendUint64(nil, uint64(s.ProvenAt))
-	body = binary.BigEndian.AppendUint64(body, uint64(s.ForceAt))
-	body = binary.BigEndian.AppendUint32(body, uint32(len(s.Kept)))
-	body = append(body, s.Kept...)
+	body = binary.BigEndian.AppendUint64(body, uint64(s.InForceAt))
+	body = binary.BigEndian.AppendUint32(body, uint32(len(s.AgentState)))
+	body = append(body, s.AgentState...)
 	d := config.Document{Version: s.Version, Texts: s.Texts}
 	body = d.Append(body)
 	file := binary.BigEndian.AppendUint32([]byte(fileMark), crc32.Checksum(body, castagnoli))
 	return append(file, body...)
 }
 
-func decode(file []byte) (s Stored, err error) {
+func decode(file []byte) (s StoredVersion, err error) {
 	if len(file) < headSize || string(file[:len(fileMark)]) != fileMark {
 		return s, errSpoilt
 	}
@@ -61,12 +61,12 @@
 		return s, errSpoilt
 	}
 	s.ProvenAt = int64(binary.BigEndian.Uint64(body))
-	s.ForceAt = int64(binary.BigEndian.Uint64(body[8:]))
+	s.InForceAt = int64(binary.BigEndian.Uint64(body[8:]))
 	size, rest := int(binary.BigEndian.Uint32(body[16:])), body[20:]
 	if size > len(rest) {
 		return s, errSpoilt
 	}
-	s.Kept = rest[:size]
+	s.AgentState = rest[:size]
 	d, err := config.ReadDocument(rest[size:])
 	if err != nil {
 		return s, err
@@ -77,35 +77,35 @@
 
 // Load reads the file of the version in force; without a path, or a file, there is none.
 // Danger: a spoilt file read as a whole one would put in force what nobody wrote; it is told and left aside.
-func Load(path string) (Stored, error) {
+func Load(path string) (StoredVersion, error) {
 	if path == "" {
-		return Stored{}, nil
+		return StoredVersion{}, nil
 	}
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return Stored{}, nil
+		return StoredVersion{}, nil
 	}
 	if err != nil {
-		return Stored{}, err
+		return StoredVersion{}, err
 	}
 	defer f.Close()
 	file, err := io.ReadAll(io.LimitReader(f, maxFile+1))
 	if err == nil && len(file) > maxFile {
 		err = errSpoilt
 	}
-	var s Stored
+	var s StoredVersion
 	if err == nil {
 		s, err = decode(file)
 	}
 	if err != nil {
-		return Stored{}, fmt.Errorf("configuration on disk %s: %w", path, err)
+		return StoredVersion{}, fmt.Errorf("configuration on disk %s: %w", path, err)
 	}
 	return s, nil
 }
 
-// Store writes the file whole: under another name, written through, then renamed.
+// Save writes the file whole: under another name, written through, then renamed.
 // Danger: a crash half-way must leave the file that was there.
-func Store(path string, s *Stored) error {
+func Save(path string, s *StoredVersion) error {
 	part := path + ".part"
 	f, err := os.OpenFile(part, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -134,13 +134,13 @@
 // that stands still.
 type writer struct {
 	path string
-	next chan *Stored
+	next chan *StoredVersion
 	done chan struct{}
 	log  func(err error)
 }
 
 func newWriter(path string, log func(err error)) *writer {
-	w := &writer{path: path, next: make(chan *Stored, 1), done: make(chan struct{}), log: log}
+	w := &writer{path: path, next: make(chan *StoredVersion, 1), done: make(chan struct{}), log: log}
 	go w.run()
 	return w
 }
@@ -148,14 +148,14 @@
 func (w *writer) run() {
 	defer close(w.done)
 	for s := range w.next {
-		if err := Store(w.path, s); err != nil {
+		if err := Save(w.path, s); err != nil {
 			w.log(err)
 		}
 	}
 }
 
 // put has a version written; one that waits is replaced. It is one goroutine's to call.
-func (w *writer) put(s *Stored) {
+func (w *writer) put(s *StoredVersion) {
 	select {
 	case <-w.next:
 	default:
--- a/internal/configuration/front.go
+++ b/internal/configuration/front.go
@@ -25,31 +25,31 @@
 	proofIsFresh  = 3 * config.Second // a version proven within it counts as the newest at the moment
 )
 
-// Options is what a front's part is started with.
-type Options struct {
+// FrontOptions is what a front's part is started with.
+type FrontOptions struct {
 	Fleet, Name, Zone string
 	Addr              string // where other machines reach this one
-	Life, Seed        uint64
-	Path              string // of the file of the version in force; none: there is no disk
-	Stored            Stored // what it held at the start; its texts are in force from the start on
+	Incarnation, Seed uint64
+	Path              string        // of the file of the version in force; none: there is no disk
+	Stored            StoredVersion // what it held at the start; its texts are in force from the start on
 }
 
-// Host is what the front does for its configuration.
-type Host interface {
+// FrontHost is what the front does for its configuration.
+type FrontHost interface {
 	// PutInForce has the front go by a version's texts, all of them or, if it returns an error, none. What a scope
 	// without a text would say comes from the front's files. Texts were checked.
 	PutInForce(texts []config.ScopeText) error
-	Peers() config.Peers        // who is there; addresses as the fleet has them
-	ToControl(body []byte) bool // hands a message to the control part of this machine, if there is one
+	Peers() config.Peers               // who is there; addresses as the fleet has them
+	DeliverToControl(body []byte) bool // hands a message to the control part of this machine, if there is one
 }
 
 // Front is one front's part, the loop's but for Hand.
 type Front struct {
 	agent   *config.Agent
-	options Options
-	host    Host
+	options FrontOptions
+	host    FrontHost
 	now     func() Time
-	peers   *peers.Peers
+	peers   *peers.Transport
 	log     *slog.Logger
 	wake    func()
 	handed  chan handed
@@ -72,20 +72,20 @@
 }
 
 // NewFront starts a front's part.
-func NewFront(o Options, now func() Time, p *peers.Peers, h Host, wake func(), log *slog.Logger) *Front {
+func NewFront(o FrontOptions, now func() Time, p *peers.Transport, h FrontHost, wake func(), log *slog.Logger) *Front {
 	f := &Front{
 		options: o, host: h, now: now, peers: p, log: log, wake: wake, handed: make(chan handed, maxWaiting),
 	}
-	f.texts, f.forceAt = o.Stored.Texts, o.Stored.ForceAt
+	f.texts, f.forceAt = o.Stored.Texts, o.Stored.InForceAt
 	f.provenAt, f.writtenAt = o.Stored.ProvenAt, o.Stored.ProvenAt
 	if o.Path != "" {
 		f.writer = newWriter(o.Path, func(err error) { log.Error("configuration not kept", "error", err.Error()) })
 	}
 	f.agent = config.NewAgent(now(), config.AgentOptions{
-		Fleet: o.Fleet, Name: o.Name, Zone: o.Zone, Life: o.Life, Program: Program, Seed: o.Seed, Kept: o.Stored.Kept,
+		Fleet: o.Fleet, Name: o.Name, Zone: o.Zone, Incarnation: o.Incarnation, Program: ProgramVersion, Seed: o.Seed, Persisted: o.Stored.AgentState,
 	}, f)
 	if version := f.agent.InForce(); version != 0 {
-		log.Info("configuration from disk", "version", version, "age_ms", f.View().AgeMS)
+		log.Info("configuration from disk", "version", version, "age_ms", f.Status().AgeMS)
 	}
 	return f
 }
@@ -93,10 +93,10 @@
 // Send sends an agent's message.
 func (f *Front) Send(addr string, message []byte) {
 	target, control := strings.CutPrefix(addr, controlPrefix)
-	if control && target == f.options.Addr && f.host.ToControl(bytes.Clone(message)) {
+	if control && target == f.options.Addr && f.host.DeliverToControl(bytes.Clone(message)) {
 		return
 	}
-	f.peers.Config(target, &peers.Config{ToControl: control, Addr: f.options.Addr, Body: message})
+	f.peers.SendConfig(target, &peers.ConfigMessage{ToControl: control, Addr: f.options.Addr, Body: message})
 }
 
 // PutInForce checks all texts of a version and has the front act on them.
@@ -125,8 +125,8 @@
 
 func (r *refusal) Error() string { return string(r.scope) + ": " + r.err.Error() }
 
-// Keep has the version in force written to disk.
-func (f *Front) Keep(kept []byte) {
+// Persist has the version in force written to disk.
+func (f *Front) Persist(kept []byte) {
 	f.kept = kept
 	f.write()
 }
@@ -136,16 +136,16 @@
 		return
 	}
 	f.writtenAt = f.provenAt
-	f.writer.put(&Stored{
-		ProvenAt: f.provenAt, ForceAt: f.forceAt, Version: f.agent.InForce(), Texts: f.texts, Kept: f.kept,
+	f.writer.put(&StoredVersion{
+		ProvenAt: f.provenAt, InForceAt: f.forceAt, Version: f.agent.InForce(), Texts: f.texts, AgentState: f.kept,
 	})
 }
 
 // Log tells what the agent has to say.
 func (f *Front) Log(text string) { f.log.Warn(text) }
 
-// Take takes a message of another machine in.
-func (f *Front) Take(m peers.Config) {
+// Receive takes a message of another machine in.
+func (f *Front) Receive(m peers.ConfigMessage) {
 	from := m.Addr
 	if m.FromControl {
 		from = controlPrefix + m.Addr
@@ -156,12 +156,12 @@
 // takeFrom hands a message to the agent. Danger: what an agent has to do next is told from the moment at
 // which it was called last, so where messages come all the while its own matters would never be due.
 func (f *Front) takeFrom(now Time, from string, body []byte) {
-	f.agent.Take(now, from, body)
+	f.agent.Receive(now, from, body)
 	f.due = min(f.due, f.agent.Next())
 }
 
-// Hand takes a message of this machine's control part; any goroutine may call it.
-func (f *Front) Hand(body []byte) {
+// ReceiveFromControl takes a message of this machine's control part; any goroutine may call it.
+func (f *Front) ReceiveFromControl(body []byte) {
 	select {
 	case f.handed <- handed{controlPrefix + f.options.Addr, bytes.Clone(body)}:
 		f.wake()
@@ -169,8 +169,8 @@
 	}
 }
 
-// Turn is the configuration's part of a turn of the loop.
-func (f *Front) Turn(now Time) {
+// Poll is the configuration's part of a turn of the loop.
+func (f *Front) Poll(now Time) {
 	for range maxWaiting {
 		select {
 		case m := <-f.handed:
@@ -185,7 +185,7 @@
 		f.look(now)
 	}
 	if now >= f.due {
-		f.agent.Beat(now)
+		f.agent.Tick(now)
 		f.due = f.agent.Next()
 	}
 }
@@ -233,29 +233,29 @@
 	}
 }
 
-// View is what one front has in force, as it is shown.
-type View struct {
-	Front    string `json:"front"`
-	Version  uint64 `json:"version"`  // in force; 0: none, the front goes by its files
-	Received uint64 `json:"received"` // newer where that one is held or refused
-	State    string `json:"state"`
-	Reason   string `json:"reason,omitempty"`
-	AgeMS    int64  `json:"age_ms"` // since it was known to be the fleet's newest; -1: never
-	ForMS    int64  `json:"for_ms"` // since it was put in force here, also by the start before
-	Fresh    bool   `json:"fresh"`  // that is so at the moment
-	Texts    []Text `json:"texts"`
+// FrontStatus is what one front has in force, as it is shown.
+type FrontStatus struct {
+	Front    string      `json:"front"`
+	Version  uint64      `json:"version"`  // in force; 0: none, the front goes by its files
+	Received uint64      `json:"received"` // newer where that one is held or refused
+	State    string      `json:"state"`
+	Reason   string      `json:"reason,omitempty"`
+	AgeMS    int64       `json:"age_ms"` // since it was known to be the fleet's newest; -1: never
+	ForMS    int64       `json:"for_ms"` // since it was put in force here, also by the start before
+	Fresh    bool        `json:"fresh"`  // that is so at the moment
+	Texts    []ScopeText `json:"texts"`
 }
 
-// Text is one scope's text, as it is shown.
-type Text struct {
+// ScopeText is one scope's text, as it is shown.
+type ScopeText struct {
 	Scope string `json:"scope"`
 	Text  string `json:"text"`
 }
 
-func shown(texts []config.ScopeText) []Text {
-	list := []Text{}
+func shown(texts []config.ScopeText) []ScopeText {
+	list := []ScopeText{}
 	for _, t := range texts {
-		list = append(list, Text{string(t.Scope), string(t.Text)})
+		list = append(list, ScopeText{string(t.Scope), string(t.Text)})
 	}
 	return list
 }
@@ -263,10 +263,10 @@
 // InForce gives the texts in force.
 func (f *Front) InForce() []config.ScopeText { return f.texts }
 
-// View tells what is in force here.
-func (f *Front) View() View {
+// Status tells what is in force here.
+func (f *Front) Status() FrontStatus {
 	s := f.agent.Status(f.now())
-	v := View{
+	v := FrontStatus{
 		Front: f.options.Name, Version: uint64(s.InForce), Received: uint64(s.Received), State: s.State.String(),
 		Reason: s.Reason, AgeMS: neverProven, Texts: shown(f.texts),
 	}
--- a/internal/configuration/request.go
+++ b/internal/configuration/request.go
@@ -52,28 +52,28 @@
 
 // The outcomes.
 const (
-	Done      Outcome = "done"
-	Refused   Outcome = "refused"   // it is not in force anywhere, and never will be
-	Elsewhere Outcome = "elsewhere" // nothing was done: another leads, or this one is too busy
-	Unknown   Outcome = "unknown"   // it may be committed, or come to be
+	Done       Outcome = "done"
+	Refused    Outcome = "refused"   // it is not in force anywhere, and never will be
+	NotHandled Outcome = "elsewhere" // nothing was done: another leads, or this one is too busy
+	Unknown    Outcome = "unknown"   // it may be committed, or come to be
 )
 
 // Answer is what a control machine says to a request.
 type Answer struct {
-	Outcome Outcome         `json:"outcome"`
-	Error   string          `json:"error,omitempty"`  // one line
-	Leader  string          `json:"leader,omitempty"` // where the leader is reached, if that is known
-	Version uint64          `json:"version,omitempty"`
-	Lost    bool            `json:"lost,omitempty"` // another change was first: earlier tries are refused too
-	Texts   []Text          `json:"texts,omitempty"`
-	Stage   *Rollout        `json:"rollout,omitempty"`
-	History []config.Record `json:"history,omitempty"`
-	Status  *config.Status  `json:"status,omitempty"`
+	Outcome  Outcome         `json:"outcome"`
+	Error    string          `json:"error,omitempty"`  // one line
+	Leader   string          `json:"leader,omitempty"` // where the leader is reached, if that is known
+	Version  uint64          `json:"version,omitempty"`
+	Conflict bool            `json:"lost,omitempty"` // another change was first: earlier tries are refused too
+	Texts    []ScopeText     `json:"texts,omitempty"`
+	Stage    *Rollout        `json:"rollout,omitempty"`
+	History  []config.Record `json:"history,omitempty"`
+	Status   *config.Status  `json:"status,omitempty"`
 }
 
 // refused gives the answer for an error of fleet/config.
 func refused(err error) Answer {
-	return Answer{Outcome: Refused, Error: err.Error(), Lost: errors.Is(err, config.ErrVersionConflict)}
+	return Answer{Outcome: Refused, Error: err.Error(), Conflict: errors.Is(err, config.ErrVersionConflict)}
 }
 
 // kind names what history calls the request's change.
@@ -128,8 +128,8 @@
 		return r, err
 	}
 	switch {
-	case len(r.Text) > config.MaxTexts:
-		err = fmt.Errorf("%w: a text of %d bytes, at most %d", config.ErrTooLarge, len(r.Text), config.MaxTexts)
+	case len(r.Text) > config.MaxTextBytes:
+		err = fmt.Errorf("%w: a text of %d bytes, at most %d", config.ErrTooLarge, len(r.Text), config.MaxTextBytes)
 	case r.At < 0 || len(r.Scope) > config.MaxScopeName:
 		err = fmt.Errorf("%w: a scope's name of over %d bytes, or no time", config.ErrTooLarge, config.MaxScopeName)
 	case len(r.Author) > config.MaxAuthor || len(r.Reason) > config.MaxReason:
--- a/internal/configuration/service.go
+++ b/internal/configuration/service.go
@@ -59,7 +59,7 @@
 	if a.uncertain {
 		return Answer{Outcome: Unknown, Error: outcomeUnknown}
 	}
-	return Answer{Outcome: Elsewhere, Error: nobodyThere}
+	return Answer{Outcome: NotHandled, Error: nobodyThere}
 }
 
 // ask asks one control machine, and gives who has to be asked in its place, if it says so.
@@ -81,10 +81,10 @@
 	case Refused:
 		// Danger: a try whose answer was lost may be committed, so what refuses this one must refuse that one
 		// as well.
-		a.answer, a.over = answer, !a.uncertain || answer.Lost
+		a.answer, a.over = answer, !a.uncertain || answer.Conflict
 	case Unknown:
 		a.uncertain = a.uncertain || r.changes()
-	case Elsewhere:
+	case NotHandled:
 		if answer.Leader != addr {
 			return answer.Leader
 		}
--- a/internal/bridge/bridge.go
+++ b/internal/fleetadapter/bridge.go
@@ -1,5 +1,5 @@
 // Package bridge carries what a front's core knows to its fleet, in the words of each. It decides nothing.
-package bridge
+package fleetadapter
 
 import (
 	"cmp"
@@ -8,22 +8,22 @@
 	"micatrack/balance"
 	"micatrack/fleet"
 	"micatrack/fleet/membership"
-	"micatrack/fleet/watch"
+	"micatrack/fleet/positions"
 	"micatrack/fleet/zones"
 	"micatrack/internal/front"
 )
 
-// Bridge is that of one front.
-type Bridge struct {
-	Zones   *zones.Zones
-	Watch   *watch.Watch  // nil: off
-	stores  []zones.Store // scratch
-	watched []string
-	peers   []watch.Peer
+// Adapter is that of one front.
+type Adapter struct {
+	Zones     *zones.Zones
+	Positions *positions.Service // nil: off
+	stores    []zones.Store      // scratch
+	watched   []string
+	peers     []positions.Peer
 }
 
-// Listed hands a list of stores on.
-func (b *Bridge) Listed(now front.Time, l front.StoreList) {
+// UpdateStores hands a list of stores on.
+func (b *Adapter) UpdateStores(now front.Time, l front.StoreList) {
 	if l.Kind == balance.ListFailed {
 		return
 	}
@@ -33,20 +33,20 @@
 		b.stores = append(b.stores, zones.Store{ID: e.ID, Zone: e.Zone, Size: cmp.Or(e.Size, 1), Open: e.Condition == balance.Ready})
 	}
 	b.Zones.UpdateStores(now, l.Kind != balance.ListChanges, b.stores)
-	if b.Watch != nil {
+	if b.Positions != nil {
 		b.watch(l)
 	}
 }
 
 // watch hands the stores on that speak PostgreSQL's protocol.
-func (b *Bridge) watch(l front.StoreList) {
+func (b *Adapter) watch(l front.StoreList) {
 	named := map[string]bool{}
 	for i := range l.Entries {
 		if e := &l.Entries[i]; e.Condition != balance.Gone && !e.Bolt {
 			if named[e.ID] = true; !slices.Contains(b.watched, e.ID) {
 				b.watched = append(b.watched, e.ID)
 			}
-			b.Watch.Listed(e.ID, e.Group, e.Primary, true)
+			b.Positions.UpdateStore(e.ID, e.Group, e.Primary, true)
 		}
 	}
 	keep := b.watched[:0]
@@ -54,29 +54,29 @@
 		if l.Kind == balance.ListChanges || named[name] {
 			keep = append(keep, name)
 		} else {
-			b.Watch.Listed(name, 0, false, false)
+			b.Positions.UpdateStore(name, 0, false, false)
 		}
 	}
 	b.watched = keep
 }
 
-// Peers tells the watch who is there, where that has changed.
-func (b *Bridge) Peers(f *fleet.Fleet) {
-	if b.Watch == nil || !f.MembersChanged {
+// UpdateMembers tells the watch who is there, where that has changed.
+func (b *Adapter) UpdateMembers(f *fleet.Fleet) {
+	if b.Positions == nil || !f.MembersChanged {
 		return
 	}
 	f.MembersChanged = false
 	b.peers = b.peers[:0]
 	for _, e := range f.Members.List() {
 		if e.State <= membership.Suspect {
-			b.peers = append(b.peers, watch.Peer{Name: e.Name, Addr: e.Addr})
+			b.peers = append(b.peers, positions.Peer{Name: e.Name, Addr: e.Addr})
 		}
 	}
-	b.Watch.Members(b.peers)
+	b.Positions.UpdateMembers(b.peers)
 }
 
-// Saw hands on how an attempt or a probe came back, as front.Limits tells it.
-func (b *Bridge) Saw(now front.Time, store string, how balance.Ending, expected, took front.Time) {
+// RecordOutcome hands on how an attempt or a probe came back, as front.Limits tells it.
+func (b *Adapter) RecordOutcome(now front.Time, store string, how balance.Ending, expected, took front.Time) {
 	end := zones.Answered
 	switch how {
 	case balance.Served, balance.NotEligible, balance.Overloaded, balance.Failed:
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -20,7 +20,7 @@
 
 	"micatrack/fleet/lease"
 	"micatrack/internal/peers"
-	"micatrack/internal/voterdisk"
+	"micatrack/internal/voterstate"
 )
 
 const (
@@ -33,67 +33,67 @@
 // Time is a moment or a span in whole tenths of a millisecond.
 type Time = lease.Time
 
-// Order is what the operators want.
-type Order struct {
-	Fleet string
-	Self  lease.Party
-	Addr  string       // where other fronts reach this one
-	Seats []lease.Seat // the voters of the first start, by name and address; numbers are filled in
-	State string       // this front's vote on disk; empty: it has none
-	Terms lease.Terms
-	Seed  uint64
+// Config is what the operators want.
+type Config struct {
+	Fleet     string
+	Self      lease.Instance
+	Addr      string            // where other fronts reach this one
+	Voters    []lease.VoterInfo // the voters of the first start, by name and address; numbers are filled in
+	StatePath string            // this front's vote on disk; empty: it has none
+	Terms     lease.Terms
+	Seed      uint64
 	// Companion runs beside the voter; nil: none does.
-	Companion Companion
+	HostedMachine HostedMachine
 }
 
-// Companion is a second state machine in the voters' log, with what serves it. The voter's goroutine calls it.
-type Companion interface {
+// HostedMachine is a second state machine in the voters' log, with what serves it. The voter's goroutine calls it.
+type HostedMachine interface {
 	lease.StateMachine
 	Started(now Time, v *lease.Voter)
-	Beat(now Time, leader string) // after each step; leader: where the voter that leads is reached, if that is known
+	Tick(now Time, leader string) // after each step; leader: where the voter that leads is reached, if that is known
 	Next() Time                   // when Beat has to be called again
 }
 
 // Host is what the front does for its leases.
 type Host interface {
-	Held(name string, token uint64)
-	Lost(name, why string)
+	LeaseAcquired(name string, token uint64)
+	LeaseLost(name, why string)
 }
 
 // Leases is one front's part. All but what is said to be a voter's is the loop's.
 type Leases struct {
-	Holder  *lease.Holder
-	Dropped atomic.Int64 // messages that could not be read, or that nobody had room for
+	Holder          *lease.Holder
+	DroppedMessages atomic.Int64 // messages that could not be read, or that nobody had room for
 
 	host    Host
-	order   Order
+	order   Config
 	now     func() Time
-	peers   *peers.Peers
+	peers   *peers.Transport
 	wake    func()
 	log     *slog.Logger
 	replies chan reply
-	seats   []lease.Seat // who is asked
-	vote    *vote        // nil: none
+	seats   []lease.VoterInfo // who is asked
+	vote    *vote             // nil: none
 }
 
 // reply is an answer, with who votes where the voter told that too.
 type reply struct {
 	lease.Reply
-	seats []lease.Seat
+	seats []lease.VoterInfo
 }
 
 // Open starts a front's part. A vote that its disk does not bear out is left aside, with one line in the log.
-func Open(o Order, now func() Time, p *peers.Peers, h Host, wake func(), log *slog.Logger) *Leases {
+func Open(o Config, now func() Time, p *peers.Transport, h Host, wake func(), log *slog.Logger) *Leases {
 	l := &Leases{host: h, order: o, now: now, peers: p, wake: wake, log: log, replies: make(chan reply, waiting)}
-	for k := range l.order.Seats {
-		l.order.Seats[k].ID = voterdisk.FirstID(o.Fleet, l.order.Seats[k].Name)
+	for k := range l.order.Voters {
+		l.order.Voters[k].ID = voterstate.InitialVoterID(o.Fleet, l.order.Voters[k].Name)
 	}
-	l.seats = l.order.Seats
-	l.Holder = lease.NewHolder(now(), o.Self, o.Addr, len(o.Seats), o.Terms, o.Seed, holder{l})
-	if o.State != "" {
+	l.seats = l.order.Voters
+	l.Holder = lease.NewHolder(now(), o.Self, o.Addr, len(o.Voters), o.Terms, o.Seed, holder{l})
+	if o.StatePath != "" {
 		v, err := l.voter()
 		if err != nil {
-			log.Error("no vote: this front takes no part in granting leases", "state", o.State, "error", err.Error())
+			log.Error("no vote: this front takes no part in granting leases", "state", o.StatePath, "error", err.Error())
 		} else {
 			l.vote = v
 			go v.run()
@@ -103,15 +103,15 @@
 	return l
 }
 
-// Turn is the leases' part of a turn of the loop.
-func (l *Leases) Turn(now Time) {
+// Poll is the leases' part of a turn of the loop.
+func (l *Leases) Poll(now Time) {
 	for range waiting {
 		select {
 		case r := <-l.replies:
-			if l.Holder.Take(now, r.Reply) && len(r.seats) > 0 {
+			if l.Holder.HandleReply(now, r.Reply) && len(r.seats) > 0 {
 				// Danger: once all that the operators' file names are replaced, nobody would be left to ask.
 				l.seats = r.seats
-				l.Holder.Reseat(len(l.seats))
+				l.Holder.SetVoterCount(len(l.seats))
 			}
 			continue
 		default:
@@ -119,14 +119,14 @@
 		break
 	}
 	if now >= l.Holder.Next() {
-		l.Holder.Beat(now)
+		l.Holder.Tick(now)
 	}
 }
 
-// Yield hands the lead over, before a planned end.
-func (l *Leases) Yield() {
+// TransferLeadership hands the lead over, before a planned end.
+func (l *Leases) TransferLeadership() {
 	if l.vote != nil {
-		l.vote.put(func(v *lease.Voter) { v.Yield(l.now()) })
+		l.vote.put(func(v *lease.Voter) { v.TransferLeadership(l.now()) })
 	}
 }
 
@@ -145,11 +145,11 @@
 // holder is what the holder asks for.
 type holder struct{ l *Leases }
 
-func (h holder) Held(name string, token uint64) { h.l.host.Held(name, token) }
-func (h holder) Lost(name, why string)          { h.l.host.Lost(name, why) }
+func (h holder) LeaseAcquired(name string, token uint64) { h.l.host.LeaseAcquired(name, token) }
+func (h holder) LeaseLost(name, why string)              { h.l.host.LeaseLost(name, why) }
 
-// Moment gives this machine's two clocks. Danger: the monotonic one stands still while the machine sleeps.
-func (h holder) Moment() (mono, boot Time) {
+// Clocks gives this machine's two clocks. Danger: the monotonic one stands still while the machine sleeps.
+func (h holder) Clocks() (mono, boot Time) {
 	var m, b unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &m)
 	unix.ClockGettime(unix.CLOCK_BOOTTIME, &b)
@@ -157,14 +157,14 @@
 	return mono, mono + (b.Nano()-m.Nano())/int64(tick)
 }
 
-func (h holder) Ask(voter int, a lease.Ask) {
+func (h holder) SendRequest(voter int, a lease.Request) {
 	l := h.l
 	s := &l.seats[voter]
 	if l.vote != nil && l.vote.id == s.ID {
-		l.vote.put(func(v *lease.Voter) { v.Hear(l.now(), a) })
+		l.vote.put(func(v *lease.Voter) { v.HandleRequest(l.now(), a) })
 		return
 	}
-	l.peers.Lease(s.Addr, peers.AppendLease(nil, &peers.Lease{To: s.ID, Ask: &a}))
+	l.peers.SendLease(s.Addr, peers.AppendLease(nil, &peers.LeaseMessage{To: s.ID, Request: &a}))
 }
 
 // take is called by the goroutines that read: it sorts what comes and waits for nobody.
@@ -172,19 +172,19 @@
 	m, err := peers.ReadLease(b)
 	switch {
 	case err != nil:
-		l.Dropped.Add(1)
+		l.DroppedMessages.Add(1)
 	case m.Reply != nil && m.To == 0:
-		l.reply(reply{*m.Reply, m.Seats})
+		l.reply(reply{*m.Reply, m.Voters})
 	case l.vote == nil:
-		l.Dropped.Add(1)
+		l.DroppedMessages.Add(1)
 	case m.Reply != nil: // the leader's, for an asker that reached this voter alone
 		m.To = 0
-		l.peers.Lease(m.Addr, peers.AppendLease(nil, &m))
-	case m.Ask != nil:
-		a := *m.Ask
-		l.vote.put(func(v *lease.Voter) { v.Hear(l.now(), a) })
-	case m.Roll != l.vote.disk.Who.Roll():
-		l.Dropped.Add(1)
+		l.peers.SendLease(m.Addr, peers.AppendLease(nil, &m))
+	case m.Request != nil:
+		a := *m.Request
+		l.vote.put(func(v *lease.Voter) { v.HandleRequest(l.now(), a) })
+	case m.InitialVotersHash != l.vote.disk.Identity.InitialVotersHash():
+		l.DroppedMessages.Add(1)
 		l.vote.strange.Do(func() {
 			l.log.Error("a voter of this fleet began from another list of first voters; its messages are dropped", "voter", m.From)
 		})
@@ -192,10 +192,10 @@
 		var in pb.Message
 		// Danger: while its disk stands still, what waits for a voter may be snapshots of megabytes.
 		if len(m.Log) > 1200 && len(l.vote.in) > large || proto.Unmarshal(m.Log, &in) != nil {
-			l.Dropped.Add(1)
+			l.DroppedMessages.Add(1)
 			return
 		}
-		l.vote.put(func(v *lease.Voter) { v.Take(l.now(), &in) })
+		l.vote.put(func(v *lease.Voter) { v.HandleMessage(l.now(), &in) })
 	}
 }
 
@@ -204,26 +204,26 @@
 	case l.replies <- r:
 		l.wake()
 	default:
-		l.Dropped.Add(1)
+		l.DroppedMessages.Add(1)
 	}
 }
 
 // machine gives what the voter hosts beside its leases.
 func (l *Leases) machine() lease.StateMachine {
-	if l.order.Companion == nil {
+	if l.order.HostedMachine == nil {
 		return nil
 	}
-	return l.order.Companion
+	return l.order.HostedMachine
 }
 
-// Seats gives the voters, as far as this front knows. It is the loop's to call.
-func (l *Leases) Seats() []lease.Seat { return l.seats }
+// Voters gives the voters, as far as this front knows. It is the loop's to call.
+func (l *Leases) Voters() []lease.VoterInfo { return l.seats }
 
-// Votes tells whether this front has a voter.
-func (l *Leases) Votes() bool { return l.vote != nil }
+// HasVoter tells whether this front has a voter.
+func (l *Leases) HasVoter() bool { return l.vote != nil }
 
-// Put has the voter's goroutine do something for the companion; what it has no room for is lost, as on any link.
-func (l *Leases) Put(do func(now Time, leader string)) bool {
+// RunOnVoter has the voter's goroutine do something for the companion; what it has no room for is lost, as on any link.
+func (l *Leases) RunOnVoter(do func(now Time, leader string)) bool {
 	if l.vote == nil {
 		return false
 	}
@@ -235,7 +235,7 @@
 	l          *Leases
 	id         uint64
 	v          *lease.Voter
-	disk       *voterdisk.Disk
+	disk       *voterstate.File
 	saver      interface{ Save(lease.Batch) error } // the disk, but where a test has another
 	in         chan func(v *lease.Voter)
 	stop, done chan struct{}
@@ -243,12 +243,12 @@
 }
 
 func (l *Leases) voter() (*vote, error) {
-	disk, kept, err := voterdisk.Open(l.order.State, l.order.Fleet, l.order.Self.Name)
+	disk, kept, err := voterstate.Open(l.order.StatePath, l.order.Fleet, l.order.Self.Name)
 	if err != nil {
 		return nil, err
 	}
-	v := &vote{l: l, id: disk.Who.ID, disk: disk, saver: disk, in: make(chan func(v *lease.Voter), waiting), stop: make(chan struct{}), done: make(chan struct{})}
-	if v.v, err = lease.NewVoter(l.now(), v.id, disk.Who.IDs(), kept, l.order.Terms, l.order.Seed^v.id, v, l.machine()); err != nil {
+	v := &vote{l: l, id: disk.Identity.ID, disk: disk, saver: disk, in: make(chan func(v *lease.Voter), waiting), stop: make(chan struct{}), done: make(chan struct{})}
+	if v.v, err = lease.NewVoter(l.now(), v.id, disk.Identity.InitialVoterIDs(), kept, l.order.Terms, l.order.Seed^v.id, v, l.machine()); err != nil {
 		disk.Close()
 		return nil, err
 	}
@@ -261,7 +261,7 @@
 	case v.in <- do:
 		return true
 	default:
-		v.l.Dropped.Add(1)
+		v.l.DroppedMessages.Add(1)
 		return false
 	}
 }
@@ -272,7 +272,7 @@
 	debug.SetPanicOnFault(true) // a page of the disk that is gone ends this vote and not the process
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	companion := v.l.order.Companion
+	companion := v.l.order.HostedMachine
 	if companion != nil {
 		companion.Started(v.l.now(), v.v)
 	}
@@ -289,13 +289,13 @@
 			do(v.v)
 		case <-timer.C:
 		}
-		if v.v.Aside() != nil {
+		if v.v.Err() != nil {
 			v.idle()
 			return
 		}
-		v.v.Beat(v.l.now())
+		v.v.Tick(v.l.now())
 		if companion != nil {
-			companion.Beat(v.l.now(), v.leader())
+			companion.Tick(v.l.now(), v.leader())
 		}
 	}
 }
@@ -323,18 +323,20 @@
 // Save, Carry, Pass, Reply and Log are what the voter asks for.
 func (v *vote) Save(b lease.Batch) error { return v.saver.Save(b) }
 
-func (v *vote) Carry(to uint64, m *pb.Message) {
+func (v *vote) Send(to uint64, m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err == nil {
-		v.send(to, &peers.Lease{From: v.id, To: to, Log: text, Roll: v.disk.Who.Roll()})
+		v.send(to, &peers.LeaseMessage{From: v.id, To: to, Log: text, InitialVotersHash: v.disk.Identity.InitialVotersHash()})
 	}
 }
 
-func (v *vote) Pass(to uint64, a lease.Ask) { v.send(to, &peers.Lease{From: v.id, To: to, Ask: &a}) }
+func (v *vote) Forward(to uint64, a lease.Request) {
+	v.send(to, &peers.LeaseMessage{From: v.id, To: to, Request: &a})
+}
 
 func (v *vote) Reply(via uint64, addr string, r lease.Reply) {
-	var seats []lease.Seat
-	if len(v.v.Seats()) > 0 {
+	var seats []lease.VoterInfo
+	if len(v.v.AddedVoters()) > 0 {
 		for _, id := range v.v.Voters() {
 			if s := v.seat(id); s != nil {
 				seats = append(seats, *s)
@@ -345,17 +347,17 @@
 	case r.To == v.l.order.Self:
 		v.l.reply(reply{r, seats})
 	case via != 0 && via != v.id:
-		v.send(via, &peers.Lease{From: v.id, To: via, Reply: &r, Addr: addr, Seats: seats})
+		v.send(via, &peers.LeaseMessage{From: v.id, To: via, Reply: &r, Addr: addr, Voters: seats})
 	default:
-		v.l.peers.Lease(addr, peers.AppendLease(nil, &peers.Lease{From: v.id, Reply: &r, Seats: seats}))
+		v.l.peers.SendLease(addr, peers.AppendLease(nil, &peers.LeaseMessage{From: v.id, Reply: &r, Voters: seats}))
 	}
 }
 
 func (v *vote) Log(text string) { v.l.log.Info(text) }
 
 // seat gives a voter as the record has it, or the operators' file; nil: neither has.
-func (v *vote) seat(id uint64) *lease.Seat {
-	for _, seats := range [...][]lease.Seat{v.v.Seats(), v.l.order.Seats} {
+func (v *vote) seat(id uint64) *lease.VoterInfo {
+	for _, seats := range [...][]lease.VoterInfo{v.v.AddedVoters(), v.l.order.Voters} {
 		for k := range seats {
 			if seats[k].ID == id {
 				return &seats[k]
@@ -365,14 +367,14 @@
 	return nil
 }
 
-func (v *vote) send(to uint64, m *peers.Lease) {
+func (v *vote) send(to uint64, m *peers.LeaseMessage) {
 	if s := v.seat(to); s != nil {
-		v.l.peers.Lease(s.Addr, peers.AppendLease(nil, m))
+		v.l.peers.SendLease(s.Addr, peers.AppendLease(nil, m))
 	}
 }
 
-// Chair is one voter, as it is shown.
-type Chair struct {
+// VoterStatus is one voter, as it is shown.
+type VoterStatus struct {
 	ID    uint64 `json:"id"`
 	Name  string `json:"name"`
 	Addr  string `json:"addr"`
@@ -380,9 +382,9 @@
 	Here  bool   `json:"here"`
 }
 
-// View is what this front's voter has of the record.
-type View struct {
-	Chairs []Chair       `json:"voters"`
+// Status is what this front's voter has of the record.
+type Status struct {
+	Voters []VoterStatus `json:"voters"`
 	Leases []lease.Grant `json:"leases"`
 	Leads  bool          `json:"leads"`
 	Aside  string        `json:"aside,omitempty"`
@@ -393,36 +395,36 @@
 
 var errNoVote = errors.New("this front has no vote: ask one that has")
 
-// View asks this front's voter, within a second.
+// Status asks this front's voter, within a second.
 // Danger: one that was given up is made all the same, so it must not be written where this one reads.
-func (l *Leases) View() (View, error) {
-	made := make(chan View, 1)
+func (l *Leases) Status() (Status, error) {
+	made := make(chan Status, 1)
 	if err := l.ask(func(*lease.Voter) error { made <- l.vote.view(); return nil }); err != nil {
-		return View{}, err
+		return Status{}, err
 	}
 	return <-made, nil
 }
 
 // view is the voter's goroutine's to call.
-func (v *vote) view() (w View) {
+func (v *vote) view() (w Status) {
 	lead := v.v.Leader()
 	for _, id := range v.v.Voters() {
-		c := Chair{ID: id, Leads: id == lead, Here: id == v.id}
+		c := VoterStatus{ID: id, Leads: id == lead, Here: id == v.id}
 		if s := v.seat(id); s != nil {
 			c.Name, c.Addr = s.Name, s.Addr
 		}
-		w.Chairs = append(w.Chairs, c)
+		w.Voters = append(w.Voters, c)
 	}
-	w.Leases, w.Leads, w.Refused, w.Dropped = v.v.Grants(), v.v.Leads(), v.v.Refused, v.l.Dropped.Load()
-	if err := v.v.Aside(); err != nil {
+	w.Leases, w.Leads, w.Refused, w.Dropped = v.v.Grants(), v.v.IsLeader(), v.v.RejectedMessages, v.l.DroppedMessages.Load()
+	if err := v.v.Err(); err != nil {
 		w.Aside = err.Error()
 	}
 	return w
 }
 
-// Change adds a voter or removes one, by way of this front's, which has to lead.
-func (l *Leases) Change(s lease.Seat, add bool) error {
-	return l.ask(func(v *lease.Voter) error { return v.Change(l.now(), s, add) })
+// ChangeVoters adds a voter or removes one, by way of this front's, which has to lead.
+func (l *Leases) ChangeVoters(s lease.VoterInfo, add bool) error {
+	return l.ask(func(v *lease.Voter) error { return v.ChangeVoters(l.now(), s, add) })
 }
 
 // ask has the voter do something and waits for it. It is not the loop's to call.
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -20,7 +20,7 @@
 
 	"micatrack/fleet/lease"
 	"micatrack/internal/peers"
-	"micatrack/internal/voterdisk"
+	"micatrack/internal/voterstate"
 )
 
 const span = 900 * time.Millisecond
@@ -28,7 +28,7 @@
 // member is one front's part, with a loop of its own that notes how late it runs.
 type member struct {
 	*Leases
-	peers  *peers.Peers
+	peers  *peers.Transport
 	mu     sync.Mutex
 	held   map[string]uint64
 	late   time.Duration // the longest turn
@@ -38,8 +38,12 @@
 	logged *sync.Mutex
 }
 
-func (m *member) Held(name string, token uint64) { m.mu.Lock(); m.held[name] = token; m.mu.Unlock() }
-func (m *member) Lost(name, _ string)            { m.mu.Lock(); delete(m.held, name); m.mu.Unlock() }
+func (m *member) LeaseAcquired(name string, token uint64) {
+	m.mu.Lock()
+	m.held[name] = token
+	m.mu.Unlock()
+}
+func (m *member) LeaseLost(name, _ string) { m.mu.Lock(); delete(m.held, name); m.mu.Unlock() }
 
 func (m *member) has(name string) uint64 {
 	m.mu.Lock()
@@ -63,7 +67,7 @@
 func many(t *testing.T, fleet string, n, votes int, span time.Duration, wants ...string) (all []*member) {
 	start := time.Now()
 	now := func() Time { return 1_000_000 + int64(time.Since(start)/tick) }
-	var seats []lease.Seat
+	var seats []lease.VoterInfo
 	var names []string
 	for k := range n {
 		p, err := peers.Open("127.0.0.1:0", fleet, func() {})
@@ -73,7 +77,7 @@
 		t.Cleanup(p.Close)
 		name := fmt.Sprint("f", k)
 		if names = append(names, name); k < votes {
-			seats = append(seats, lease.Seat{Name: name, Addr: p.Addr()})
+			seats = append(seats, lease.VoterInfo{Name: name, Addr: p.Addr()})
 		}
 		all = append(all, &member{peers: p, held: map[string]uint64{}, end: make(chan struct{}), do: make(chan func()), log: &strings.Builder{}, logged: &sync.Mutex{}})
 	}
@@ -81,15 +85,15 @@
 		path := ""
 		if k < votes {
 			path = filepath.Join(t.TempDir(), "state")
-			if _, err := voterdisk.Create(path, fleet, names[k], true, names[:votes]); err != nil {
+			if _, err := voterstate.Create(path, fleet, names[k], true, names[:votes]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		o := Order{Fleet: fleet, Self: lease.Party{Name: names[k], Life: 1}, Addr: m.peers.Addr(), Seats: slices.Clone(seats), State: path,
+		o := Config{Fleet: fleet, Self: lease.Instance{Name: names[k], Life: 1}, Addr: m.peers.Addr(), Voters: slices.Clone(seats), StatePath: path,
 			Terms: lease.Terms{Span: int64(span / tick), Drift: 0.01, Margin: 300}, Seed: uint64(k) + 1}
 		m.Leases = Open(o, now, m.peers, m, func() {}, slog.New(slog.NewTextHandler(locked{m.logged, m.log}, nil)))
 		for _, w := range wants {
-			m.Holder.Want(now(), w)
+			m.Holder.Acquire(now(), w)
 		}
 		go func() {
 			for {
@@ -102,7 +106,7 @@
 				case <-time.After(2 * time.Millisecond):
 				}
 				at := time.Now()
-				m.Turn(now())
+				m.Poll(now())
 				m.mu.Lock()
 				m.late = max(m.late, time.Since(at))
 				m.mu.Unlock()
@@ -125,7 +129,7 @@
 
 func lead(all []*member) *member {
 	for _, m := range all {
-		if v, err := m.View(); err == nil && v.Leads {
+		if v, err := m.Status(); err == nil && v.Leads {
 			return m
 		}
 	}
@@ -186,9 +190,9 @@
 	m.vote.put(func(*lease.Voter) { m.vote.saver = full{} })
 	h := keeper(all, "l")
 	old := h.has("l")
-	h.do <- func() { h.Holder.Drop(h.now(), "l") }
+	h.do <- func() { h.Holder.Release(h.now(), "l") }
 	await(t, 6*time.Second, "another holds it", func() bool { n := keeper(all, "l"); return n != nil && n.has("l") > old })
-	v, err := m.View()
+	v, err := m.Status()
 	if err != nil || !strings.Contains(v.Aside, "no space is left") {
 		t.Errorf("%+v, %v", v, err)
 	}
@@ -215,8 +219,8 @@
 	number := func() *uint64 {
 		return proto.Uint64([]uint64{0, 1, 2, 3, 5, 100, 1 << 40, ^uint64(0)}[chance.IntN(8)])
 	}
-	ids := []uint64{voterdisk.FirstID("ours", "f0"), voterdisk.FirstID("ours", "f1"), voterdisk.FirstID("ours", "f2"), 7}
-	roll := (&voterdisk.Who{Fleet: "ours", Voters: []string{"f0", "f1", "f2"}}).Roll()
+	ids := []uint64{voterstate.InitialVoterID("ours", "f0"), voterstate.InitialVoterID("ours", "f1"), voterstate.InitialVoterID("ours", "f2"), 7}
+	roll := (&voterstate.Identity{Fleet: "ours", Voters: []string{"f0", "f1", "f2"}}).InitialVotersHash()
 	for n := range 4000 {
 		to := ours[chance.IntN(3)]
 		kind := pb.MessageType(chance.IntN(24))
@@ -233,33 +237,33 @@
 		if n%5 == 0 && len(text) > 0 {
 			text[chance.IntN(len(text))] ^= 1 << chance.IntN(8)
 		}
-		body := peers.AppendLease(nil, &peers.Lease{From: m.GetFrom(), To: m.GetTo(), Log: text, Roll: roll})
+		body := peers.AppendLease(nil, &peers.LeaseMessage{From: m.GetFrom(), To: m.GetTo(), Log: text, InitialVotersHash: roll})
 		switch n % 7 {
 		case 1:
-			body = peers.AppendLease(nil, &peers.Lease{To: m.GetTo(), Ask: &lease.Ask{Op: lease.Op(chance.IntN(4)), Name: "l", From: lease.Party{Name: "x", Life: 1},
-				Token: *number(), Seq: *number(), Via: *number(), Addr: "127.0.0.1:1"}})
+			body = peers.AppendLease(nil, &peers.LeaseMessage{To: m.GetTo(), Request: &lease.Request{Op: lease.Op(chance.IntN(4)), Name: "l", From: lease.Instance{Name: "x", Life: 1},
+				Token: *number(), Seq: *number(), ForwardedBy: *number(), Addr: "127.0.0.1:1"}})
 		case 2:
-			body = peers.AppendLease(nil, &peers.Lease{Reply: &lease.Reply{Name: "l", To: lease.Party{Name: "f0", Life: 1}, Seq: uint64(n), Token: *number()}})
+			body = peers.AppendLease(nil, &peers.LeaseMessage{Reply: &lease.Reply{Name: "l", To: lease.Instance{Name: "f0", Life: 1}, Seq: uint64(n), Token: *number()}})
 		case 3:
 			body = body[:chance.IntN(len(body))]
 		case 4:
-			theirs[0].peers.Lease(to.peers.Addr(), body) // their frame
+			theirs[0].peers.SendLease(to.peers.Addr(), body) // their frame
 			continue
 		}
-		stranger.Lease(to.peers.Addr(), body)
+		stranger.SendLease(to.peers.Addr(), body)
 		if n%200 == 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 	time.Sleep(2 * span)
 	for k, m := range ours {
-		v, err := m.View()
+		v, err := m.Status()
 		if err != nil || v.Aside != "" {
 			t.Errorf("voter %d: %v %s", k, err, v.Aside)
 		}
 	}
 	await(t, 4*span, "it is held", func() bool { return keeper(ours, "l") != nil })
-	t.Logf("token %d before, %d after; %d dropped at the first", token, keeper(ours, "l").has("l"), ours[0].Dropped.Load())
+	t.Logf("token %d before, %d after; %d dropped at the first", token, keeper(ours, "l").has("l"), ours[0].DroppedMessages.Load())
 }
 
 // TestMeasureLeases: MICATRACK_MEASURE=1 go test ./internal/leases -run Measure -v
@@ -288,10 +292,10 @@
 	m, token := wait(0)
 	for range 100 {
 		at, old := time.Now(), m
-		old.do <- func() { old.Holder.Drop(old.now(), "l") }
+		old.do <- func() { old.Holder.Release(old.now(), "l") }
 		m, token = wait(token)
 		planned = append(planned, time.Since(at))
-		old.do <- func() { old.Holder.Want(old.now(), "l") }
+		old.do <- func() { old.Holder.Acquire(old.now(), "l") }
 		time.Sleep(short / 2)
 	}
 	tell("given back", planned)
@@ -326,7 +330,7 @@
 		o.do <- func() {
 			for n := k; n < len(names); n += len(all) {
 				if n/len(all) < 240 {
-					o.Holder.Want(o.now(), names[n])
+					o.Holder.Acquire(o.now(), names[n])
 				}
 			}
 		}
@@ -349,7 +353,7 @@
 		t.Run(fmt.Sprint(n, " fronts"), func(t *testing.T) {
 			all := many(t, fmt.Sprint("load", n), n, 5, 3*time.Second, "l")
 			for k, o := range all {
-				o.do <- func() { o.Holder.Want(o.now(), fmt.Sprint("own", k)) }
+				o.do <- func() { o.Holder.Acquire(o.now(), fmt.Sprint("own", k)) }
 			}
 			time.Sleep(6 * time.Second)
 			sums := func() (c [2]peers.Counts) {
@@ -381,8 +385,8 @@
 	t.Parallel()
 	m := some(t, "givenup", 1)[0]
 	m.vote.put(func(*lease.Voter) { time.Sleep(1500 * time.Millisecond) }) // nothing else orders the two
-	if v, err := m.View(); err == nil {
+	if v, err := m.Status(); err == nil {
 		t.Errorf("a voter that stands still gave %+v", v)
 	}
-	await(t, 5*time.Second, "the voter goes on", func() bool { _, err := m.View(); return err == nil })
+	await(t, 5*time.Second, "the voter goes on", func() bool { _, err := m.Status(); return err == nil })
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -18,9 +18,9 @@
 	"micatrack/deploy"
 )
 
-// Orders is what the operators have switched on. The zero value has everything off.
-type Orders struct {
-	Door  Door
+// Options is what the operators have switched on. The zero value has everything off.
+type Options struct {
+	Door  Admission
 	Bolt  Bolt
 	Fleet Fleet
 }
@@ -65,8 +65,8 @@
 	DrainMS           int64 `json:"drain_ms"` // for which an open transaction may go on at a store that drains
 }
 
-// Door bounds the fair queues at the point of entry.
-type Door struct {
+// Admission bounds the fair queues at the point of entry.
+type Admission struct {
 	On        bool
 	Jobs      int     // that wait at once, at most
 	Kilobytes int     // of their statements, at most
@@ -78,44 +78,44 @@
 
 // Read reads the file at path; without a path everything is off. An error names the file, the path of the key
 // and what was expected there.
-func Read(path string) (Orders, error) {
+func Read(path string) (Options, error) {
 	if path == "" {
-		return Orders{}, nil
+		return Options{}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Orders{}, fmt.Errorf("operators' file: %w", err)
+		return Options{}, fmt.Errorf("operators' file: %w", err)
 	}
 	o, err := Parse(text)
 	if err != nil {
-		return Orders{}, fmt.Errorf("operators' file %s: %w", path, err)
+		return Options{}, fmt.Errorf("operators' file %s: %w", path, err)
 	}
 	return o, nil
 }
 
 // Parse reads the file's text.
-func Parse(text []byte) (Orders, error) {
+func Parse(text []byte) (Options, error) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return Orders{}, fmt.Errorf("/: no JSON: %w", err)
+		return Options{}, fmt.Errorf("/: no JSON: %w", err)
 	}
 	schema, defaults, err := compiled()
 	if err != nil {
-		return Orders{}, err
+		return Options{}, err
 	}
 	if err := schema.Validate(value); err != nil {
-		return Orders{}, explain(err)
+		return Options{}, explain(err)
 	}
 	o := defaults
 	if err := json.Unmarshal(text, &o); err != nil {
-		return Orders{}, err
+		return Options{}, err
 	}
 	return o, nil
 }
 
 // compiled gives the schema and the values that it names as defaults, which stand nowhere else.
-func compiled() (*jsonschema.Schema, Orders, error) {
-	var o Orders
+func compiled() (*jsonschema.Schema, Options, error) {
+	var o Options
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
 		return nil, o, err
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// Append writes a message of a fleet.
-func Append(dst []byte, fleet string, m *membership.Message) []byte {
+// AppendMessage writes a message of a fleet.
+func AppendMessage(dst []byte, fleet string, m *membership.Message) []byte {
 	dst = appendNumber(dst, 1, version)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
 	dst = appendNumber(appendNumber(dst, 3, uint64(m.Kind)), 4, m.Seq)
@@ -146,9 +146,9 @@
 	return o, err
 }
 
-// Read takes a message apart into m, whose slices it uses again; what is in them stands in b. On an error m is worth
+// ReadMessage takes a message apart into m, whose slices it uses again; what is in them stands in b. On an error m is worth
 // nothing.
-func Read(b []byte, fleet string, m *membership.Message) error {
+func ReadMessage(b []byte, fleet string, m *membership.Message) error {
 	*m = membership.Message{Facts: m.Facts[:0], Notes: m.Notes[:0]}
 	told, named := uint64(0), false
 	err := fields(b, func(n protowire.Number, number uint64, text []byte) (err error) {
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -23,8 +23,8 @@
 	maxRequest = 1 << 20 // bytes of a request to a control machine, and of its answer
 )
 
-// Config is one message of the configuration.
-type Config struct {
+// ConfigMessage is one message of the configuration.
+type ConfigMessage struct {
 	ToControl   bool   // for the control machine's part of its receiver
 	FromControl bool   // from the control machine's part of its sender
 	Addr        string // at which its sender is reached
@@ -45,7 +45,7 @@
 }
 
 // AppendConfig writes a message of the configuration, whole.
-func AppendConfig(dst []byte, fleet string, m *Config) []byte {
+func AppendConfig(dst []byte, fleet string, m *ConfigMessage) []byte {
 	dst = appendHead(dst, fleet, kindConfig)
 	return appendInside(dst, fieldConfig, func(dst []byte) []byte {
 		dst = appendNumber(appendNumber(dst, 1, number(m.ToControl)), 2, number(m.FromControl))
@@ -55,7 +55,7 @@
 
 // ReadConfig takes a message of the configuration apart; its body stands in b.
 // Danger: what is sent on a peer's word must not go to addresses elsewhere.
-func ReadConfig(b []byte, fleet string) (m Config, err error) {
+func ReadConfig(b []byte, fleet string) (m ConfigMessage, err error) {
 	body, ok := framed(b, fleet, kindConfig, fieldConfig)
 	if !ok {
 		return m, errShape
@@ -96,7 +96,7 @@
 // OnConfig has messages of the configuration handed on from now on: those for the front to the loop, by Take;
 // those for a control machine to several goroutines, which must not block and keep nothing. nil: they are
 // dropped.
-func (p *Peers) OnConfig(front, control func(m Config)) {
+func (p *Transport) OnConfig(front, control func(m ConfigMessage)) {
 	p.onConfig = front
 	if control != nil {
 		p.control.Store(&control)
@@ -106,14 +106,14 @@
 
 // OnRequest has requests to this control machine handed to answer, by several goroutines. It has
 // answerWithin.
-func (p *Peers) OnRequest(answer func(body []byte) []byte) { p.requested.Store(&answer) }
+func (p *Transport) OnRequest(answer func(body []byte) []byte) { p.requested.Store(&answer) }
 
 // AnswerWithin is for how long a request may be worked on.
-const AnswerWithin = patience - 500*time.Millisecond
+const HandlerTimeout = patience - 500*time.Millisecond
 
-// Config sends a message of the configuration: a datagram, or a connection where the names of its frame make
+// SendConfig sends a message of the configuration: a datagram, or a connection where the names of its frame make
 // it longer.
-func (p *Peers) Config(addr string, m *Config) {
+func (p *Transport) SendConfig(addr string, m *ConfigMessage) {
 	b := AppendConfig(p.buffer(), p.fleet, m)
 	if len(b) <= datagram {
 		p.raw(addr, b)
@@ -124,7 +124,7 @@
 }
 
 // toControl hands on what is for this control machine, and tells whether a message was.
-func (p *Peers) toControl(b []byte) bool {
+func (p *Transport) toControl(b []byte) bool {
 	if !p.configured.Load() {
 		return false
 	}
@@ -140,7 +140,7 @@
 }
 
 // toFront hands on what is for this front, and tells whether a message was.
-func (p *Peers) toFront(b []byte) bool {
+func (p *Transport) toFront(b []byte) bool {
 	if p.onConfig == nil {
 		return false
 	}
@@ -153,8 +153,8 @@
 	return true
 }
 
-// answer works on a request, and gives the frame of the answer; not ok: it is none.
-func (p *Peers) answer(text []byte) (back []byte, ok bool) {
+// handleRequest works on a request, and gives the frame of the answer; not ok: it is none.
+func (p *Transport) handleRequest(text []byte) (back []byte, ok bool) {
 	work := p.requested.Load()
 	if work == nil {
 		return nil, false
@@ -173,7 +173,7 @@
 
 // Request asks a control machine and waits for its answer; it is not the loop's to call. ErrUnreachable:
 // nothing was sent.
-func (p *Peers) Request(addr string, body []byte) ([]byte, error) {
+func (p *Transport) Request(addr string, body []byte) ([]byte, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil || !near(to.Addr()) {
 		p.where.Add(1)
--- a/internal/peers/config_test.go
+++ b/internal/peers/config_test.go
@@ -12,7 +12,7 @@
 
 // TestConfigMessages: what is written is read, whatever else comes is refused or within bounds.
 func TestConfigMessages(t *testing.T) {
-	m := Config{ToControl: true, Addr: "127.0.0.1:7400", Body: bytes.Repeat([]byte{7}, config.MaxMessage)}
+	m := ConfigMessage{ToControl: true, Addr: "127.0.0.1:7400", Body: bytes.Repeat([]byte{7}, config.MaxMessage)}
 	text := AppendConfig(nil, "f", &m)
 	got, err := ReadConfig(text, "f")
 	if err != nil || !got.ToControl || got.FromControl || got.Addr != m.Addr || !bytes.Equal(got.Body, m.Body) {
@@ -21,7 +21,7 @@
 	if len(text) > datagram {
 		t.Errorf("%d bytes are no datagram", len(text))
 	}
-	for name, bad := range map[string]Config{
+	for name, bad := range map[string]ConfigMessage{
 		"no address":       {Body: []byte{1}},
 		"elsewhere":        {Addr: "8.8.8.8:53", Body: []byte{1}},
 		"a long address":   {Addr: "127.0.0.1:" + strings.Repeat("0", 80) + "1", Body: []byte{1}},
@@ -52,7 +52,7 @@
 // them off datagrams; requests are answered; without the configuration switched on nothing of it is taken.
 func TestConfigBetweenTwo(t *testing.T) {
 	fleet := strings.Repeat("n", 64)
-	open := func() *Peers {
+	open := func() *Transport {
 		p, err := Open("127.0.0.1:0", fleet, func() {})
 		if err != nil {
 			t.Fatal(err)
@@ -61,23 +61,23 @@
 		return p
 	}
 	a, b, off := open(), open(), open()
-	front, control := make(chan Config, 8), make(chan Config, 8)
-	b.OnConfig(func(m Config) { front <- m }, func(m Config) { m.Body = bytes.Clone(m.Body); control <- m })
+	front, control := make(chan ConfigMessage, 8), make(chan ConfigMessage, 8)
+	b.OnConfig(func(m ConfigMessage) { front <- m }, func(m ConfigMessage) { m.Body = bytes.Clone(m.Body); control <- m })
 	b.OnRequest(func(body []byte) []byte { return append([]byte("answer to "), body...) })
 	long := bytes.Repeat([]byte{9}, config.MaxMessage)
 	for _, body := range [][]byte{{1}, long} {
 		for _, toControl := range []bool{true, false} {
-			m := Config{ToControl: toControl, Addr: a.Addr(), Body: body}
-			a.Config(b.Addr(), &m)
-			a.Config(off.Addr(), &m)
+			m := ConfigMessage{ToControl: toControl, Addr: a.Addr(), Body: body}
+			a.SendConfig(b.Addr(), &m)
+			a.SendConfig(off.Addr(), &m)
 			into := front
 			if toControl {
 				into = control
 			}
-			var got Config
+			var got ConfigMessage
 			end := time.Now().Add(5 * time.Second)
 			for ; got.Addr == "" && time.Now().Before(end); time.Sleep(time.Millisecond) {
-				b.Take(nil, nil)
+				b.Receive(nil, nil)
 				select {
 				case got = <-into:
 				default:
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -8,15 +8,15 @@
 
 const kindLease = 8
 
-// Lease is one message of leases: one of Log, Ask and Reply is there. Texts are those of the message that it was read from.
-type Lease struct {
-	From, To uint64 // numbers of voters; 0: none
-	Log      []byte
-	Ask      *lease.Ask
-	Reply    *lease.Reply
-	Addr     string       // of the asker that a reply is for
-	Roll     uint64       // of Log: stands for the voters that its sender began from
-	Seats    []lease.Seat // beside Reply: who votes, where that has changed since the fleet's first start
+// LeaseMessage is one message of leases: one of Log, Ask and Reply is there. Texts are those of the message that it was read from.
+type LeaseMessage struct {
+	From, To          uint64 // numbers of voters; 0: none
+	Log               []byte
+	Request           *lease.Request
+	Reply             *lease.Reply
+	Addr              string            // of the asker that a reply is for
+	InitialVotersHash uint64            // of Log: stands for the voters that its sender began from
+	Voters            []lease.VoterInfo // beside Reply: who votes, where that has changed since the fleet's first start
 }
 
 const (
@@ -68,26 +68,26 @@
 }
 
 // AppendLease writes the body of a message of leases.
-func AppendLease(dst []byte, m *Lease) []byte {
+func AppendLease(dst []byte, m *LeaseMessage) []byte {
 	dst = appendText(appendNumber(appendNumber(dst, 1, m.From), 2, m.To), 3, m.Log)
-	dst = appendNumber(dst, 6, m.Roll)
-	if a := m.Ask; a != nil {
+	dst = appendNumber(dst, 6, m.InitialVotersHash)
+	if a := m.Request; a != nil {
 		dst = appendInside(dst, 4, func(dst []byte) []byte {
 			dst = appendText(appendText(appendNumber(dst, 1, uint64(a.Op)), 2, []byte(a.Name)), 3, []byte(a.From.Name))
 			dst = appendNumber(appendNumber(appendNumber(dst, 4, a.From.Life), 5, a.Token), 6, a.Seq)
-			return appendNumber(appendText(appendNumber(dst, 7, a.Via), 8, []byte(a.Addr)), 9, a.Heard)
+			return appendNumber(appendText(appendNumber(dst, 7, a.ForwardedBy), 8, []byte(a.Addr)), 9, a.AckedSeq)
 		})
 	}
 	if r := m.Reply; r != nil {
 		dst = appendInside(dst, 5, func(dst []byte) []byte {
 			dst = appendText(appendText(dst, 1, []byte(r.Name)), 2, []byte(r.To.Name))
 			dst = appendNumber(appendNumber(appendNumber(dst, 3, r.To.Life), 4, r.Seq), 5, r.Token)
-			dst = appendNumber(appendText(dst, 6, []byte(r.Held.Name)), 7, r.Held.Life)
-			return appendText(appendNumber(dst, 8, uint64(r.Before)), 9, []byte(m.Addr))
+			dst = appendNumber(appendText(dst, 6, []byte(r.Holder.Name)), 7, r.Holder.Life)
+			return appendText(appendNumber(dst, 8, uint64(r.QueuePosition)), 9, []byte(m.Addr))
 		})
 	}
-	for k := range m.Seats {
-		s := &m.Seats[k]
+	for k := range m.Voters {
+		s := &m.Voters[k]
 		dst = appendInside(dst, 7, func(dst []byte) []byte {
 			return appendText(appendText(appendNumber(dst, 1, s.ID), 2, []byte(s.Name)), 3, []byte(s.Addr))
 		})
@@ -96,7 +96,7 @@
 }
 
 // ReadLease takes the body of a message of leases apart. Lengths of names are lease's to judge.
-func ReadLease(b []byte) (m Lease, err error) {
+func ReadLease(b []byte) (m LeaseMessage, err error) {
 	err = fields(b, func(n protowire.Number, number uint64, text []byte) (err error) {
 		switch n {
 		case 1:
@@ -106,24 +106,24 @@
 		case 3:
 			m.Log = text
 		case 4:
-			m.Ask = &lease.Ask{}
-			err = readAsk(text, m.Ask)
+			m.Request = &lease.Request{}
+			err = readAsk(text, m.Request)
 		case 5:
 			m.Reply = &lease.Reply{}
 			err = readReply(text, m.Reply, &m.Addr)
 		case 6:
-			m.Roll = number
+			m.InitialVotersHash = number
 		case 7:
-			var s lease.Seat
-			if err = readSeat(text, &s); err == nil && len(m.Seats) >= mostSeats {
+			var s lease.VoterInfo
+			if err = readSeat(text, &s); err == nil && len(m.Voters) >= mostSeats {
 				err = errShape
 			}
-			m.Seats = append(m.Seats, s)
+			m.Voters = append(m.Voters, s)
 		}
 		return err
 	})
 	parts := 0
-	for _, there := range [...]bool{m.Log != nil, m.Ask != nil, m.Reply != nil} {
+	for _, there := range [...]bool{m.Log != nil, m.Request != nil, m.Reply != nil} {
 		if there {
 			parts++
 		}
@@ -134,7 +134,7 @@
 	return m, err
 }
 
-func readAsk(b []byte, a *lease.Ask) error {
+func readAsk(b []byte, a *lease.Request) error {
 	err := fields(b, short(func(n protowire.Number, number uint64, text []byte) {
 		switch n {
 		case 1:
@@ -150,11 +150,11 @@
 		case 6:
 			a.Seq = number
 		case 7:
-			a.Via = number
+			a.ForwardedBy = number
 		case 8:
 			a.Addr = string(text)
 		case 9:
-			a.Heard = number
+			a.AckedSeq = number
 		}
 	}))
 	if err == nil && a.Op > lease.Release {
@@ -163,7 +163,7 @@
 	return err
 }
 
-func readSeat(b []byte, s *lease.Seat) error {
+func readSeat(b []byte, s *lease.VoterInfo) error {
 	return fields(b, short(func(n protowire.Number, number uint64, text []byte) {
 		switch n {
 		case 1:
@@ -190,11 +190,11 @@
 		case 5:
 			r.Token = number
 		case 6:
-			r.Held.Name = string(text)
+			r.Holder.Name = string(text)
 		case 7:
-			r.Held.Life = number
+			r.Holder.Life = number
 		case 8:
-			r.Before = int(min(number, 1<<20))
+			r.QueuePosition = int(min(number, 1<<20))
 		case 9:
 			*addr = string(text)
 		}
--- a/internal/peers/lease_test.go
+++ b/internal/peers/lease_test.go
@@ -6,18 +6,18 @@
 	"testing"
 
 	"micatrack/fleet/lease"
-	"micatrack/fleet/watch"
+	"micatrack/fleet/positions"
 )
 
 // TestLeaseAndWatchMessages: what is written is read; another fleet's, one that is cut anywhere and one with a text longer than a
 // name are not.
 func TestLeaseAndWatchMessages(t *testing.T) {
-	who := lease.Party{Name: "f1", Life: 7}
-	for _, m := range []Lease{
-		{From: 1, To: 2, Log: []byte("log"), Roll: 9},
-		{To: 2, Ask: &lease.Ask{Op: lease.Renew, Name: "l", From: who, Token: 3, Seq: 4, Heard: 2, Via: 5, Addr: "10.0.0.1:1"}},
-		{From: 1, To: 3, Reply: &lease.Reply{Name: "l", To: who, Seq: 4, Token: 3, Held: who, Before: 2}, Addr: "10.0.0.1:1",
-			Seats: []lease.Seat{{ID: 1, Name: "f0", Addr: "10.0.0.2:1"}}},
+	who := lease.Instance{Name: "f1", Life: 7}
+	for _, m := range []LeaseMessage{
+		{From: 1, To: 2, Log: []byte("log"), InitialVotersHash: 9},
+		{To: 2, Request: &lease.Request{Op: lease.Renew, Name: "l", From: who, Token: 3, Seq: 4, AckedSeq: 2, ForwardedBy: 5, Addr: "10.0.0.1:1"}},
+		{From: 1, To: 3, Reply: &lease.Reply{Name: "l", To: who, Seq: 4, Token: 3, Holder: who, QueuePosition: 2}, Addr: "10.0.0.1:1",
+			Voters: []lease.VoterInfo{{ID: 1, Name: "f0", Addr: "10.0.0.2:1"}}},
 	} {
 		frame := appendLease(nil, "ours", AppendLease(nil, &m))
 		body, ok := leaseOf(frame, "ours")
@@ -32,30 +32,30 @@
 		}
 	}
 	long := strings.Repeat("x", mostText+1)
-	for _, m := range []Lease{
-		{Ask: &lease.Ask{Op: lease.Want, Name: long, From: who}}, {Ask: &lease.Ask{Op: lease.Want, Name: "l", From: who, Addr: long}},
-		{Ask: &lease.Ask{Op: lease.Release + 1, Name: "l", From: who}}, {Reply: &lease.Reply{Name: "l", To: lease.Party{Name: long}}},
-		{Reply: &lease.Reply{Name: "l"}, Seats: []lease.Seat{{ID: 1, Addr: long}}}, {Reply: &lease.Reply{Name: "l"}, Ask: &lease.Ask{}}, {},
+	for _, m := range []LeaseMessage{
+		{Request: &lease.Request{Op: lease.Acquire, Name: long, From: who}}, {Request: &lease.Request{Op: lease.Acquire, Name: "l", From: who, Addr: long}},
+		{Request: &lease.Request{Op: lease.Release + 1, Name: "l", From: who}}, {Reply: &lease.Reply{Name: "l", To: lease.Instance{Name: long}}},
+		{Reply: &lease.Reply{Name: "l"}, Voters: []lease.VoterInfo{{ID: 1, Addr: long}}}, {Reply: &lease.Reply{Name: "l"}, Request: &lease.Request{}}, {},
 	} {
 		if got, err := ReadLease(AppendLease(nil, &m)); err == nil {
 			t.Errorf("%+v is taken", got)
 		}
 	}
-	q, a := watch.Query{Seq: 1, Group: 2, Need: 3, Store: "s", Addr: "10.0.0.1:1"}, watch.Answer{Seq: 1, Group: 2, Seen: []watch.Seen{{Store: "s", Position: 4}}}
-	if got, _, err := ReadWatch(AppendQuery(nil, "ours", &q), "ours"); err != nil || *got != q {
+	q, a := positions.Query{Seq: 1, Group: 2, MinPosition: 3, Store: "s", Addr: "10.0.0.1:1"}, positions.Answer{Seq: 1, Group: 2, Positions: []positions.StorePosition{{Store: "s", Position: 4}}}
+	if got, _, err := ReadPositionMessage(AppendQuery(nil, "ours", &q), "ours"); err != nil || *got != q {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, got, err := ReadWatch(AppendAnswer(nil, "ours", &a), "ours"); err != nil || !reflect.DeepEqual(*got, a) {
+	if _, got, err := ReadPositionMessage(AppendAnswer(nil, "ours", &a), "ours"); err != nil || !reflect.DeepEqual(*got, a) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	for len(a.Seen) <= watch.MostSeen {
-		a.Seen = append(a.Seen, a.Seen[0])
+	for len(a.Positions) <= positions.MaxPositions {
+		a.Positions = append(a.Positions, a.Positions[0])
 	}
-	if _, _, err := ReadWatch(AppendAnswer(nil, "ours", &a), "ours"); err == nil {
+	if _, _, err := ReadPositionMessage(AppendAnswer(nil, "ours", &a), "ours"); err == nil {
 		t.Error("more stores than an answer may have")
 	}
 	q.Store = long
-	if _, _, err := ReadWatch(AppendQuery(nil, "ours", &q), "ours"); err == nil {
+	if _, _, err := ReadPositionMessage(AppendQuery(nil, "ours", &q), "ours"); err == nil {
 		t.Error("a long name is taken")
 	}
 }
