--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"micatrack/fleet/membership"
-	"micatrack/fleet/watch"
+	"micatrack/fleet/positions"
 )
 
 const (
@@ -38,8 +38,8 @@
 	reply chan []byte // nil: none is waited for
 }
 
-// Peers is the sockets of one front.
-type Peers struct {
+// Transport is the sockets of one front.
+type Transport struct {
 	fleet    string
 	udp      *net.UDPConn
 	tcp      *net.TCPListener
@@ -51,12 +51,12 @@
 	room     chan struct{} // for exchanges that come in
 	begun    chan struct{} // for those that go out
 	msg      membership.Message
-	onQuery  func(q watch.Query) // the loop's
-	onAnswer func(a watch.Answer)
+	onQuery  func(q positions.Query) // the loop's
+	onAnswer func(a positions.Answer)
 	cargo    atomic.Pointer[func(b []byte)] // takes messages of leases; nil: they are dropped
-	onConfig func(m Config)                 // the loop's
+	onConfig func(m ConfigMessage)          // the loop's
 
-	control    atomic.Pointer[func(m Config)]           // takes those for this control machine; nil: they are dropped
+	control    atomic.Pointer[func(m ConfigMessage)]    // takes those for this control machine; nil: they are dropped
 	requested  atomic.Pointer[func(body []byte) []byte] // answers requests to it
 	configured atomic.Bool
 
@@ -69,7 +69,7 @@
 }
 
 // Open listens on addr, UDP and TCP, which has to be a loopback or private one.
-func Open(addr, fleet string, wake func()) (*Peers, error) {
+func Open(addr, fleet string, wake func()) (*Transport, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Peers{fleet: fleet, udp: udp, tcp: tcp, wake: wake, in: make(chan []byte, waiting), out: make(chan outgoing, waiting),
+	p := &Transport{fleet: fleet, udp: udp, tcp: tcp, wake: wake, in: make(chan []byte, waiting), out: make(chan outgoing, waiting),
 		whole: make(chan whole, 2*exchanges), spare: make(chan []byte, 2*waiting), room: make(chan struct{}, exchanges),
 		begun: make(chan struct{}, exchanges)}
 	go p.read()
@@ -111,18 +111,18 @@
 func near(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() }
 
 // Addr is where it listens.
-func (p *Peers) Addr() string { return p.tcp.Addr().String() }
+func (p *Transport) Addr() string { return p.tcp.Addr().String() }
 
 // Close ends both sockets.
-func (p *Peers) Close() { p.udp.Close(); p.tcp.Close() }
+func (p *Transport) Close() { p.udp.Close(); p.tcp.Close() }
 
 // Counts tells what has come and gone.
-func (p *Peers) Counts() Counts {
+func (p *Transport) Counts() Counts {
 	return Counts{p.sent.Load(), p.taken.Load(), p.bytes.Load(), p.full.Load(), p.shape.Load(), p.other.Load(),
 		p.version.Load(), p.long.Load(), p.where.Load()}
 }
 
-func (p *Peers) buffer() []byte {
+func (p *Transport) buffer() []byte {
 	select {
 	case b := <-p.spare:
 		return b[:0]
@@ -131,7 +131,7 @@
 	}
 }
 
-func (p *Peers) free(b []byte) {
+func (p *Transport) free(b []byte) {
 	if cap(b) > datagram {
 		select {
 		case p.spare <- b:
@@ -141,10 +141,12 @@
 }
 
 // Send puts a datagram in the queue for the system.
-func (p *Peers) Send(addr string, m *membership.Message) { p.raw(addr, Append(p.buffer(), p.fleet, m)) }
+func (p *Transport) Send(addr string, m *membership.Message) {
+	p.raw(addr, AppendMessage(p.buffer(), p.fleet, m))
+}
 
 // raw takes a message over.
-func (p *Peers) raw(addr string, b []byte) {
+func (p *Transport) raw(addr string, b []byte) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil || !near(to.Addr()) {
 		p.where.Add(1)
@@ -164,7 +166,7 @@
 	}
 }
 
-func (p *Peers) write() {
+func (p *Transport) write() {
 	for o := range p.out {
 		if _, err := p.udp.WriteToUDPAddrPort(o.text, o.to); errors.Is(err, net.ErrClosed) {
 			return
@@ -175,7 +177,7 @@
 	}
 }
 
-func (p *Peers) read() {
+func (p *Transport) read() {
 	for {
 		b := p.buffer()
 		b = b[:cap(b)]
@@ -206,9 +208,9 @@
 	}
 }
 
-// Take hands what has come in to the loop, so much at a time. take tells whether a whole exchange is to be
+// Receive hands what has come in to the loop, so much at a time. take tells whether a whole exchange is to be
 // answered, with what answer gives.
-func (p *Peers) Take(take func(m *membership.Message) bool, answer func() *membership.Message) {
+func (p *Transport) Receive(take func(m *membership.Message) bool, answer func() *membership.Message) {
 	for n := range turn {
 		select {
 		case b := <-p.in:
@@ -219,7 +221,7 @@
 		case w := <-p.whole:
 			var back []byte
 			if !p.toFront(w.text) && p.parse(w.text) && take(&p.msg) && w.reply != nil {
-				back = Append(make([]byte, 4), p.fleet, answer())
+				back = AppendMessage(make([]byte, 4), p.fleet, answer())
 			}
 			if w.reply != nil {
 				w.reply <- back // it has room for one
@@ -233,8 +235,8 @@
 	}
 }
 
-func (p *Peers) parse(b []byte) bool {
-	switch err := Read(b, p.fleet, &p.msg); err {
+func (p *Transport) parse(b []byte) bool {
+	switch err := ReadMessage(b, p.fleet, &p.msg); err {
 	case nil:
 		p.taken.Add(1)
 		return true
@@ -248,7 +250,7 @@
 	return false
 }
 
-func (p *Peers) accept() {
+func (p *Transport) accept() {
 	for {
 		c, err := p.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -271,7 +273,7 @@
 				if p.lease(text) || p.toControl(text) {
 					return
 				}
-				if back, ok := p.answer(text); ok {
+				if back, ok := p.handleRequest(text); ok {
 					send(c, back)
 					return
 				}
@@ -296,8 +298,8 @@
 	}
 }
 
-// Exchange begins a whole exchange with whoever is at addr; what comes back is taken like a datagram.
-func (p *Peers) Exchange(addr string, m *membership.Message) {
+// StartSync begins a whole exchange with whoever is at addr; what comes back is taken like a datagram.
+func (p *Transport) StartSync(addr string, m *membership.Message) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil || !near(to.Addr()) {
 		p.where.Add(1)
@@ -309,7 +311,7 @@
 		p.full.Add(1)
 		return
 	}
-	text := Append(make([]byte, 4), p.fleet, m)
+	text := AppendMessage(make([]byte, 4), p.fleet, m)
 	go func() {
 		defer func() { <-p.begun }()
 		c, err := p.dial(to)
@@ -332,10 +334,10 @@
 }
 
 // OnLease has messages of leases handed to take from now on, by several goroutines; it must not block, and keeps nothing.
-func (p *Peers) OnLease(take func(b []byte)) { p.cargo.Store(&take) }
+func (p *Transport) OnLease(take func(b []byte)) { p.cargo.Store(&take) }
 
 // lease hands on what is a message of this fleet's leases.
-func (p *Peers) lease(b []byte) bool {
+func (p *Transport) lease(b []byte) bool {
 	body, ok := leaseOf(b, p.fleet)
 	if take := p.cargo.Load(); ok && take != nil {
 		p.taken.Add(1)
@@ -344,8 +346,8 @@
 	return ok
 }
 
-// Lease sends a message of leases, as it is written by its package: a datagram, or a connection where it is longer.
-func (p *Peers) Lease(addr string, body []byte) {
+// SendLease sends a message of leases, as it is written by its package: a datagram, or a connection where it is longer.
+func (p *Transport) SendLease(addr string, body []byte) {
 	if b := appendLease(p.buffer(), p.fleet, body); len(b) <= datagram {
 		p.raw(addr, b)
 		return
@@ -354,7 +356,7 @@
 }
 
 // stream sends a frame, whose first four bytes are left for its length, on a connection of its own.
-func (p *Peers) stream(addr string, text []byte) {
+func (p *Transport) stream(addr string, text []byte) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil || !near(to.Addr()) {
 		p.where.Add(1)
@@ -376,7 +378,7 @@
 }
 
 // dial opens a connection to another front, from the address that it knows this one by.
-func (p *Peers) dial(to netip.AddrPort) (net.Conn, error) {
+func (p *Transport) dial(to netip.AddrPort) (net.Conn, error) {
 	from := net.TCPAddr{IP: p.tcp.Addr().(*net.TCPAddr).IP}
 	d := net.Dialer{Timeout: patience, LocalAddr: &from}
 	c, err := d.Dial("tcp", to.String())
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -33,21 +33,21 @@
 			m.Notes = append(m.Notes, membership.Note{Key: []byte("k"), Version: rapid.Uint64().Draw(t, "version"),
 				Age: rapid.Int64Range(0, 1<<40).Draw(t, "age"), Body: rapid.SliceOfN(rapid.Byte(), 1, membership.MaxBodyBytes).Draw(t, "body")})
 		}
-		text := Append(nil, "f", m)
+		text := AppendMessage(nil, "f", m)
 		var back membership.Message
-		if err := Read(text, "f", &back); err != nil {
+		if err := ReadMessage(text, "f", &back); err != nil {
 			t.Fatal(err)
 		}
 		if a, b := fmt.Sprintf("%v", *m), fmt.Sprintf("%v", back); a != b {
 			t.Fatalf("%s\n%s", a, b)
 		}
-		if err := Read(text, "g", &back); err != errFleet {
+		if err := ReadMessage(text, "g", &back); err != errFleet {
 			t.Errorf("of another fleet: %v", err)
 		}
 		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
-		Read(text[:cut], "f", &back)
+		ReadMessage(text[:cut], "f", &back)
 		text[cut] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		Read(text, "f", &back)
+		ReadMessage(text, "f", &back)
 		if len(back.Facts) > membership.MaxFacts {
 			t.Error("too many facts")
 		}
@@ -68,10 +68,10 @@
 	}
 	defer c.Close()
 	m := &membership.Message{Kind: membership.Ping, Sender: membership.Fact{Name: []byte("a"), Incarnation: 1}}
-	good := Append(nil, "f", m)
+	good := AppendMessage(nil, "f", m)
 	old := append([]byte(nil), good...)
 	old[1] = 9 // the version's value
-	for _, b := range [][]byte{good, good[:len(good)-1], Append(nil, "g", m), old, bytes.Repeat([]byte("x"), 1500), []byte("noise")} {
+	for _, b := range [][]byte{good, good[:len(good)-1], AppendMessage(nil, "g", m), old, bytes.Repeat([]byte("x"), 1500), []byte("noise")} {
 		c.Write(b)
 	}
 	taken := 0
@@ -83,7 +83,7 @@
 		case <-deadline:
 			t.Fatalf("%+v", n)
 		}
-		p.Take(func(*membership.Message) bool { taken++; return false }, nil)
+		p.Receive(func(*membership.Message) bool { taken++; return false }, nil)
 	}
 	if n := p.Counts(); taken != 1 || n.Taken != 1 || n.Shape != 2 || n.Fleet != 1 || n.Version != 1 || n.Long != 1 {
 		t.Errorf("%d taken, %+v", taken, n)
@@ -111,14 +111,14 @@
 		}
 		return m
 	}
-	a.Exchange(b.Addr(), all(membership.SyncRequest))
+	a.StartSync(b.Addr(), all(membership.SyncRequest))
 	got := 0
 	for end := time.Now().Add(10 * time.Second); got == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		b.Take(func(m *membership.Message) bool {
+		b.Receive(func(m *membership.Message) bool {
 			return m.Kind == membership.SyncRequest && len(m.Facts) == membership.MaxFacts
 		},
 			func() *membership.Message { return all(membership.SyncResponse) })
-		a.Take(func(m *membership.Message) bool { got = len(m.Facts); return false }, nil)
+		a.Receive(func(m *membership.Message) bool { got = len(m.Facts); return false }, nil)
 	}
 	if got != membership.MaxFacts {
 		t.Errorf("%d facts came back", got)
@@ -139,7 +139,7 @@
 	}
 	defer p.Close()
 	p.Send("192.0.2.1:9", &membership.Message{})
-	p.Exchange("192.0.2.1:9", &membership.Message{})
+	p.StartSync("192.0.2.1:9", &membership.Message{})
 	if n := p.Counts(); n.Where != 2 || n.Sent != 0 {
 		t.Errorf("%+v", n)
 	}
@@ -150,11 +150,11 @@
 	fact := membership.Fact{Name: []byte("front-17"), Zone: []byte("zone-a"), Addr: []byte("10.0.0.17:7400"), Incarnation: 1 << 40}
 	m := &membership.Message{Kind: membership.Gossip, Sender: fact, Facts: []membership.Fact{fact, fact, fact},
 		Notes: []membership.Note{{Key: []byte("efront-17"), Version: 1, Body: make([]byte, 60)}}}
-	text := Append(nil, "fleet", m)
+	text := AppendMessage(nil, "fleet", m)
 	var into membership.Message
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := Read(text, "fleet", &into); err != nil {
+		if err := ReadMessage(text, "fleet", &into); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/voterdisk/voterdisk.go
+++ b/internal/voterstate/voterdisk.go
@@ -1,7 +1,7 @@
 // Package voterdisk is the disk of one voter (fleet/lease): what it has promised, in an embedded store, written through
 // before it promises. It decides nothing. Each record carries a checksum over its key and its text; what is found at the
 // start is read whole and has to fit together, or the voter does not start and says why in one line.
-package voterdisk
+package voterstate
 
 import (
 	"crypto/rand"
@@ -37,11 +37,11 @@
 	keyWho, keyHard, keySnap, keyTail = []byte("who"), []byte("hard"), []byte("snapshot"), []byte("tail")
 	table                             = crc32.MakeTable(crc32.Castagnoli)
 	errSum                            = errors.New("a record's checksum is wrong")
-	ErrNone                           = errors.New("no state here; 'micatrack state create' makes it once, for a voter's first life")
+	ErrNoState                        = errors.New("no state here; 'micatrack state create' makes it once, for a voter's first life")
 )
 
-// Who is whose state a file is.
-type Who struct {
+// Identity is whose state a file is.
+type Identity struct {
 	Format int    `json:"format"`
 	Fleet  string `json:"fleet"`
 	Voter  string `json:"voter"`
@@ -51,27 +51,27 @@
 	Voters []string `json:"voters"`
 }
 
-// IDs gives the numbers of the fleet's first voters.
-func (w *Who) IDs() (ids []uint64) {
+// InitialVoterIDs gives the numbers of the fleet's first voters.
+func (w *Identity) InitialVoterIDs() (ids []uint64) {
 	for _, name := range w.Voters {
-		ids = append(ids, FirstID(w.Fleet, name))
+		ids = append(ids, InitialVoterID(w.Fleet, name))
 	}
 	return ids
 }
 
-// Roll stands for the list that all began from.
-func (w *Who) Roll() uint64 {
+// InitialVotersHash stands for the list that all began from.
+func (w *Identity) InitialVotersHash() uint64 {
 	return max(xxhash.Sum64String(w.Fleet+"\n"+strings.Join(w.Voters, "\n")), 1)
 }
 
-// FirstID is the number that a voter of the fleet's first start votes under. One that is added later has another, drawn
+// InitialVoterID is the number that a voter of the fleet's first start votes under. One that is added later has another, drawn
 // when its state is made, so that a voter that lost its disk cannot come back as the one it was.
-func FirstID(fleet, voter string) uint64 { return max(xxhash.Sum64String(fleet+"/"+voter), 1) }
+func InitialVoterID(fleet, voter string) uint64 { return max(xxhash.Sum64String(fleet+"/"+voter), 1) }
 
 // Create makes the state of a voter that has none. It never replaces one. voters are those of the fleet's first start, in any order.
-func Create(path, fleet, voter string, first bool, voters []string) (w Who, err error) {
+func Create(path, fleet, voter string, first bool, voters []string) (w Identity, err error) {
 	voters = slices.Sorted(slices.Values(voters))
-	w = Who{Format: format, Fleet: fleet, Voter: voter, ID: FirstID(fleet, voter), First: first, Voters: voters}
+	w = Identity{Format: format, Fleet: fleet, Voter: voter, ID: InitialVoterID(fleet, voter), First: first, Voters: voters}
 	if len(voters) == 0 || len(slices.Compact(slices.Clone(voters))) != len(voters) {
 		return w, errors.New("the first voters are not named, or one is named twice")
 	}
@@ -173,23 +173,23 @@
 	return v[4:], nil
 }
 
-// Disk is an open state.
-type Disk struct {
-	db   *bbolt.DB
-	tail tail
-	Who  Who
+// File is an open state.
+type File struct {
+	db       *bbolt.DB
+	tail     tail
+	Identity Identity
 }
 
 // Open opens a state and reads all of it. fleet and voter have to be its own; "" takes any.
-func Open(path, fleet, voter string) (d *Disk, k lease.Kept, err error) {
+func Open(path, fleet, voter string) (d *File, k lease.PersistedState, err error) {
 	return open(path, fleet, voter, false)
 }
 
-func open(path, fleet, voter string, readOnly bool) (d *Disk, k lease.Kept, err error) {
+func open(path, fleet, voter string, readOnly bool) (d *File, k lease.PersistedState, err error) {
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return nil, k, fmt.Errorf("%s: %w", path, ErrNone)
+		return nil, k, fmt.Errorf("%s: %w", path, ErrNoState)
 	case err != nil:
 		return nil, k, err
 	case info.Size() > mostFile || info.Size() == 0:
@@ -216,23 +216,23 @@
 	if db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: patience, ReadOnly: readOnly}); err != nil {
 		return nil, k, err
 	}
-	d = &Disk{db: db}
+	d = &File{db: db}
 	err = db.View(func(tx *bbolt.Tx) (err error) {
 		k, err = d.read(tx)
 		return err
 	})
 	switch {
 	case err != nil:
-	case fleet != "" && d.Who.Fleet != fleet:
-		err = fmt.Errorf("it is of fleet %q", d.Who.Fleet)
-	case voter != "" && d.Who.Voter != voter:
-		err = fmt.Errorf("it is of voter %q", d.Who.Voter)
+	case fleet != "" && d.Identity.Fleet != fleet:
+		err = fmt.Errorf("it is of fleet %q", d.Identity.Fleet)
+	case voter != "" && d.Identity.Voter != voter:
+		err = fmt.Errorf("it is of voter %q", d.Identity.Voter)
 	}
 	return d, k, err
 }
 
 // read takes all that is kept, and tells whether it fits together.
-func (d *Disk) read(tx *bbolt.Tx) (k lease.Kept, err error) {
+func (d *File) read(tx *bbolt.Tx) (k lease.PersistedState, err error) {
 	m, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if m == nil || log == nil {
 		return k, errors.New("it is no state of a voter")
@@ -241,16 +241,16 @@
 	if err != nil {
 		return k, err
 	}
-	if err := json.Unmarshal(text, &d.Who); err != nil {
+	if err := json.Unmarshal(text, &d.Identity); err != nil {
 		return k, err
 	}
-	if d.Who.Format != format {
-		return k, fmt.Errorf("it is of format %d, not %d", d.Who.Format, format)
+	if d.Identity.Format != format {
+		return k, fmt.Errorf("it is of format %d, not %d", d.Identity.Format, format)
 	}
 	if v := m.Get(keyHard); v != nil {
-		k.Hard = &pb.HardState{}
+		k.HardState = &pb.HardState{}
 		if text, err = unsealed(keyHard, v); err == nil {
-			err = proto.Unmarshal(text, k.Hard)
+			err = proto.Unmarshal(text, k.HardState)
 		}
 		if err != nil {
 			return k, fmt.Errorf("hard state: %w", err)
@@ -264,7 +264,7 @@
 		return k, fmt.Errorf("tail: %w", err)
 	}
 	first, end := ends(log)
-	if found := (tail{first, end, t.Snapshot, k.Hard.GetTerm(), k.Hard.GetCommit()}); found != t {
+	if found := (tail{first, end, t.Snapshot, k.HardState.GetTerm(), k.HardState.GetCommit()}); found != t {
 		return k, fmt.Errorf("it holds %+v where %+v was saved", found, t)
 	}
 	last, term := uint64(1), uint64(1) // of the first start
@@ -311,14 +311,14 @@
 	if err == nil && t.Last > last {
 		err = fmt.Errorf("the log ends at %d and not at %d", last, t.Last)
 	}
-	if err == nil && k.Hard != nil && (k.Hard.GetCommit() > last || k.Hard.GetTerm() < term) {
-		err = fmt.Errorf("hard state of term %d tells of %d entries, the log has %d of term %d", k.Hard.GetTerm(), k.Hard.GetCommit(), last, term)
+	if err == nil && k.HardState != nil && (k.HardState.GetCommit() > last || k.HardState.GetTerm() < term) {
+		err = fmt.Errorf("hard state of term %d tells of %d entries, the log has %d of term %d", k.HardState.GetTerm(), k.HardState.GetCommit(), last, term)
 	}
 	return k, err
 }
 
 // Save writes a batch through. After an error nothing of it counts.
-func (d *Disk) Save(b lease.Batch) error {
+func (d *File) Save(b lease.Batch) error {
 	t := d.tail
 	err := d.db.Update(func(tx *bbolt.Tx) error {
 		m, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
@@ -334,19 +334,19 @@
 				return err
 			}
 			t.Snapshot = b.Snapshot.GetMetadata().GetIndex()
-			if b.Keep == 0 { // taken over from the leader: the log begins anew behind it
+			if b.KeepFrom == 0 { // taken over from the leader: the log begins anew behind it
 				if err := drop(log, 0, ^uint64(0)); err != nil {
 					return err
 				}
-			} else if err := drop(log, 0, b.Keep); err != nil {
+			} else if err := drop(log, 0, b.KeepFrom); err != nil {
 				return err
 			}
 		}
-		if !raft.IsEmptyHardState(b.Hard) {
-			if err := put(keyHard, b.Hard); err != nil {
+		if !raft.IsEmptyHardState(b.HardState) {
+			if err := put(keyHard, b.HardState); err != nil {
 				return err
 			}
-			t.Term, t.Commit = b.Hard.GetTerm(), b.Hard.GetCommit()
+			t.Term, t.Commit = b.HardState.GetTerm(), b.HardState.GetCommit()
 		}
 		if len(b.Entries) > 0 { // what stood from there on is replaced
 			if err := drop(log, b.Entries[0].GetIndex(), ^uint64(0)); err != nil {
@@ -388,11 +388,11 @@
 }
 
 // Close gives the file back.
-func (d *Disk) Close() error { return d.db.Close() }
+func (d *File) Close() error { return d.db.Close() }
 
 // Summary is what a state holds, for people.
 type Summary struct {
-	Who
+	Identity
 	Term      uint64   `json:"term"`
 	Committed uint64   `json:"committed"`
 	Snapshot  uint64   `json:"snapshot"`
@@ -401,15 +401,15 @@
 	Leases    []string `json:"leases"`
 }
 
-// Show reads a state that no voter has open, and tells what is in it; an error tells what is wrong with it.
-func Show(path string) (s Summary, err error) {
+// ReadSummary reads a state that no voter has open, and tells what is in it; an error tells what is wrong with it.
+func ReadSummary(path string) (s Summary, err error) {
 	d, k, err := open(path, "", "", true)
 	if err != nil {
 		return s, err
 	}
 	defer d.Close()
-	s = Summary{Who: d.Who, Term: k.Hard.GetTerm(), Committed: k.Hard.GetCommit(), Entries: len(k.Entries),
+	s = Summary{Identity: d.Identity, Term: k.HardState.GetTerm(), Committed: k.HardState.GetCommit(), Entries: len(k.Entries),
 		Snapshot: k.Snapshot.GetMetadata().GetIndex(), Voters: k.Snapshot.GetMetadata().GetConfState().GetVoters()}
-	s.Leases, err = lease.Names(k)
+	s.Leases, err = lease.DescribeLeases(k)
 	return s, err
 }
--- a/internal/voterdisk/voterdisk_test.go
+++ b/internal/voterstate/voterdisk_test.go
@@ -1,4 +1,4 @@
-package voterdisk
+package voterstate
 
 import (
 	"errors"
@@ -20,8 +20,8 @@
 
 func hard(term, commit uint64) *pb.HardState { return &pb.HardState{Term: &term, Commit: &commit} }
 
-func same(a, b lease.Kept) bool {
-	if !proto.Equal(a.Hard, b.Hard) || !proto.Equal(a.Snapshot, b.Snapshot) || len(a.Entries) != len(b.Entries) {
+func same(a, b lease.PersistedState) bool {
+	if !proto.Equal(a.HardState, b.HardState) || !proto.Equal(a.Snapshot, b.Snapshot) || len(a.Entries) != len(b.Entries) {
 		return false
 	}
 	for k := range a.Entries {
@@ -33,13 +33,13 @@
 }
 
 // written makes a state with some history, and gives what is in it.
-func written(t testing.TB) (path string, k lease.Kept) {
+func written(t testing.TB) (path string, k lease.PersistedState) {
 	path = filepath.Join(t.TempDir(), "state")
 	if _, err := Create(path, "f", "v1", true, []string{"a", "v1"}); err != nil {
 		t.Fatal(err)
 	}
 	d, k, err := Open(path, "f", "v1")
-	if err != nil || len(k.Entries) != 0 || k.Hard != nil {
+	if err != nil || len(k.Entries) != 0 || k.HardState != nil {
 		t.Fatalf("%v %+v", err, k)
 	}
 	save := func(b lease.Batch) {
@@ -48,12 +48,12 @@
 		}
 	}
 	for n := uint64(2); n < 200; n++ {
-		save(lease.Batch{Hard: hard(2, n-1), Entries: []*pb.Entry{entry(n, 2)}})
+		save(lease.Batch{HardState: hard(2, n-1), Entries: []*pb.Entry{entry(n, 2)}})
 	}
-	save(lease.Batch{Hard: hard(3, 150), Entries: []*pb.Entry{entry(190, 3), entry(191, 3)}}) // those from 190 on are replaced
+	save(lease.Batch{HardState: hard(3, 150), Entries: []*pb.Entry{entry(190, 3), entry(191, 3)}}) // those from 190 on are replaced
 	at, term := uint64(150), uint64(2)
 	save(lease.Batch{Snapshot: &pb.Snapshot{Data: []byte("book"), Metadata: &pb.SnapshotMetadata{Index: &at, Term: &term,
-		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}, Keep: 100})
+		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}, KeepFrom: 100})
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -67,8 +67,8 @@
 
 func TestWhatWasSavedComesBack(t *testing.T) {
 	_, k := written(t)
-	if n := len(k.Entries); n != 41 || k.Entries[0].GetIndex() != 151 || k.Entries[40].GetTerm() != 3 || k.Hard.GetCommit() != 150 {
-		t.Errorf("%d entries, %+v", n, k.Hard)
+	if n := len(k.Entries); n != 41 || k.Entries[0].GetIndex() != 151 || k.Entries[40].GetTerm() != 3 || k.HardState.GetCommit() != 150 {
+		t.Errorf("%d entries, %+v", n, k.HardState)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 		defer d.Close()
 		if !same(k, want) {
-			t.Errorf("%s: another state is taken: %+v", what, k.Hard)
+			t.Errorf("%s: another state is taken: %+v", what, k.HardState)
 		}
 		return false
 	}
@@ -127,7 +127,7 @@
 			t.Errorf("%v opens it", who)
 		}
 	}
-	if _, _, err := Open(path+"-lost", "f", "v1"); !errors.Is(err, ErrNone) {
+	if _, _, err := Open(path+"-lost", "f", "v1"); !errors.Is(err, ErrNoState) {
 		t.Error(err)
 	}
 	if _, err := Create(path, "f", "v1", true, []string{"a", "v1"}); err == nil {
@@ -141,12 +141,12 @@
 		t.Error("two open it at once")
 	}
 	d.Close()
-	if err := d.Save(lease.Batch{Hard: hard(9, 9)}); err == nil {
+	if err := d.Save(lease.Batch{HardState: hard(9, 9)}); err == nil {
 		t.Error("a write to a closed state counts")
 	}
 	a, err1 := Create(filepath.Join(t.TempDir(), "a"), "f", "v1", false, []string{"a", "v1"})
 	b, err2 := Create(filepath.Join(t.TempDir(), "b"), "f", "v1", false, []string{"a", "v1"})
-	if err1 != nil || err2 != nil || a.ID == b.ID || a.ID == FirstID("f", "v1") {
+	if err1 != nil || err2 != nil || a.ID == b.ID || a.ID == InitialVoterID("f", "v1") {
 		t.Errorf("%v %v: a voter that lost its disk comes back as the one it was: %+v %+v", err1, err2, a, b)
 	}
 }
@@ -161,28 +161,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := lease.NewVoter(0, d.Who.ID, []uint64{d.Who.ID}, k, lease.Terms{Span: 30_000, Drift: 0.01, Margin: 100}, 1, host{d}, nil)
+	v, err := lease.NewVoter(0, d.Identity.ID, []uint64{d.Identity.ID}, k, lease.Terms{Span: 30_000, Drift: 0.01, Margin: 100}, 1, host{d}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now := lease.Time(0); now < 60_000; now += 500 {
-		if v.Beat(now); now == 40_000 {
-			v.Hear(now, lease.Ask{Op: lease.Want, Name: "watch", From: lease.Party{Name: "f1", Life: 1}, Seq: 1})
+		if v.Tick(now); now == 40_000 {
+			v.HandleRequest(now, lease.Request{Op: lease.Acquire, Name: "watch", From: lease.Instance{Name: "f1", Life: 1}, Seq: 1})
 		}
 	}
 	d.Close()
-	s, err := Show(path)
+	s, err := ReadSummary(path)
 	if err != nil || len(s.Leases) != 1 || !strings.Contains(s.Leases[0], "watch: f1") {
 		t.Errorf("%v %+v", err, s)
 	}
 }
 
 // host has a voter alone with its disk.
-type host struct{ d *Disk }
+type host struct{ d *File }
 
 func (h host) Save(b lease.Batch) error        { return h.d.Save(b) }
-func (host) Carry(uint64, *pb.Message)         {}
-func (host) Pass(uint64, lease.Ask)            {}
+func (host) Send(uint64, *pb.Message)          {}
+func (host) Forward(uint64, lease.Request)     {}
 func (host) Reply(uint64, string, lease.Reply) {}
 func (host) Log(string)                        {}
 
@@ -196,7 +196,7 @@
 	}
 	defer d.Close()
 	for n := uint64(2); b.Loop(); n++ {
-		if err := d.Save(lease.Batch{Hard: hard(2, n-1), Entries: []*pb.Entry{entry(n, 2)}}); err != nil {
+		if err := d.Save(lease.Batch{HardState: hard(2, n-1), Entries: []*pb.Entry{entry(n, 2)}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/world/control.go
+++ b/internal/world/control.go
@@ -19,7 +19,7 @@
 	w       *World
 	id      uint64
 	voter   *lease.Voter
-	kept    lease.Kept
+	kept    lease.PersistedState
 }
 
 func newControl(w *World, n int) *Control {
@@ -48,7 +48,7 @@
 func (c *Control) Kill() { c.voter = nil }
 
 // Leads tells whether the machine runs and leads the voters.
-func (c *Control) Leads() bool { return c.voter != nil && c.voter.Leads() }
+func (c *Control) Leads() bool { return c.voter != nil && c.voter.IsLeader() }
 
 // Grants tells how many leases are held as the voter has it.
 func (c *Control) Grants() int {
@@ -62,7 +62,7 @@
 	voter := c.voter
 	c.w.At(voter.Next()-c.w.Now, func() {
 		if c.voter == voter {
-			c.do(func() { voter.Beat(c.w.Now) })
+			c.do(func() { voter.Tick(c.w.Now) })
 			c.planned()
 		}
 	})
@@ -75,7 +75,7 @@
 }
 
 // post sends a message of leases. One that meets a cut is lost, as its connection would be.
-func (c *Control) post(to *Control, message *peers.Lease) {
+func (c *Control) post(to *Control, message *peers.LeaseMessage) {
 	body := peers.AppendLease(nil, message)
 	c.Traffic.Sent[Leases].count(len(body))
 	if c.w.cut(c.Node, to.Node) {
@@ -91,14 +91,14 @@
 		return
 	}
 	switch {
-	case message.Ask != nil:
-		c.do(func() { c.voter.Hear(c.w.Now, *message.Ask) })
+	case message.Request != nil:
+		c.do(func() { c.voter.HandleRequest(c.w.Now, *message.Request) })
 	case message.Reply != nil:
 		c.Reply(0, message.Addr, *message.Reply)
 	default:
 		var log pb.Message
 		if proto.Unmarshal(message.Log, &log) == nil {
-			c.do(func() { c.voter.Take(c.w.Now, &log) })
+			c.do(func() { c.voter.HandleMessage(c.w.Now, &log) })
 		}
 	}
 }
@@ -106,8 +106,8 @@
 // Save keeps a batch on the disk. With Carry, Pass, Reply and Log it is lease.VoterHost.
 func (c *Control) Save(b lease.Batch) error {
 	c.Writes++
-	if b.Hard != nil {
-		c.kept.Hard = proto.Clone(b.Hard).(*pb.HardState)
+	if b.HardState != nil {
+		c.kept.HardState = proto.Clone(b.HardState).(*pb.HardState)
 	}
 	if b.Snapshot != nil {
 		c.kept.Snapshot = proto.Clone(b.Snapshot).(*pb.Snapshot)
@@ -123,24 +123,24 @@
 }
 
 // copyOfKept gives what the disk holds, which a voter may change.
-func (c *Control) copyOfKept() lease.Kept {
-	return lease.Kept{Hard: c.kept.Hard, Snapshot: c.kept.Snapshot, Entries: slices.Clone(c.kept.Entries)}
+func (c *Control) copyOfKept() lease.PersistedState {
+	return lease.PersistedState{HardState: c.kept.HardState, Snapshot: c.kept.Snapshot, Entries: slices.Clone(c.kept.Entries)}
 }
 
-func (c *Control) Carry(to uint64, m *pb.Message) {
+func (c *Control) Send(to uint64, m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return
 	}
-	c.post(c.w.Voters[to-1], &peers.Lease{From: c.id, To: to, Log: text})
+	c.post(c.w.Voters[to-1], &peers.LeaseMessage{From: c.id, To: to, Log: text})
 }
 
-func (c *Control) Pass(to uint64, a lease.Ask) {
-	c.post(c.w.Voters[to-1], &peers.Lease{From: c.id, To: to, Ask: &a})
+func (c *Control) Forward(to uint64, a lease.Request) {
+	c.post(c.w.Voters[to-1], &peers.LeaseMessage{From: c.id, To: to, Request: &a})
 }
 
 func (c *Control) Reply(via uint64, addr string, r lease.Reply) {
-	message := &peers.Lease{From: c.id, To: via, Reply: &r, Addr: addr}
+	message := &peers.LeaseMessage{From: c.id, To: via, Reply: &r, Addr: addr}
 	if via != 0 && via != c.id {
 		c.post(c.w.Voters[via-1], message)
 		return
@@ -169,7 +169,7 @@
 	before := f.w.Meter.enter(LeaseHolder)
 	message, err := peers.ReadLease(body)
 	if f.holder != nil && err == nil && message.Reply != nil {
-		f.holder.Take(f.w.Now, *message.Reply)
+		f.holder.HandleReply(f.w.Now, *message.Reply)
 	}
 	f.w.Meter.enter(before)
 	f.wake()
@@ -178,12 +178,12 @@
 // asks is what a front does for its holder of leases.
 type asks struct{ f *Front }
 
-func (a asks) Held(string, uint64)  {}
-func (a asks) Lost(string, string)  {}
-func (a asks) Moment() (Time, Time) { return a.f.w.Now, a.f.w.Now }
-func (a asks) Ask(n int, q lease.Ask) {
+func (a asks) LeaseAcquired(string, uint64) {}
+func (a asks) LeaseLost(string, string)     {}
+func (a asks) Clocks() (Time, Time)         { return a.f.w.Now, a.f.w.Now }
+func (a asks) SendRequest(n int, q lease.Request) {
 	f, to := a.f, a.f.w.Voters[n]
-	body := peers.AppendLease(nil, &peers.Lease{To: to.id, Ask: &q})
+	body := peers.AppendLease(nil, &peers.LeaseMessage{To: to.id, Request: &q})
 	f.Traffic.Sent[Leases].count(len(body))
 	if f.w.cut(f.Node, to.Node) {
 		return
@@ -191,23 +191,23 @@
 	f.w.At(f.w.Delay+f.w.distance(f.Node, to.Node), func() { to.take(body) })
 }
 
-// Want, Drop and Holds are what the watch asks of leases.
-func (l looks) Want(name string) {
+// AcquireLease, Drop and Holds are what the watch asks of leases.
+func (l looks) AcquireLease(name string) {
 	if l.f.holder != nil {
-		l.f.holder.Want(l.f.w.Now, name)
+		l.f.holder.Acquire(l.f.w.Now, name)
 	}
 }
 
-func (l looks) Drop(name string) {
+func (l looks) ReleaseLease(name string) {
 	if l.f.holder != nil {
-		l.f.holder.Drop(l.f.w.Now, name)
+		l.f.holder.Release(l.f.w.Now, name)
 	}
 }
 
-func (l looks) Holds(name string) bool {
+func (l looks) HoldsLease(name string) bool {
 	if l.f.holder == nil {
 		return true
 	}
-	_, held := l.f.holder.May(name, 0)
+	_, held := l.f.holder.UsableToken(name, 0)
 	return held
 }
--- a/internal/world/region_test.go
+++ b/internal/world/region_test.go
@@ -87,7 +87,7 @@
 	}
 	w.Run(10 * Second)
 	for _, f := range w.Fronts {
-		if _, holds := f.holder.May("summary", 0); holds {
+		if _, holds := f.holder.UsableToken("summary", 0); holds {
 			t.Errorf("%s holds a lease without voters", f.Name)
 		}
 	}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -20,10 +20,10 @@
 	"micatrack/fleet"
 	"micatrack/fleet/lease"
 	"micatrack/fleet/membership"
+	"micatrack/fleet/positions"
 	"micatrack/fleet/summary"
-	"micatrack/fleet/watch"
 	"micatrack/fleet/zones"
-	"micatrack/internal/bridge"
+	"micatrack/internal/fleetadapter"
 	"micatrack/internal/front"
 	"micatrack/internal/peers"
 	"micatrack/internal/random"
@@ -310,10 +310,10 @@
 	life    int
 	core    *front.Core
 	fleet   *fleet.Fleet
-	bridge  bridge.Bridge
-	watch   *watch.Watch
-	Lies    func(a *watch.Answer) // what it says as a watcher is changed by that
-	Mute    bool                  // as a watcher it says nothing
+	bridge  fleetadapter.Adapter
+	watch   *positions.Service
+	Lies    func(a *positions.Answer) // what it says as a watcher is changed by that
+	Mute    bool                      // as a watcher it says nothing
 	msg     membership.Message
 	events  []front.Event
 	links   map[*link]bool
@@ -346,10 +346,10 @@
 		for k := range min(3, len(w.Fronts)) {
 			seeds = append(seeds, w.Fronts[k].addr)
 		}
-		f.bridge = bridge.Bridge{}
+		f.bridge = fleetadapter.Adapter{}
 		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took Time) {
 			before := w.Meter.enter(Fleet)
-			f.bridge.Saw(w.Now, store, how, expected, took)
+			f.bridge.RecordOutcome(w.Now, store, how, expected, took)
 			w.Meter.enter(before)
 		}
 		f.fleet = fleet.New(w.Now, membership.Config{Name: f.Name, Zone: f.Zone, Addr: f.addr, Incarnation: uint64(f.life), RandomSeed: c.Seed,
@@ -357,8 +357,8 @@
 			zones.Config{ColdCapacity: c.StartCapacity, WarmupTime: c.WarmupTime, OverloadTolerance: c.ColdOverloadSpan}, host{f})
 		f.bridge.Zones = f.fleet.Zones
 		if w.Plan.Watch {
-			f.watch = watch.New(w.Now, watch.Self{Name: f.Name, Addr: f.addr, Wait: w.WatchWait, Period: w.Period, Patience: w.Host.DialTimeout, Seed: c.Seed}, looks{f})
-			f.bridge.Watch, limits.PositionWatch = f.watch, seen{f}
+			f.watch = positions.New(w.Now, positions.Config{Name: f.Name, Addr: f.addr, AnswerTimeout: w.WatchWait, Period: w.Period, StoreTimeout: w.Host.DialTimeout, Seed: c.Seed}, looks{f})
+			f.bridge.Positions, limits.PositionWatch = f.watch, seen{f}
 		}
 	}
 	var err error
@@ -368,8 +368,8 @@
 	}
 	f.holder = nil
 	if f.watch != nil && len(w.Voters) > 0 {
-		f.holder = lease.NewHolder(w.Now, lease.Party{Name: f.Name, Life: uint64(f.life)}, f.addr, len(w.Voters), w.Terms, c.Seed, asks{f})
-		f.holder.Want(w.Now, summary.LeaseName)
+		f.holder = lease.NewHolder(w.Now, lease.Instance{Name: f.Name, Life: uint64(f.life)}, f.addr, len(w.Voters), w.Terms, c.Seed, asks{f})
+		f.holder.Acquire(w.Now, summary.LeaseName)
 	}
 	known := w.whole(balance.ListCached)
 	f.Traffic.Received[Lists].count(listBytes(known))
@@ -377,7 +377,7 @@
 	f.learn(known)
 	f.core.UpdateStores(known)
 	if together {
-		f.bridge.Listed(w.Now, known)
+		f.bridge.UpdateStores(w.Now, known)
 	}
 	f.wake()
 }
@@ -497,7 +497,7 @@
 		next = min(next, f.fleet.Next())
 	}
 	if f.watch != nil {
-		next = min(next, f.watch.Next())
+		next = min(next, f.watch.NextTick())
 	}
 	if f.holder != nil {
 		next = min(next, f.holder.Next())
@@ -515,7 +515,7 @@
 	for _, l := range f.lists {
 		f.core.UpdateStores(l)
 		if f.fleet != nil {
-			f.bridge.Listed(f.w.Now, l)
+			f.bridge.UpdateStores(f.w.Now, l)
 		}
 	}
 	f.lists = f.lists[:0]
@@ -531,13 +531,13 @@
 	}
 	if f.watch != nil {
 		before := f.w.Meter.enter(Watch)
-		f.bridge.Peers(f.fleet)
-		f.watch.Beat(now)
+		f.bridge.UpdateMembers(f.fleet)
+		f.watch.Tick(now)
 		f.w.Meter.enter(before)
 	}
 	if f.holder != nil && now >= f.holder.Next() {
 		before := f.w.Meter.enter(LeaseHolder)
-		f.holder.Beat(now)
+		f.holder.Tick(now)
 		f.w.Meter.enter(before)
 	}
 }
@@ -578,7 +578,7 @@
 
 func (h host) Send(addr string, m *membership.Message) {
 	w, to := h.f.w, h.f.w.byPeer[addr]
-	text := peers.Append(nil, "world", m)
+	text := peers.AppendMessage(nil, "world", m)
 	before := w.Meter.enter(Outside)
 	h.f.datagram(to, subjectOf(m.Kind), text, func() { to.hear(text, nil) })
 	w.Meter.enter(before)
@@ -605,7 +605,7 @@
 	if to == nil {
 		return
 	}
-	w, text := f.w, peers.Append(nil, "world", f.fleet.Members.SyncMessage(membership.SyncRequest))
+	w, text := f.w, peers.AppendMessage(nil, "world", f.fleet.Members.SyncMessage(membership.SyncRequest))
 	w.Peers.Bytes += len(text)
 	f.Traffic.Sent[Exchanges].count(len(text))
 	w.carryWithin(exchangeWait, f.Node, to.Node, func() {
@@ -623,13 +623,15 @@
 // looks is what the front does for its watch, and seen what its core tells it. Without voters who is meant to watch may.
 type looks struct{ f *Front }
 
-func (l looks) Survey(store string)                 { l.f.core.QueryPosition(store) }
-func (l looks) Vouch(store string, position Time)   { l.f.core.ReportPosition(store, position) }
-func (l looks) Proxied(store string, answered bool) { l.f.core.PositionResolved(store, answered) }
-func (l looks) Query(addr string, q watch.Query) {
+func (l looks) QueryPosition(store string)                 { l.f.core.QueryPosition(store) }
+func (l looks) ReportPosition(store string, position Time) { l.f.core.ReportPosition(store, position) }
+func (l looks) PositionResolved(store string, answered bool) {
+	l.f.core.PositionResolved(store, answered)
+}
+func (l looks) SendQuery(addr string, q positions.Query) {
 	l.f.post(addr, peers.AppendQuery(nil, "world", &q))
 }
-func (l looks) Answer(addr string, a watch.Answer) {
+func (l looks) SendAnswer(addr string, a positions.Answer) {
 	if l.f.Mute {
 		return
 	}
@@ -642,12 +644,12 @@
 type seen struct{ f *Front }
 
 func (s seen) RequestPosition(store string, need Time, any bool) bool {
-	return s.f.watch.Ask(s.f.w.Now, store, need, any)
+	return s.f.watch.RequestPosition(s.f.w.Now, store, need, any)
 }
 func (s seen) PositionObserved(store string, position Time) {
-	s.f.watch.Learned(s.f.w.Now, store, position)
+	s.f.watch.PositionObserved(s.f.w.Now, store, position)
 }
-func (s seen) QueryFailed(store string) { s.f.watch.Failed(s.f.w.Now, store) }
+func (s seen) QueryFailed(store string) { s.f.watch.QueryFailed(s.f.w.Now, store) }
 
 // post sends a message of the watch.
 func (f *Front) post(addr string, text []byte) {
@@ -667,14 +669,14 @@
 		f.w.Meter.enter(before)
 		f.wake()
 	}()
-	q, a, err := peers.ReadWatch(text, "world")
+	q, a, err := peers.ReadPositionMessage(text, "world")
 	switch {
 	case f.watch == nil || err != nil:
 		return
 	case q != nil:
-		f.watch.Hear(f.w.Now, *q)
+		f.watch.HandleQuery(f.w.Now, *q)
 	default:
-		f.watch.Told(f.w.Now, *a)
+		f.watch.HandleAnswer(f.w.Now, *a)
 	}
 }
 
@@ -686,11 +688,11 @@
 	}
 	before := f.w.Meter.enter(Fleet)
 	defer func() { f.w.Meter.enter(before) }()
-	if f.fleet == nil || peers.Read(text, "world", &f.msg) != nil {
+	if f.fleet == nil || peers.ReadMessage(text, "world", &f.msg) != nil {
 		return
 	}
 	if f.fleet.Receive(f.w.Now, &f.msg) && answer != nil {
-		back := peers.Append(nil, "world", f.fleet.Members.SyncMessage(membership.SyncResponse))
+		back := peers.AppendMessage(nil, "world", f.fleet.Members.SyncMessage(membership.SyncResponse))
 		f.w.Peers.Bytes += len(back)
 		answer(back)
 	}
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -7,7 +7,7 @@
 	"os"
 	"testing"
 
-	"micatrack/fleet/watch"
+	"micatrack/fleet/positions"
 	"micatrack/internal/settings"
 )
 
@@ -285,7 +285,7 @@
 		asked, answered, surveys := uint64(0), uint64(0), uint64(0)
 		for _, f := range w.Fronts {
 			if f.watch != nil {
-				asked, answered, surveys = asked+f.watch.Asked, answered+f.watch.Answered, surveys+f.watch.Surveys
+				asked, answered, surveys = asked+f.watch.QueriesSent, answered+f.watch.AnswersReceived, surveys+f.watch.StoreQueries
 			}
 		}
 		t.Logf("watch %v: %.0f probes a second, replicas serve %.3f, %+v; %d asked of watchers, %d answered, %d surveys", on, probes, replicas, all,
@@ -308,9 +308,9 @@
 	}{
 		"lie": {2 * Second, func(w *World) {
 			for _, f := range w.Fronts {
-				f.Lies = func(a *watch.Answer) {
-					for k := range a.Seen {
-						a.Seen[k].Position = w.Now
+				f.Lies = func(a *positions.Answer) {
+					for k := range a.Positions {
+						a.Positions[k].Position = w.Now
 					}
 				}
 			}
@@ -350,7 +350,7 @@
 			asked := uint64(0)
 			for _, f := range w.Fronts {
 				if f.watch != nil {
-					asked += f.watch.Asked
+					asked += f.watch.QueriesSent
 				}
 			}
 			if asked == 0 {
