--- a/cmd/micatrack/capacity.go
+++ b/cmd/micatrack/capacity.go
@@ -18,19 +18,19 @@
 
 // capacityOptions are the flags of `micatrack capacity`.
 type capacityOptions struct {
-	size                     capacity.Size
-	spans                    capacity.Spans
-	event, slopes            string
-	sizes                    []float64
-	asJSON                   bool
-	cpuProfile, allocProfile string
+	size                    capacity.Size
+	spans                   capacity.Spans
+	event, slopes           string
+	sizes                   []float64
+	asJSON                  bool
+	cpuProfile, heapProfile string
 }
 
 // capacityCommand plays a fleet of hollow fronts and prints what it costs.
 func capacityCommand() *cobra.Command {
 	var o capacityOptions
 	c := &cobra.Command{Use: "capacity", Short: "Play a whole fleet on a virtual clock and print what it costs",
-		Args: unexpected, RunE: func(c *cobra.Command, _ []string) error {
+		Args: noArguments, RunE: func(c *cobra.Command, _ []string) error {
 			return o.run(c.OutOrStdout(), c.ErrOrStderr())
 		}}
 	flags := c.Flags()
@@ -53,7 +53,7 @@
 	flags.Float64SliceVar(&o.sizes, "sizes", nil, "sizes for --slopes, in place of its own")
 	flags.BoolVar(&o.asJSON, "json", false, "print JSON in place of a table")
 	flags.StringVar(&o.cpuProfile, "cpu-profile", "", "write a profile of processor time to this file")
-	flags.StringVar(&o.allocProfile, "heap-profile", "", "write a profile of memory at the end to this file")
+	flags.StringVar(&o.heapProfile, "heap-profile", "", "write a profile of memory at the end to this file")
 	return c
 }
 
@@ -64,8 +64,8 @@
 	return text
 }
 
-// printer is what a play or a study comes to.
-type printer interface {
+// report is what a play or a study comes to.
+type report interface {
 	Print(out io.Writer) error
 	Over() bool
 }
@@ -87,12 +87,12 @@
 		err = result.Print(out)
 	}
 	if err == nil && result.Over() {
-		return exit{1, errOverLimit}
+		return exitError{1, errOverLimit}
 	}
 	return err
 }
 
-func (o *capacityOptions) play(progress io.Writer) (printer, error) {
+func (o *capacityOptions) play(progress io.Writer) (report, error) {
 	event, err := capacity.EventByName(o.event)
 	if err != nil {
 		return nil, err
@@ -113,19 +113,19 @@
 
 // profile begins the profiles that were asked for; stop writes them.
 func (o *capacityOptions) profile() (stop func() error, err error) {
-	var processor *os.File
+	var cpuFile *os.File
 	if o.cpuProfile != "" {
-		if processor, err = os.Create(o.cpuProfile); err != nil {
+		if cpuFile, err = os.Create(o.cpuProfile); err != nil {
 			return nil, err
 		}
-		if err = pprof.StartCPUProfile(processor); err != nil {
+		if err = pprof.StartCPUProfile(cpuFile); err != nil {
 			return nil, err
 		}
 	}
 	return func() error {
-		if processor != nil {
+		if cpuFile != nil {
 			pprof.StopCPUProfile()
-			if err := processor.Close(); err != nil {
+			if err := cpuFile.Close(); err != nil {
 				return err
 			}
 		}
@@ -134,10 +134,10 @@
 }
 
 func (o *capacityOptions) writeHeap() error {
-	if o.allocProfile == "" {
+	if o.heapProfile == "" {
 		return nil
 	}
-	file, err := os.Create(o.allocProfile)
+	file, err := os.Create(o.heapProfile)
 	if err != nil {
 		return err
 	}
--- a/cmd/micatrack/config.go
+++ b/cmd/micatrack/config.go
@@ -17,189 +17,189 @@
 )
 
 const (
-	maxCommand = 512 << 10       // bytes of a command to the control address
-	loopWithin = 2 * time.Second // that the loop may take to answer one
+	maxCommandBytes = 512 << 10       // bytes of a command to the control address
+	loopTimeout     = 2 * time.Second // that the loop may take to answer one
 )
 
-// configured is a front's part in the fleet's configuration. It is the loop's, but for what the commands ask.
-type configured struct {
-	t       *together
-	o       *orders
-	front   *configuration.Front
-	control *configuration.Control
-	service configuration.Service
-	addr    string // where other machines reach this one
-	move    func(addr string)
-	target  string // address of discovery that is to be followed; empty: no other one
+// fleetConfig is a front's part in the fleet's configuration. It is the loop's, but for what the commands ask.
+type fleetConfig struct {
+	node          *fleetNode
+	current       *frontConfig
+	front         *configuration.Front
+	control       *configuration.Control
+	service       configuration.Service
+	addr          string // where other machines reach this one
+	setDiscovery  func(addr string)
+	nextDiscovery string // address of discovery that is to be followed; empty: no other one
 }
 
-// hosted gives what a voter keeps beside its leases. Danger: a voter without it could not take the others'
+// newConfigControl gives what a voter keeps beside its leases. Danger: a voter without it could not take the others'
 // entries, so it is there also where this front's file does not switch the configuration on; nothing is
 // handed out then.
-func hosted(t *together, o *orders, addr string) *configuration.Control {
-	f := &o.operators.Fleet
+func newConfigControl(node *fleetNode, cfg *frontConfig, addr string) *configuration.Control {
+	f := &cfg.operators.Fleet
 	options := configuration.ControlOptions{
-		Fleet: f.Name, Name: o.name, Addr: addr, Seed: o.settings.Seed, ServeVersions: f.Config.On,
+		Fleet: f.Name, Name: cfg.name, Addr: addr, Seed: cfg.settings.Seed, ServeVersions: f.Config.On,
 	}
-	control := configuration.NewControl(options, t.peers, t.log)
+	control := configuration.NewControl(options, node.peers, node.log)
 	control.SetFrontDelivery(func(body []byte) {
-		if f := t.handsTo.Load(); f != nil {
+		if f := node.configFront.Load(); f != nil {
 			f.ReceiveFromControl(body)
 		}
 	})
 	return control
 }
 
-// configure opens a front's part in the configuration.
-func configure(t *together, o *orders, life uint64, addr string, control *configuration.Control) *configured {
-	if o.trouble != "" {
-		t.log.Error("the fleet's configuration on disk is left aside", "error", o.trouble)
+// newFleetConfig opens a front's part in the configuration.
+func newFleetConfig(node *fleetNode, cfg *frontConfig, incarnation uint64, addr string, control *configuration.Control) *fleetConfig {
+	if cfg.storedError != "" {
+		node.log.Error("the fleet's configuration on disk is left aside", "error", cfg.storedError)
 	}
-	c := &configured{t: t, o: o, control: control, addr: addr}
-	f := &o.operators.Fleet
+	c := &fleetConfig{node: node, current: cfg, control: control, addr: addr}
+	f := &cfg.operators.Fleet
 	options := configuration.FrontOptions{
-		Fleet: f.Name, Name: o.name, Zone: o.settings.Zone, Addr: addr, Incarnation: life, Seed: o.settings.Seed,
-		Path: f.Config.State, Stored: o.stored,
+		Fleet: f.Name, Name: cfg.name, Zone: cfg.settings.Zone, Addr: addr, Incarnation: incarnation, Seed: cfg.settings.Seed,
+		Path: f.Config.State, Stored: cfg.stored,
 	}
-	c.front = configuration.NewFront(options, t.now, t.peers, c, t.wake, t.log)
-	t.handsTo.Store(c.front)
-	c.service.Ask = c.ask
-	if !t.deputy.HasVoter() {
-		t.peers.OnConfig(c.front.Receive, nil)
+	c.front = configuration.NewFront(options, node.now, node.peers, c, node.wake, node.log)
+	node.configFront.Store(c.front)
+	c.service.Ask = c.sendRequest
+	if !node.leases.HasVoter() {
+		node.peers.OnConfig(c.front.Receive, nil)
 		return c
 	}
-	t.peers.OnConfig(c.front.Receive, c.takeControl)
-	t.peers.OnRequest(c.answerRequest)
+	node.peers.OnConfig(c.front.Receive, c.handleControlMessage)
+	node.peers.OnRequest(c.handleRequest)
 	return c
 }
 
-// takeControl hands a message to the control part; several goroutines call it.
-func (c *configured) takeControl(m peers.ConfigMessage) {
+// handleControlMessage hands a message to the control part; several goroutines call it.
+func (c *fleetConfig) handleControlMessage(m peers.ConfigMessage) {
 	m.Body = slices.Clone(m.Body)
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
 }
 
-// answerRequest has the control part work on a request, and waits for the answer.
-func (c *configured) answerRequest(body []byte) []byte {
-	text, err := json.Marshal(c.work(body))
+// handleRequest has the control part work on a request, and waits for the answer.
+func (c *fleetConfig) handleRequest(body []byte) []byte {
+	text, err := json.Marshal(c.execute(body))
 	if err != nil {
 		return nil
 	}
 	return text
 }
 
-func (c *configured) work(body []byte) configuration.Answer {
+func (c *fleetConfig) execute(body []byte) configuration.Answer {
 	r, err := configuration.ReadRequest(body)
 	if err != nil {
 		return configuration.Answer{Outcome: configuration.Refused, Error: err.Error()}
 	}
-	told := make(chan configuration.Answer, 2)
-	put := c.t.deputy.RunOnVoter(func(now front.Time, leader string) {
-		c.control.Handle(now, &r, leader, func(a configuration.Answer) { told <- a })
+	answers := make(chan configuration.Answer, 2)
+	queued := c.node.leases.RunOnVoter(func(now front.Time, leader string) {
+		c.control.Handle(now, &r, leader, func(a configuration.Answer) { answers <- a })
 	})
-	if !put {
+	if !queued {
 		return configuration.Answer{Outcome: configuration.NotHandled}
 	}
 	select {
-	case a := <-told:
+	case a := <-answers:
 		return a
 	case <-time.After(peers.HandlerTimeout):
 		return configuration.Answer{Outcome: configuration.Unknown}
 	}
 }
 
-// ask asks one control machine, this one without the network.
-func (c *configured) ask(addr string, request []byte) ([]byte, error) {
-	if addr == c.addr && c.t.deputy.HasVoter() {
-		return c.answerRequest(request), nil
+// sendRequest asks one control machine, this one without the network.
+func (c *fleetConfig) sendRequest(addr string, request []byte) ([]byte, error) {
+	if addr == c.addr && c.node.leases.HasVoter() {
+		return c.handleRequest(request), nil
 	}
-	return c.t.peers.Request(addr, request)
+	return c.node.peers.Request(addr, request)
 }
 
-// turn is the configuration's part of a turn of the loop.
-func (c *configured) turn(now front.Time) {
+// step is the configuration's part of a turn of the loop.
+func (c *fleetConfig) step(now front.Time) {
 	c.front.Poll(now)
-	if c.target != "" && c.move != nil {
-		if c.target != c.o.discovery {
-			c.o.discovery = c.target
-			c.move(c.target)
+	if c.nextDiscovery != "" && c.setDiscovery != nil {
+		if c.nextDiscovery != c.current.discovery {
+			c.current.discovery = c.nextDiscovery
+			c.setDiscovery(c.nextDiscovery)
 		}
-		c.target = ""
+		c.nextDiscovery = ""
 	}
 }
 
 // PutInForce has the front go by a version's texts, as a whole or not at all.
-func (c *configured) PutInForce(texts []config.ScopeText) error {
-	fresh, err := c.o.under(texts)
+func (c *fleetConfig) PutInForce(texts []config.ScopeText) error {
+	fresh, err := c.current.withVersion(texts)
 	if err != nil {
 		return err
 	}
-	if err := c.t.reconfigure(c.o, &fresh); err != nil {
+	if err := c.node.reconfigure(c.current, &fresh); err != nil {
 		return err
 	}
-	c.target = fresh.discovery
-	fresh.discovery = c.o.discovery // until the loop has moved there
-	*c.o = fresh
+	c.nextDiscovery = fresh.discovery
+	fresh.discovery = c.current.discovery // until the loop has moved there
+	*c.current = fresh
 	return nil
 }
 
-// reader reads the front's files as a start would, but with the version that is in force now.
+// withVersionInForce reads the front's files as a start would, but with the version that is in force now.
 // Danger: the version's file may be on its way to the disk, and a reload would go back to an older address.
-func (c *configured) reader(read reader) reader {
-	return func() (orders, error) {
+func (c *fleetConfig) withVersionInForce(read configReader) configReader {
+	return func() (frontConfig, error) {
 		fresh, err := read()
 		if err != nil {
 			return fresh, err
 		}
-		return fresh.under(c.front.InForce())
+		return fresh.withVersion(c.front.InForce())
 	}
 }
 
 // Peers tells who is there: the voters, and the fronts that membership has alive. It tells the control part
 // too.
-func (c *configured) Peers() (there config.Peers) {
-	for _, s := range c.t.deputy.Voters() {
-		there.Controls = append(there.Controls, config.Peer{Name: s.Name, Addr: s.Addr})
+func (c *fleetConfig) Peers() (known config.Peers) {
+	for _, s := range c.node.leases.Voters() {
+		known.Controls = append(known.Controls, config.Peer{Name: s.Name, Addr: s.Addr})
 	}
-	for _, m := range c.t.Members.List() {
+	for _, m := range c.node.Members.List() {
 		if m.State <= membership.Suspect {
-			there.Fronts = append(there.Fronts, config.Peer{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
+			known.Fronts = append(known.Fronts, config.Peer{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
 		}
 	}
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.SetPeers(now, there) })
-	return there
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.SetPeers(now, known) })
+	return known
 }
 
 // DeliverToControl hands a message of this front to the control part of this machine, if there is one.
-func (c *configured) DeliverToControl(body []byte) bool {
-	if !c.t.deputy.HasVoter() {
+func (c *fleetConfig) DeliverToControl(body []byte) bool {
+	if !c.node.leases.HasVoter() {
 		return false
 	}
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.ReceiveFromFront(now, body) })
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.ReceiveFromFront(now, body) })
 	return true
 }
 
-// fromFleet puts the version that this front had last in the place of its files' parts. What cannot be taken
+// applyStored puts the version that this front had last in the place of its files' parts. What cannot be taken
 // is left aside.
-func (o *orders) fromFleet() {
-	stored, err := configuration.Load(o.operators.Fleet.Config.State)
+func (cfg *frontConfig) applyStored() {
+	stored, err := configuration.Load(cfg.operators.Fleet.Config.State)
 	if err != nil {
-		o.trouble = err.Error()
+		cfg.storedError = err.Error()
 		return
 	}
-	fresh, err := o.under(stored.Texts)
+	fresh, err := cfg.withVersion(stored.Texts)
 	if err != nil {
-		o.trouble = err.Error()
+		cfg.storedError = err.Error()
 		return
 	}
-	*o = fresh
-	o.stored = stored
+	*cfg = fresh
+	cfg.stored = stored
 }
 
-// answer serves the commands about the fleet's configuration.
-func (c *configured) answer(mux *http.ServeMux) {
+// registerHandlers serves the commands about the fleet's configuration.
+func (c *fleetConfig) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST /config", func(w http.ResponseWriter, r *http.Request) {
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCommand))
+		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCommandBytes))
 		var request configuration.Request
 		if err == nil {
 			request, err = configuration.ReadRequest(text)
@@ -208,7 +208,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		controls, err := c.controls()
+		controls, err := c.controlAddrs()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusGatewayTimeout)
 			return
@@ -218,40 +218,40 @@
 	})
 }
 
-var errLoop = errors.New("the front does not answer")
+var errLoopTimeout = errors.New("the front does not answer")
 
-// controls asks the loop for the control machines' addresses.
-func (c *configured) controls() ([]string, error) {
-	told := make(chan []string, 1)
+// controlAddrs asks the loop for the control machines' addresses.
+func (c *fleetConfig) controlAddrs() ([]string, error) {
+	addrs := make(chan []string, 1)
 	ask := func() {
 		var list []string
-		for _, s := range c.t.deputy.Voters() {
+		for _, s := range c.node.leases.Voters() {
 			list = append(list, s.Addr)
 		}
-		told <- list
+		addrs <- list
 	}
 	select {
-	case c.t.asks <- ask:
-		c.t.wake()
+	case c.node.calls <- ask:
+		c.node.wake()
 	default:
-		return nil, errLoop
+		return nil, errLoopTimeout
 	}
 	select {
-	case list := <-told:
+	case list := <-addrs:
 		return list, nil
-	case <-time.After(loopWithin):
-		return nil, errLoop
+	case <-time.After(loopTimeout):
+		return nil, errLoopTimeout
 	}
 }
 
-// withoutConfig answers the same commands where the configuration is not switched on.
-func withoutConfig(mux *http.ServeMux) {
-	no := func(w http.ResponseWriter, _ *http.Request) {
+// registerConfigDisabled answers the same commands where the configuration is not switched on.
+func registerConfigDisabled(mux *http.ServeMux) {
+	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "fleet.config is not switched on", http.StatusConflict)
 	}
-	mux.HandleFunc("GET /config", no)
-	mux.HandleFunc("POST /config", no)
+	mux.HandleFunc("GET /config", refuse)
+	mux.HandleFunc("POST /config", refuse)
 }
 
-// handsTo is where this machine's control part leaves messages for its front.
-type handsTo = atomic.Pointer[configuration.Front]
+// frontPointer is where this machine's control part leaves messages for its front.
+type frontPointer = atomic.Pointer[configuration.Front]
--- a/cmd/micatrack/configcommands.go
+++ b/cmd/micatrack/configcommands.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	commandWithin  = 7 * time.Second        // for an answer of the front, which tries for some seconds itself
+	commandTimeout = 7 * time.Second        // for an answer of the front, which tries for some seconds itself
 	statusInterval = 200 * time.Millisecond // between two looks while a command waits
 )
 
 // configClient asks this machine's front about the fleet's configuration.
 type configClient struct {
-	switches, control string
-	asJSON            bool
+	operatorsPath, control string
+	asJSON                 bool
 }
 
 // address gives the control address of this machine's front.
@@ -44,7 +44,7 @@
 	if c.control != "" {
 		return c.control, nil
 	}
-	o, err := operators.Read(c.switches)
+	o, err := operators.Read(c.operatorsPath)
 	if err != nil {
 		return "", err
 	}
@@ -65,22 +65,22 @@
 	if err != nil {
 		return err
 	}
-	resp, err := (&http.Client{Timeout: commandWithin}).Do(r)
+	resp, err := (&http.Client{Timeout: commandTimeout}).Do(r)
 	if err != nil {
-		return exit{statusUnknown, fmt.Errorf("the front did not answer: %w", err)}
+		return exitError{statusUnknown, fmt.Errorf("the front did not answer: %w", err)}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return exit{statusUnknown, err}
+		return exitError{statusUnknown, err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return exit{statusNotDone, fmt.Errorf("%s", strings.TrimSpace(string(text)))}
+		return exitError{statusNotDone, fmt.Errorf("%s", strings.TrimSpace(string(text)))}
 	}
 	return json.Unmarshal(text, v)
 }
 
-const maxAnswer = 4 << 20 // bytes of the front's answer
+const maxAnswerBytes = 4 << 20 // bytes of the front's answer
 
 // ask has the control machines work on a request, by way of the front.
 func (c *configClient) ask(r configuration.Request) (a configuration.Answer, err error) {
@@ -101,74 +101,74 @@
 	case a.Outcome == configuration.Done:
 		return nil
 	case a.Outcome == configuration.Refused && !a.Conflict:
-		return exit{2, err}
+		return exitError{2, err}
 	case a.Outcome == configuration.Unknown:
-		return exit{statusUnknown, err}
+		return exitError{statusUnknown, err}
 	}
-	return exit{statusNotDone, err}
+	return exitError{statusNotDone, err}
 }
 
-// newest gives the number of the newest version.
-func (c *configClient) newest() (uint64, error) {
+// newestVersion gives the number of the newest version.
+func (c *configClient) newestVersion() (uint64, error) {
 	a, err := c.ask(configuration.Request{Op: configuration.OpGet})
 	return a.Version, err
 }
 
-// notes are who changes something, and why.
-type notes struct {
-	who, why string
-	base     uint64
+// changeFlags are who changes something, and why.
+type changeFlags struct {
+	author, reason string
+	base           uint64
 
 	wait time.Duration
 }
 
-func (n *notes) flags(c *cobra.Command) {
+func (f *changeFlags) register(c *cobra.Command) {
 	name := ""
 	if u, err := user.Current(); err == nil {
 		name = u.Username
 	}
-	c.Flags().StringVar(&n.who, "who", name, "who changes it, for the history")
-	c.Flags().StringVar(&n.why, "why", "", "why, for the history")
-	c.Flags().Uint64Var(&n.base, "base", 0,
+	c.Flags().StringVar(&f.author, "who", name, "who changes it, for the history")
+	c.Flags().StringVar(&f.reason, "why", "", "why, for the history")
+	c.Flags().Uint64Var(&f.base, "base", 0,
 		"the version that the change was made from; without it the newest one now")
-	c.Flags().DurationVar(&n.wait, "wait", 0, "wait for so long at most until it is in force everywhere")
+	c.Flags().DurationVar(&f.wait, "wait", 0, "wait for so long at most until it is in force everywhere")
 }
 
-// request fills in what all changes have.
-func (n *notes) request(
+// newRequest fills in what all changes have.
+func (f *changeFlags) newRequest(
 	c *cobra.Command, client *configClient, op configuration.Op,
 ) (r configuration.Request, err error) {
-	if n.why == "" || n.who == "" {
+	if f.reason == "" || f.author == "" {
 		return r, fmt.Errorf("give --why, and --who")
 	}
-	r = configuration.Request{Op: op, Base: n.base, Author: n.who, Reason: n.why, At: time.Now().UnixMilli()}
+	r = configuration.Request{Op: op, Base: f.base, Author: f.author, Reason: f.reason, At: time.Now().UnixMilli()}
 	if !c.Flags().Changed("base") {
-		r.Base, err = client.newest()
+		r.Base, err = client.newestVersion()
 	}
 	return r, err
 }
 
-// changed tells of a change that was accepted, and waits until it is in force, where that is asked for.
-func (n *notes) changed(c *cobra.Command, client *configClient, version uint64) error {
+// reportAccepted tells of a change that was accepted, and waits until it is in force, where that is asked for.
+func (f *changeFlags) reportAccepted(c *cobra.Command, client *configClient, version uint64) error {
 	fmt.Fprintf(c.OutOrStdout(), "version %d\n", version)
-	if n.wait == 0 {
+	if f.wait == 0 {
 		return nil
 	}
-	for end := time.Now().Add(n.wait); time.Now().Before(end); time.Sleep(statusInterval) {
+	for end := time.Now().Add(f.wait); time.Now().Before(end); time.Sleep(statusInterval) {
 		a, err := client.ask(configuration.Request{Op: configuration.OpStatus})
 		if err != nil || a.Status == nil {
 			continue
 		}
 		if a.Stage == nil && uint64(a.Status.Newest) >= version && a.Status.Everywhere {
-			return client.finished(c.OutOrStdout(), version)
+			return client.reportInForce(c.OutOrStdout(), version)
 		}
 	}
-	err := fmt.Errorf("version %d is accepted, and was not in force everywhere within %v", version, n.wait)
-	return exit{statusNotDone, err}
+	err := fmt.Errorf("version %d is accepted, and was not in force everywhere within %v", version, f.wait)
+	return exitError{statusNotDone, err}
 }
 
-// finished tells that a version is in force everywhere, unless it began a roll-out that was stopped.
-func (c *configClient) finished(out io.Writer, version uint64) error {
+// reportInForce tells that a version is in force everywhere, unless it began a roll-out that was stopped.
+func (c *configClient) reportInForce(out io.Writer, version uint64) error {
 	a, err := c.ask(configuration.Request{Op: configuration.OpHistory})
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 			continue
 		}
 		if r.Kind == config.KindAbort {
-			return exit{statusNotDone, fmt.Errorf("the roll-out was stopped: %s", r.Reason)}
+			return exitError{statusNotDone, fmt.Errorf("the roll-out was stopped: %s", r.Reason)}
 		}
 		if r.Kind != config.KindAdvance {
 			break // a later change is another matter
@@ -193,7 +193,7 @@
 	client := &configClient{}
 	root := &cobra.Command{Use: "config",
 		Short: "Ask about the fleet's configuration, or change it, by way of this machine's front"}
-	root.PersistentFlags().StringVar(&client.switches, "operators", "",
+	root.PersistentFlags().StringVar(&client.operatorsPath, "operators", "",
 		"the operators' file, whose fleet.control is asked")
 	root.PersistentFlags().StringVar(&client.control, "control", "", "address to ask instead")
 	root.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
@@ -218,9 +218,9 @@
 			return err
 		}
 		if len(args) > 0 {
-			text, has := textOf(texts, args[0])
+			text, has := scopeText(texts, args[0])
 			if !has {
-				return exit{statusNotDone, fmt.Errorf("version %d has no %s", at, args[0])}
+				return exitError{statusNotDone, fmt.Errorf("version %d has no %s", at, args[0])}
 			}
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.TrimSuffix(text, "\n"))
 			return err
@@ -248,7 +248,7 @@
 	return a.Texts, a.Version, err
 }
 
-func textOf(texts []configuration.ScopeText, scope string) (string, bool) {
+func scopeText(texts []configuration.ScopeText, scope string) (string, bool) {
 	for _, t := range texts {
 		if t.Scope == scope {
 			return t.Text, true
@@ -258,14 +258,14 @@
 }
 
 func (c *configClient) setCommand() *cobra.Command {
-	var n notes
+	var change changeFlags
 	var remove bool
 	var program uint32
 	var front, zone string
 	var soak, limit time.Duration
 	set := &cobra.Command{Use: "set SCOPE [FILE]", Args: cobra.RangeArgs(1, 2),
 		Short: "Set a scope (settings, operators, discovery) to a file's text; - reads standard input"}
-	n.flags(set)
+	change.register(set)
 	set.Flags().BoolVar(&remove, "remove", false, "take the scope out in place of a file")
 	set.Flags().Uint32Var(&program, "program", 0, "the oldest program that can take it")
 	set.Flags().StringVar(&front, "first-front", "", "roll-out in steps: this front first")
@@ -282,7 +282,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := n.request(cmd, c, configuration.OpSet)
+		r, err := change.newRequest(cmd, c, configuration.OpSet)
 		if err != nil {
 			return err
 		}
@@ -296,7 +296,7 @@
 		if err != nil {
 			return err
 		}
-		return n.changed(cmd, c, a.Version)
+		return change.reportAccepted(cmd, c, a.Version)
 	}
 	return set
 }
@@ -324,16 +324,16 @@
 }
 
 func (c *configClient) rollbackCommand() *cobra.Command {
-	var n notes
+	var change changeFlags
 	back := &cobra.Command{Use: "rollback VERSION", Args: cobra.ExactArgs(1),
 		Short: "Make a new version with the texts of an older one"}
-	n.flags(back)
+	change.register(back)
 	back.RunE = func(cmd *cobra.Command, args []string) error {
 		to, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
 			return fmt.Errorf("%q is no version", args[0])
 		}
-		r, err := n.request(cmd, c, configuration.OpRollback)
+		r, err := change.newRequest(cmd, c, configuration.OpRollback)
 		if err != nil {
 			return err
 		}
@@ -342,13 +342,13 @@
 		if err != nil {
 			return err
 		}
-		return n.changed(cmd, c, a.Version)
+		return change.reportAccepted(cmd, c, a.Version)
 	}
 	return back
 }
 
 func (c *configClient) historyCommand() *cobra.Command {
-	return &cobra.Command{Use: "history", Args: unexpected,
+	return &cobra.Command{Use: "history", Args: noArguments,
 		Short: "List the versions: who made each, when and why",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			a, err := c.ask(configuration.Request{Op: configuration.OpHistory})
@@ -401,7 +401,7 @@
 
 func (c *configClient) statusCommand() *cobra.Command {
 	var alone bool
-	status := &cobra.Command{Use: "status", Args: unexpected,
+	status := &cobra.Command{Use: "status", Args: noArguments,
 		Short: "Show what is in force here, and how far the newest version has come in the fleet"}
 	status.Flags().BoolVar(&alone, "here", false, "only what is in force here; no control machine is asked")
 	status.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -432,15 +432,15 @@
 	if v.Version == 0 {
 		fmt.Fprintf(out, "%s: no version is in force; it goes by its files\n", v.Front)
 	} else {
-		fmt.Fprintf(out, "%s: version %d is in force, %s\n", v.Front, v.Version, age(v))
+		fmt.Fprintf(out, "%s: version %d is in force, %s\n", v.Front, v.Version, ageText(v))
 	}
 	if v.Reason != "" {
 		fmt.Fprintf(out, "%s: version %d is %s: %s\n", v.Front, v.Received, v.State, v.Reason)
 	}
 }
 
-// age says how old the version in force is.
-func age(v *configuration.FrontStatus) string {
+// ageText says how old the version in force is.
+func ageText(v *configuration.FrontStatus) string {
 	switch {
 	case v.Fresh:
 		return "the newest"
--- a/cmd/micatrack/configdiff.go
+++ b/cmd/micatrack/configdiff.go
@@ -13,7 +13,7 @@
 
 // maxCompared bounds the lines of one text times those of the other; above it the whole text is shown as
 // changed.
-const maxCompared = 4 << 20
+const maxComparedPairs = 4 << 20
 
 // printDiff prints which lines differ, scope by scope.
 func printDiff(out io.Writer, old, new []configuration.ScopeText) {
@@ -23,8 +23,8 @@
 	}
 	slices.Sort(scopes)
 	for _, scope := range slices.Compact(scopes) {
-		before, _ := textOf(old, scope)
-		after, _ := textOf(new, scope)
+		before, _ := scopeText(old, scope)
+		after, _ := scopeText(new, scope)
 		if before == after {
 			continue
 		}
@@ -70,7 +70,7 @@
 // commonLengths gives how many lines the rests of two texts have in common, from each pair of lines on; nil:
 // too many.
 func commonLengths(old, new []string) [][]int32 {
-	if len(old)*len(new) > maxCompared {
+	if len(old)*len(new) > maxComparedPairs {
 		return nil
 	}
 	lengths := make([][]int32, len(old)+1)
--- a/cmd/micatrack/configlive_test.go
+++ b/cmd/micatrack/configlive_test.go
@@ -129,11 +129,11 @@
 // TestOrdersUnderAVersion: what each scope's text takes the place of, what a scope without one leaves to the front's files,
 // and that of a version with one faulty text nothing is taken.
 func TestOrdersUnderAVersion(t *testing.T) {
-	o, err := readConfiguration("../../example/config.json", "", "", "")
+	cfg, err := readConfiguration("../../example/config.json", "", "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.settings.Zone, o.own.settings.Zone = "b", "b"
+	cfg.settings.Zone, cfg.fromFiles.settings.Zone = "b", "b"
 	var file struct{ Settings map[string]any }
 	text, err := json.Marshal(map[string]any{"discovery": "127.0.0.2:99"})
 	if err != nil {
@@ -151,32 +151,32 @@
 	door := config.ScopeText{Scope: configuration.OperatorsScope, Text: []byte(`{"door": {"on": true, "jobs": 77}}`)}
 
 	// A version has its scopes in this order.
-	whole, err := o.under([]config.ScopeText{discovery, door, settings})
+	whole, err := cfg.withVersion([]config.ScopeText{discovery, door, settings})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole.discovery != "127.0.0.2:99" || doorBounds(&whole.operators.Door).MaxRequests != 77 || doorBounds(&o.operators.Door) != nil {
+	if whole.discovery != "127.0.0.2:99" || admissionBounds(&whole.operators.Door).MaxRequests != 77 || admissionBounds(&cfg.operators.Door) != nil {
 		t.Errorf("discovery %s, door %+v", whole.discovery, whole.operators.Door)
 	}
-	if c := whole.settings; c.Zone != "b" || c.Seed != o.settings.Seed || c.AgentGrace != 20000 {
+	if c := whole.settings; c.Zone != "b" || c.Seed != cfg.settings.Seed || c.AgentGrace != 20000 {
 		t.Errorf("zone %q, seed %x, grace of an agent %d", c.Zone, c.Seed, c.AgentGrace)
 	}
 	pinned := whole
-	pinned.pinned = true
-	if p, err := pinned.under([]config.ScopeText{discovery}); err != nil || p.discovery != o.discovery {
+	pinned.discoveryPinned = true
+	if p, err := pinned.withVersion([]config.ScopeText{discovery}); err != nil || p.discovery != cfg.discovery {
 		t.Errorf("a flag names discovery, and %s is followed; %v", p.discovery, err)
 	}
-	back, err := whole.under(nil)
-	if err != nil || back.discovery != o.discovery || back.settings.AgentGrace != o.settings.AgentGrace || back.operators.Door.On {
-		t.Errorf("without a text: %+v, %v", back.own, err)
+	back, err := whole.withVersion(nil)
+	if err != nil || back.discovery != cfg.discovery || back.settings.AgentGrace != cfg.settings.AgentGrace || back.operators.Door.On {
+		t.Errorf("without a text: %+v, %v", back.fromFiles, err)
 	}
 	for _, faulty := range []config.ScopeText{
 		{Scope: configuration.SettingsScope, Text: []byte(`{"Profiles": []}`)},
 		{Scope: configuration.OperatorsScope, Text: []byte(`{"door": {"jobs": "many"}}`)},
 		{Scope: configuration.DiscoveryScope, Text: []byte(`{"discovery": "nowhere"}`)},
 	} {
-		got, err := o.under([]config.ScopeText{faulty})
-		if err == nil || got.discovery != o.discovery || got.operators.Door != o.operators.Door {
+		got, err := cfg.withVersion([]config.ScopeText{faulty})
+		if err == nil || got.discovery != cfg.discovery || got.operators.Door != cfg.operators.Door {
 			t.Errorf("%s: taken, %v", faulty.Scope, err)
 		}
 	}
--- a/cmd/micatrack/fleet.go
+++ b/cmd/micatrack/fleet.go
@@ -25,157 +25,157 @@
 	"micatrack/internal/peers"
 )
 
-const noteLife = 20 // periods after which what another front told counts for nothing
+const noteTTLPeriods = 20 // periods after which what another front told counts for nothing
 
-// together joins a front's loop with the fleet's decisions and the talk between fronts. All of it is the loop's, but
+// fleetNode joins a front's loop with the fleet's decisions and the talk between fronts. All of it is the loop's, but
 // for asks, which the control listener puts there.
-type together struct {
+type fleetNode struct {
 	*fleet.Fleet
-	now     func() front.Time
-	peers   *peers.Transport
-	core    *front.Core
-	log     *slog.Logger
-	bridge  fleetadapter.Adapter
-	deputy  *deputy     // nil: no leases
-	look    *lookout    // nil: no watch of positions
-	config  *configured // nil: each front goes by its own files
-	handsTo handsTo     // nil until there is a configuration
-	name    string      // of the fleet
-	wake    func()
-	asks    chan func()
-	left    bool
+	now           func() front.Time
+	peers         *peers.Transport
+	core          *front.Core
+	log           *slog.Logger
+	bridge        fleetadapter.Adapter
+	leases        *leaseService  // nil: no leases
+	positionWatch *positionWatch // nil: no watch of positions
+	config        *fleetConfig   // nil: each front goes by its own files
+	configFront   frontPointer   // nil until there is a configuration
+	fleetName     string         // of the fleet
+	wake          func()
+	calls         chan func()
+	left          bool
 }
 
-// join opens the talk with other fronts.
-func join(now func() front.Time, o *orders, wake func(), log *slog.Logger) (*together, error) {
-	f := o.operators.Fleet
+// joinFleet opens the talk with other fronts.
+func joinFleet(now func() front.Time, cfg *frontConfig, wake func(), log *slog.Logger) (*fleetNode, error) {
+	f := cfg.operators.Fleet
 	p, err := peers.Open(f.Listen, f.Name, wake)
 	if err != nil {
 		return nil, err
 	}
-	t := &together{now: now, peers: p, name: f.Name, wake: wake, log: log.With("fleet", f.Name), asks: make(chan func(), 16)}
-	span := f.PeriodMS * 10
-	addr, life := cmp.Or(f.Advertise, p.Addr()), uint64(now())/10
-	t.Fleet = fleet.New(now(), membership.Config{Name: o.name, Zone: cmp.Or(o.settings.Zone, "-"), Addr: addr, Incarnation: life, RandomSeed: o.settings.Seed, Period: span, Seeds: f.Seeds, MaxMembers: f.Members, NoteTTL: noteLife * span},
-		zones.Config{ColdCapacity: o.settings.StartCapacity, WarmupTime: o.settings.WarmupTime, OverloadTolerance: o.settings.ColdOverloadSpan}, t)
-	t.bridge.Zones = t.Zones
+	node := &fleetNode{now: now, peers: p, fleetName: f.Name, wake: wake, log: log.With("fleet", f.Name), calls: make(chan func(), 16)}
+	period := f.PeriodMS * 10
+	addr, incarnation := cmp.Or(f.Advertise, p.Addr()), uint64(now())/10
+	node.Fleet = fleet.New(now(), membership.Config{Name: cfg.name, Zone: cmp.Or(cfg.settings.Zone, "-"), Addr: addr, Incarnation: incarnation, RandomSeed: cfg.settings.Seed, Period: period, Seeds: f.Seeds, MaxMembers: f.Members, NoteTTL: noteTTLPeriods * period},
+		zones.Config{ColdCapacity: cfg.settings.StartCapacity, WarmupTime: cfg.settings.WarmupTime, OverloadTolerance: cfg.settings.ColdOverloadSpan}, node)
+	node.bridge.Zones = node.Zones
 	if len(f.Lease.Voters) > 0 {
-		control := hosted(t, o, addr)
-		if t.deputy, err = depute(t, o, life, addr, wake, control); err != nil {
+		control := newConfigControl(node, cfg, addr)
+		if node.leases, err = newLeaseService(node, cfg, incarnation, addr, wake, control); err != nil {
 			p.Close()
 			return nil, err
 		}
 		if f.Config.On {
-			t.config = configure(t, o, life, addr, control)
+			node.config = newFleetConfig(node, cfg, incarnation, addr, control)
 		}
 		if f.Lease.Watch {
-			t.look = look(t, o, addr)
+			node.positionWatch = newPositionWatch(node, cfg, addr)
 		}
 	}
-	if f.Config.On && t.config == nil {
+	if f.Config.On && node.config == nil {
 		p.Close()
 		return nil, fmt.Errorf("config: it needs lease.voters, which keep it")
 	}
 	if f.Control != "" {
-		if err := t.control(f.Control, wake); err != nil {
-			t.close()
+		if err := node.serveControl(f.Control, wake); err != nil {
+			node.close()
 			p.Close()
 			return nil, err
 		}
 	}
-	return t, nil
+	return node, nil
 }
 
-// serves hands the fleet's plans to the core from now on. The start waits for them, as long as that is allowed.
+// attachCore hands the fleet's plans to the core from now on. The start waits for them, as long as that is allowed.
 // Danger: a front that starts while a zone is being returned to would send it all that it can.
-func (t *together) serves(c *front.Core, known front.StoreList, wait time.Duration) {
-	t.core = c
-	t.bridge.UpdateStores(t.now(), known)
-	for end := time.Now().Add(wait); !t.Members.Joined() && time.Now().Before(end); {
-		t.turn(nil, false)
+func (node *fleetNode) attachCore(c *front.Core, known front.StoreList, wait time.Duration) {
+	node.core = c
+	node.bridge.UpdateStores(node.now(), known)
+	for end := time.Now().Add(wait); !node.Members.Joined() && time.Now().Before(end); {
+		node.step(nil, false)
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.log.Info("joined", "fronts", len(t.Members.List()), "listen", t.peers.Addr())
+	node.log.Info("joined", "fronts", len(node.Members.List()), "listen", node.peers.Addr())
 }
 
-// turn is the fleet's part of a turn of the loop.
-func (t *together) turn(lists []front.StoreList, halt bool) {
-	now := t.now()
+// step is the fleet's part of a turn of the loop.
+func (node *fleetNode) step(lists []front.StoreList, stopping bool) {
+	now := node.now()
 	for _, l := range lists {
-		t.bridge.UpdateStores(now, l)
+		node.bridge.UpdateStores(now, l)
 	}
-	if halt && !t.left {
-		t.left = true
-		t.Members.Leave(now)
-		if t.deputy != nil {
-			t.deputy.ending = true
+	if stopping && !node.left {
+		node.left = true
+		node.Members.Leave(now)
+		if node.leases != nil {
+			node.leases.stopping = true
 		}
 	}
-	t.peers.Receive(func(m *membership.Message) bool { return t.Fleet.Receive(now, m) },
-		func() *membership.Message { return t.Members.SyncMessage(membership.SyncResponse) })
+	node.peers.Receive(func(m *membership.Message) bool { return node.Fleet.Receive(now, m) },
+		func() *membership.Message { return node.Members.SyncMessage(membership.SyncResponse) })
 	for {
 		select {
-		case ask := <-t.asks:
+		case ask := <-node.calls:
 			ask()
 			continue
 		default:
 		}
 		break
 	}
-	if now >= t.Fleet.Next() {
-		t.Tick(now)
+	if now >= node.Fleet.Next() {
+		node.Tick(now)
 	}
-	if t.deputy != nil {
-		t.deputy.turn(now)
+	if node.leases != nil {
+		node.leases.step(now)
 	}
-	if t.look != nil {
-		t.look.turn(now)
+	if node.positionWatch != nil {
+		node.positionWatch.step(now)
 	}
-	if t.config != nil {
-		t.config.turn(now)
+	if node.config != nil {
+		node.config.step(now)
 	}
 }
 
 // Next is when turn must be called again.
-func (t *together) Next() front.Time {
-	next := t.Fleet.Next()
-	if t.deputy != nil {
-		next = min(next, t.deputy.next())
+func (node *fleetNode) Next() front.Time {
+	next := node.Fleet.Next()
+	if node.leases != nil {
+		next = min(next, node.leases.next())
 	}
-	if t.look != nil {
-		next = min(next, t.look.w.NextTick())
+	if node.positionWatch != nil {
+		next = min(next, node.positionWatch.watch.NextTick())
 	}
-	if t.config != nil {
-		next = min(next, t.config.front.Next())
+	if node.config != nil {
+		next = min(next, node.config.front.Next())
 	}
 	return next
 }
 
 // close ends what has a disk.
-func (t *together) close() {
-	if t.deputy != nil {
-		t.deputy.Close()
+func (node *fleetNode) close() {
+	if node.leases != nil {
+		node.leases.Close()
 	}
-	if t.config != nil {
-		t.config.front.Close()
+	if node.config != nil {
+		node.config.front.Close()
 	}
 }
 
 // Send, Exchange, Part and Log are what the fleet's decisions ask for.
-func (t *together) Send(addr string, m *membership.Message) { t.peers.Send(addr, m) }
-func (t *together) StartSync(addr string) {
-	t.peers.StartSync(addr, t.Members.SyncMessage(membership.SyncRequest))
+func (node *fleetNode) Send(addr string, m *membership.Message) { node.peers.Send(addr, m) }
+func (node *fleetNode) StartSync(addr string) {
+	node.peers.StartSync(addr, node.Members.SyncMessage(membership.SyncRequest))
 }
-func (t *together) SetShare(zone string, part float64) { t.core.SetZoneShare(zone, part) }
-func (t *together) Log(text string)                    { t.log.Info(text) }
+func (node *fleetNode) SetShare(zone string, part float64) { node.core.SetZoneShare(zone, part) }
+func (node *fleetNode) Log(text string)                    { node.log.Info(text) }
 
-// control listens for the commands of this machine's operators. What they ask is done by the loop.
-func (t *together) control(addr string, wake func()) error {
-	at, err := netip.ParseAddrPort(addr)
-	if err != nil || !at.Addr().IsLoopback() {
+// serveControl listens for the commands of this machine's operators. What they ask is done by the loop.
+func (node *fleetNode) serveControl(addr string, wake func()) error {
+	address, err := netip.ParseAddrPort(addr)
+	if err != nil || !address.Addr().IsLoopback() {
 		return fmt.Errorf("control: %s is no loopback address with a port", addr)
 	}
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 			}
 			done := make(chan result, 1)
 			select {
-			case t.asks <- func() { v, err := do(t.now(), r.URL.Query()); done <- result{v, err} }:
+			case node.calls <- func() { v, err := do(node.now(), r.URL.Query()); done <- result{v, err} }:
 				wake()
 			default:
 				http.Error(w, "too many ask at once", http.StatusServiceUnavailable)
@@ -207,33 +207,33 @@
 			}
 		})
 	}
-	if t.deputy != nil {
-		t.deputy.answer(mux)
+	if node.leases != nil {
+		node.leases.registerHandlers(mux)
 	} else {
-		withoutLeases(mux)
+		registerLeasesDisabled(mux)
 	}
-	if t.config != nil {
-		t.config.answer(mux)
-		handle("GET /config", func(front.Time, url.Values) (any, error) { return t.config.front.Status(), nil })
+	if node.config != nil {
+		node.config.registerHandlers(mux)
+		handle("GET /config", func(front.Time, url.Values) (any, error) { return node.config.front.Status(), nil })
 	} else {
-		withoutConfig(mux)
+		registerConfigDisabled(mux)
 	}
 	handle("GET /members", func(now front.Time, _ url.Values) (any, error) {
-		var list []told
-		for _, e := range t.Members.List() {
-			list = append(list, told{e.Name, e.Zone, e.Addr, e.State.String(), e.Incarnation, (now - e.Since) / 10})
+		var list []memberStatus
+		for _, e := range node.Members.List() {
+			list = append(list, memberStatus{e.Name, e.Zone, e.Addr, e.State.String(), e.Incarnation, (now - e.Since) / 10})
 		}
 		return list, nil
 	})
-	handle("GET /plan", func(now front.Time, _ url.Values) (any, error) { return t.Zones.Status(now), nil })
+	handle("GET /plan", func(now front.Time, _ url.Values) (any, error) { return node.Zones.Status(now), nil })
 	handle("GET /counts", func(front.Time, url.Values) (any, error) {
-		if t.look != nil {
-			w := t.look.w
-			return map[string]any{"peers": t.peers.Counts(), "asked": w.QueriesSent, "answered": w.AnswersReceived, "surveys": w.StoreQueries, "refused": w.Rejected}, nil
+		if node.positionWatch != nil {
+			w := node.positionWatch.watch
+			return map[string]any{"peers": node.peers.Counts(), "asked": w.QueriesSent, "answered": w.AnswersReceived, "surveys": w.StoreQueries, "refused": w.Rejected}, nil
 		}
-		return t.peers.Counts(), nil
+		return node.peers.Counts(), nil
 	})
-	handle("GET /why", func(now front.Time, q url.Values) (any, error) { return t.Zones.Explain(now, q.Get("zone")) })
+	handle("GET /why", func(now front.Time, q url.Values) (any, error) { return node.Zones.Explain(now, q.Get("zone")) })
 	handle("POST /order", func(now front.Time, q url.Values) (any, error) {
 		span := time.Duration(0)
 		if q.Get("leave") != "" {
@@ -242,15 +242,15 @@
 				return nil, err
 			}
 		}
-		err := t.Zones.IssueOrder(now, q.Get("zone"), q.Get("leave") != "", q.Get("force") != "", int64(span/tick), uint64(now)/10)
-		return t.Zones.Status(now), err
+		err := node.Zones.IssueOrder(now, q.Get("zone"), q.Get("leave") != "", q.Get("force") != "", int64(span/tick), uint64(now)/10)
+		return node.Zones.Status(now), err
 	})
-	go (&http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second}).Serve(l)
+	go (&http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second}).Serve(listener)
 	return nil
 }
 
-// told is one member, as it is shown.
-type told struct {
+// memberStatus is one member, as it is shown.
+type memberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Addr        string `json:"addr"`
@@ -261,16 +261,16 @@
 
 // fleetCommands ask the front of this machine.
 func fleetCommands() *cobra.Command {
-	var switches, control string
+	var operatorsPath, control string
 	var asJSON, force bool
-	var span time.Duration
+	var leaveFor time.Duration
 	root := &cobra.Command{Use: "fleet", Short: "Ask this machine's front about its fleet"}
-	root.PersistentFlags().StringVar(&switches, "operators", "", "the operators' file, whose fleet.control is asked")
+	root.PersistentFlags().StringVar(&operatorsPath, "operators", "", "the operators' file, whose fleet.control is asked")
 	root.PersistentFlags().StringVar(&control, "control", "", "address to ask instead")
 	root.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	ask := func(c *cobra.Command, method, path string, q url.Values, show func(w io.Writer, text []byte) error) error {
 		if control == "" {
-			o, err := operators.Read(switches)
+			o, err := operators.Read(operatorsPath)
 			if err != nil {
 				return err
 			}
@@ -284,15 +284,15 @@
 		}
 		resp, err := (&http.Client{Timeout: 5 * time.Second}).Do(r)
 		if err != nil {
-			return exit{1, err}
+			return exitError{1, err}
 		}
 		defer resp.Body.Close()
 		text, err := io.ReadAll(io.LimitReader(resp.Body, 4<<20))
 		if err != nil {
-			return exit{1, err}
+			return exitError{1, err}
 		}
 		if resp.StatusCode != http.StatusOK {
-			return exit{1, fmt.Errorf("%s", strings.TrimSpace(string(text)))}
+			return exitError{1, fmt.Errorf("%s", strings.TrimSpace(string(text)))}
 		}
 		if asJSON {
 			_, err = c.OutOrStdout().Write(text)
@@ -313,10 +313,10 @@
 		}
 		return w.Flush()
 	}
-	members := &cobra.Command{Use: "members", Short: "List the fronts of the fleet", Args: unexpected,
+	members := &cobra.Command{Use: "members", Short: "List the fronts of the fleet", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return ask(c, "GET", "/members", nil, func(out io.Writer, text []byte) error {
-				var list []told
+				var list []memberStatus
 				if err := json.Unmarshal(text, &list); err != nil {
 					return err
 				}
@@ -329,7 +329,7 @@
 				return w.Flush()
 			})
 		}}
-	plan := &cobra.Command{Use: "plan", Short: "Show which part of ordinary traffic may go to each zone", Args: unexpected,
+	plan := &cobra.Command{Use: "plan", Short: "Show which part of ordinary traffic may go to each zone", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error { return ask(c, "GET", "/plan", nil, showPlan) }}
 	why := &cobra.Command{Use: "why ZONE", Short: "Show what is seen of a zone", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -344,13 +344,13 @@
 		}}
 	leave := &cobra.Command{Use: "leave ZONE", Short: "Move ordinary traffic out of a zone for a while", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			q := url.Values{"zone": args, "leave": {"1"}, "for": {span.String()}}
+			q := url.Values{"zone": args, "leave": {"1"}, "for": {leaveFor.String()}}
 			if force {
 				q.Set("force", "1")
 			}
 			return ask(c, "POST", "/order", q, showPlan)
 		}}
-	leave.Flags().DurationVar(&span, "for", 10*time.Minute, "how long; it ends by itself")
+	leave.Flags().DurationVar(&leaveFor, "for", 10*time.Minute, "how long; it ends by itself")
 	leave.Flags().BoolVar(&force, "force", false, "also where the rest does not bear it")
 	back := &cobra.Command{Use: "return ZONE", Short: "End an order to leave a zone; its traffic comes back in steps", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/micatrack/lease.go
+++ b/cmd/micatrack/lease.go
@@ -22,40 +22,40 @@
 	"micatrack/internal/leases"
 )
 
-// deputy is what a front does for all of its fleet while it holds leases. It is the loop's.
-type deputy struct {
+// leaseService is what a front does for all of its fleet while it holds leases. It is the loop's.
+type leaseService struct {
 	*leases.Leases
-	t         *together
-	summary   *summary.Summary
-	collector string
-	told      chan outcome
-	ending    bool // a planned stop has begun
-	handed    bool // leases are being given back,
-	yielded   bool // and so is the lead
+	node            *fleetNode
+	summary         *summary.Summary
+	collector       string
+	sendResults     chan sendResult
+	stopping        bool // a planned stop has begun
+	released        bool // leases are being given back,
+	leadTransferred bool // and so is the lead
 }
 
-// outcome is how the telling of a summary went.
-type outcome struct {
+// sendResult is how the telling of a summary went.
+type sendResult struct {
 	refused bool
-	trouble string
+	failure string
 }
 
 // tokenHeader carries the lease's token to whoever takes summaries, which refuses an older one with 409.
 const tokenHeader = "Micatrack-Token"
 
-// depute opens a front's part in leases.
-func depute(t *together, o *orders, life uint64, addr string, wake func(), c leases.HostedMachine) (*deputy, error) {
-	l := &o.operators.Fleet.Lease
+// newLeaseService opens a front's part in leases.
+func newLeaseService(node *fleetNode, cfg *frontConfig, incarnation uint64, addr string, wake func(), c leases.HostedMachine) (*leaseService, error) {
+	l := &cfg.operators.Fleet.Lease
 	if len(l.Voters)%2 == 0 {
 		return nil, fmt.Errorf("lease.voters: %d voters bear no more losses than %d", len(l.Voters), len(l.Voters)-1)
 	}
-	order := leases.Config{Fleet: o.operators.Fleet.Name, Self: lease.Instance{Name: o.name, Life: life}, Addr: addr, StatePath: l.State,
-		Terms: lease.Terms{Span: l.SpanMS * 10, Drift: l.Drift, Margin: l.MarginMS * 10}, Seed: o.settings.Seed, HostedMachine: c}
+	options := leases.Config{Fleet: cfg.operators.Fleet.Name, Self: lease.Instance{Name: cfg.name, Life: incarnation}, Addr: addr, StatePath: l.State,
+		Terms: lease.Terms{Span: l.SpanMS * 10, Drift: l.Drift, Margin: l.MarginMS * 10}, Seed: cfg.settings.Seed, HostedMachine: c}
 	for _, v := range l.Voters {
-		if slices.ContainsFunc(order.Voters, func(s lease.VoterInfo) bool { return s.Name == v.Name }) {
+		if slices.ContainsFunc(options.Voters, func(s lease.VoterInfo) bool { return s.Name == v.Name }) {
 			return nil, fmt.Errorf("lease.voters: %s is named twice", v.Name)
 		}
-		order.Voters = append(order.Voters, lease.VoterInfo{Name: v.Name, Addr: v.Addr})
+		options.Voters = append(options.Voters, lease.VoterInfo{Name: v.Name, Addr: v.Addr})
 	}
 	if l.Collector != "" {
 		u, err := url.Parse(l.Collector)
@@ -66,79 +66,81 @@
 			return nil, fmt.Errorf("lease.collector: %s is neither a loopback nor a private address with a port", u.Host)
 		}
 	}
-	d := &deputy{t: t, collector: l.Collector, told: make(chan outcome, 1)}
-	d.Leases = leases.Open(order, t.now, t.peers, d, wake, t.log)
+	d := &leaseService{node: node, collector: l.Collector, sendResults: make(chan sendResult, 1)}
+	d.Leases = leases.Open(options, node.now, node.peers, d, wake, node.log)
 	if l.SummaryMS > 0 {
-		d.summary = summary.New(t.now(), l.SummaryMS*10, l.SpanMS*10/4, d)
-		if err := d.Holder.Acquire(t.now(), summary.LeaseName); err != nil {
+		d.summary = summary.New(node.now(), l.SummaryMS*10, l.SpanMS*10/4, d)
+		if err := d.Holder.Acquire(node.now(), summary.LeaseName); err != nil {
 			return nil, err
 		}
 	}
 	return d, nil
 }
 
-// turn is the leases' part of a turn of the loop.
-func (d *deputy) turn(now front.Time) {
+// step is the leases' part of a turn of the loop.
+func (d *leaseService) step(now front.Time) {
 	d.Poll(now)
 	if d.summary != nil {
 		select {
-		case o := <-d.told:
-			d.summary.SendFinished(now, o.refused, o.trouble)
+		case o := <-d.sendResults:
+			d.summary.SendFinished(now, o.refused, o.failure)
 		default:
 		}
-		if !d.ending {
+		if !d.stopping {
 			d.summary.Tick(now)
 		}
 	}
-	if d.ending && !d.handed && (d.summary == nil || !d.summary.Sending()) {
+	if d.stopping && !d.released && (d.summary == nil || !d.summary.Sending()) {
 		// Danger: what is given back while an act is under way is another's before that act is over.
-		d.handed = true
+		d.released = true
 		d.Holder.ReleaseAll(now)
 	}
-	if d.handed && !d.yielded && d.Holder.Empty() {
-		d.yielded = true
+	if d.released && !d.leadTransferred && d.Holder.Empty() {
+		d.leadTransferred = true
 		d.TransferLeadership()
 	}
 }
 
-func (d *deputy) next() front.Time {
+func (d *leaseService) next() front.Time {
 	next := d.Holder.Next()
-	if d.summary != nil && !d.ending {
+	if d.summary != nil && !d.stopping {
 		next = min(next, d.summary.Next())
 	}
 	return next
 }
 
 // LeaseAcquired, Lost, May, Tell and Log are what the leases and the summary ask for.
-func (d *deputy) LeaseAcquired(name string, token uint64) {
-	d.t.log.Info("lease held", "lease", name, "token", token)
+func (d *leaseService) LeaseAcquired(name string, token uint64) {
+	d.node.log.Info("lease held", "lease", name, "token", token)
 	if d.summary != nil && name == summary.LeaseName {
-		d.summary.LeaseAcquired(d.t.now())
+		d.summary.LeaseAcquired(d.node.now())
 	}
 }
-func (d *deputy) LeaseLost(name, why string) { d.t.log.Info("lease lost", "lease", name, "why", why) }
-func (d *deputy) Log(text string)            { d.t.log.Info(text) }
-func (d *deputy) LeaseToken(name string, longest front.Time) (uint64, bool) {
+func (d *leaseService) LeaseLost(name, why string) {
+	d.node.log.Info("lease lost", "lease", name, "why", why)
+}
+func (d *leaseService) Log(text string) { d.node.log.Info(text) }
+func (d *leaseService) LeaseToken(name string, longest front.Time) (uint64, bool) {
 	return d.Holder.UsableToken(name, longest)
 }
 
 // SendSummary logs a summary, and posts it. The loop does not wait for the collector.
-func (d *deputy) SendSummary(token, number uint64, within front.Time) {
+func (d *leaseService) SendSummary(token, number uint64, timeout front.Time) {
 	states := map[string]int{}
-	for _, e := range d.t.Members.List() {
+	for _, e := range d.node.Members.List() {
 		states[e.State.String()]++
 	}
-	rows := d.t.Zones.Status(d.t.now())
-	away := 0
+	rows := d.node.Zones.Status(d.node.now())
+	narrowed := 0
 	for _, r := range rows {
 		if r.Part < 1 {
-			away++
+			narrowed++
 		}
 	}
-	d.t.log.Info("summary", "token", token, "number", number, "alive", states["alive"], "suspect", states["suspect"],
-		"dead", states["dead"], "zones", len(rows), "narrowed", away)
+	d.node.log.Info("summary", "token", token, "number", number, "alive", states["alive"], "suspect", states["suspect"],
+		"dead", states["dead"], "zones", len(rows), "narrowed", narrowed)
 	if d.collector == "" {
-		d.told <- outcome{}
+		d.sendResults <- sendResult{}
 		return
 	}
 	s := struct {
@@ -149,44 +151,44 @@
 		Members map[string]int     `json:"members"`
 		Zones   []zones.ZoneStatus `json:"zones"`
 		Leases  *leases.Status     `json:"leases,omitempty"`
-	}{d.t.name, d.t.Members.List()[0].Name, token, number, states, rows, nil}
-	until := time.Now().Add(time.Duration(within) * tick)
+	}{d.node.fleetName, d.node.Members.List()[0].Name, token, number, states, rows, nil}
+	until := time.Now().Add(time.Duration(timeout) * tick)
 	go func() {
 		if v, err := d.Status(); err == nil {
 			s.Leases = &v
 		}
-		d.told <- post(d.collector, token, &s, time.Until(until)) // there is room: one is out at a time
-		d.t.wake()
+		d.sendResults <- postSummary(d.collector, token, &s, time.Until(until)) // there is room: one is out at a time
+		d.node.wake()
 	}()
 }
 
-// post sends a summary to the collector, and gives it up at its time.
-func post(to string, token uint64, s any, within time.Duration) outcome {
-	if within <= 0 {
-		return outcome{trouble: "its time was over before it could be sent"}
+// postSummary sends a summary to the collector, and gives it up at its time.
+func postSummary(to string, token uint64, s any, timeout time.Duration) sendResult {
+	if timeout <= 0 {
+		return sendResult{failure: "its time was over before it could be sent"}
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
-		return outcome{trouble: err.Error()}
+		return sendResult{failure: err.Error()}
 	}
 	r, err := http.NewRequest("POST", to, bytes.NewReader(text))
 	if err != nil {
-		return outcome{trouble: err.Error()}
+		return sendResult{failure: err.Error()}
 	}
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set(tokenHeader, strconv.FormatUint(token, 10))
-	resp, err := (&http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
+	resp, err := (&http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 	if err != nil {
-		return outcome{trouble: err.Error()}
+		return sendResult{failure: err.Error()}
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusConflict:
-		return outcome{refused: true}
+		return sendResult{refused: true}
 	case http.StatusOK, http.StatusNoContent:
-		return outcome{}
+		return sendResult{}
 	}
-	return outcome{trouble: resp.Status}
+	return sendResult{failure: resp.Status}
 }
 
 // leaseCommands ask this machine's front about leases.
@@ -211,7 +213,7 @@
 			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%v\n", c.ID, c.Name, c.Addr, c.Leads, c.Here)
 		}
 	})
-	held := &cobra.Command{Use: "leases", Short: "List the leases, as this front's voter has them", Args: unexpected,
+	held := &cobra.Command{Use: "leases", Short: "List the leases, as this front's voter has them", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return ask(c, "GET", "/leases", nil, view(func(w *tabwriter.Writer, v *leases.Status) {
 				fmt.Fprintln(w, "LEASE\tHOLDER\tLIFE\tTOKEN\tKEPT FOR\tWAITING")
@@ -224,7 +226,7 @@
 				}
 			}))
 		}}
-	voters := &cobra.Command{Use: "voters", Short: "List who grants leases, and who leads them", Args: unexpected,
+	voters := &cobra.Command{Use: "voters", Short: "List who grants leases, and who leads them", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error { return ask(c, "GET", "/leases", nil, showVoters) }}
 	voter := &cobra.Command{Use: "voter", Short: "Change who grants leases, one at a time; asked of the front whose voter leads"}
 	var name, addr string
@@ -242,8 +244,8 @@
 	return []*cobra.Command{held, voters, voter}
 }
 
-// answer serves the commands that are the voter's matter and not the loop's.
-func (d *deputy) answer(mux *http.ServeMux) {
+// registerHandlers serves the commands that are the voter's matter and not the loop's.
+func (d *leaseService) registerHandlers(mux *http.ServeMux) {
 	reply := func(w http.ResponseWriter, v leases.Status, err error) {
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
@@ -277,11 +279,11 @@
 	})
 }
 
-// withoutLeases answers the same commands where no leases are switched on.
-func withoutLeases(mux *http.ServeMux) {
-	no := func(w http.ResponseWriter, _ *http.Request) {
+// registerLeasesDisabled answers the same commands where no leases are switched on.
+func registerLeasesDisabled(mux *http.ServeMux) {
+	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "fleet.lease is not switched on", http.StatusConflict)
 	}
-	mux.HandleFunc("GET /leases", no)
-	mux.HandleFunc("POST /voter", no)
+	mux.HandleFunc("GET /leases", refuse)
+	mux.HandleFunc("POST /voter", refuse)
 }
--- a/cmd/micatrack/main.go
+++ b/cmd/micatrack/main.go
@@ -14,16 +14,16 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// exit carries the status that the program ends with, where that is not 2.
-type exit struct {
+// exitError carries the status that the program ends with, where that is not 2.
+type exitError struct {
 	status int
 	error
 }
 
 // run carries out a command line and gives the status to end with: 2 for what it was told wrong.
 func run(args []string, out, errs io.Writer) int {
-	root := commands()
-	root.SetArgs(doubled(args))
+	root := rootCommand()
+	root.SetArgs(doubleDashes(args))
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
@@ -31,15 +31,15 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "micatrack:", err)
-	var f exit
+	var f exitError
 	if errors.As(err, &f) {
 		return f.status
 	}
 	return 2
 }
 
-// doubled lets flags be given with one dash too, as they were before there were two: -config as --config.
-func doubled(args []string) []string {
+// doubleDashes lets flags be given with one dash too, as they were before there were two: -config as --config.
+func doubleDashes(args []string) []string {
 	args = append([]string(nil), args...)
 	for i, a := range args {
 		if a == "--" {
@@ -52,7 +52,7 @@
 	return args
 }
 
-func commands() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "micatrack", Short: "A query router for sharded, replicated databases",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -61,46 +61,46 @@
 			}
 			return fmt.Errorf("no command given\n%s", c.UsageString())
 		}}
-	version := &cobra.Command{Use: "version", Short: "Print the version", Args: unexpected,
+	version := &cobra.Command{Use: "version", Short: "Print the version", Args: noArguments,
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "micatrack", version()) }}
 	root.AddCommand(version,
-		fronted("serve", "Route queries until SIGTERM", func(_ *cobra.Command, o orders, read reader) error {
-			return serve(o, read)
+		frontCommand("serve", "Route queries until SIGTERM", func(_ *cobra.Command, cfg frontConfig, read configReader) error {
+			return serve(cfg, read)
 		}),
-		fronted("check", "Read the configuration and the operators' file, say what is in them, and end",
-			func(c *cobra.Command, o orders, _ reader) error {
+		frontCommand("check", "Read the configuration and the operators' file, say what is in them, and end",
+			func(c *cobra.Command, cfg frontConfig, _ configReader) error {
 				fmt.Fprintf(c.OutOrStdout(), "%s: listens on %s, discovery at %s, %d profiles, %d stores known, on: %s\n",
-					o.name, o.listen, o.discovery, len(o.settings.Classes), len(o.known.Entries), o.on())
+					cfg.name, cfg.listen, cfg.discovery, len(cfg.settings.Classes), len(cfg.knownStores.Entries), cfg.enabledSubsystems())
 				return nil
 			}),
 		fleetCommands(), stateCommands(), configCommands(), capacityCommand())
 	return root
 }
 
-func unexpected(_ *cobra.Command, args []string) error {
+func noArguments(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected argument %q", args[0])
 	}
 	return nil
 }
 
-// reader reads the configuration anew, from where the command line has it.
-type reader func() (orders, error)
+// configReader reads the configuration anew, from where the command line has it.
+type configReader func() (frontConfig, error)
 
-// fronted is a command that takes a front's configuration.
-func fronted(name, short string, do func(c *cobra.Command, o orders, read reader) error) *cobra.Command {
+// frontCommand is a command that takes a front's configuration.
+func frontCommand(name, short string, do func(c *cobra.Command, cfg frontConfig, read configReader) error) *cobra.Command {
 	var path, listen, discovery, operators string
-	c := &cobra.Command{Use: name, Short: short, Args: unexpected}
+	c := &cobra.Command{Use: name, Short: short, Args: noArguments}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if name == "serve" {
-			heed()
+			catchSignals()
 		}
-		read := func() (orders, error) { return readConfiguration(path, listen, discovery, operators) }
-		o, err := read()
+		read := func() (frontConfig, error) { return readConfiguration(path, listen, discovery, operators) }
+		cfg, err := read()
 		if err != nil {
 			return err
 		}
-		return do(c, o, read)
+		return do(c, cfg, read)
 	}
 	c.Flags().StringVar(&path, "config", os.Getenv("GW_CONFIG"), "configuration file, JSON (or GW_CONFIG)")
 	c.Flags().StringVar(&listen, "listen", "", "address for clients (or the configuration, or GW_LISTEN)")
@@ -110,16 +110,16 @@
 	return c
 }
 
-// on names the subsystems that the operators have switched on.
-func (o *orders) on() string {
+// enabledSubsystems names the subsystems that the operators have switched on.
+func (cfg *frontConfig) enabledSubsystems() string {
 	var names []string
-	if o.operators.Door.On {
+	if cfg.operators.Door.On {
 		names = append(names, "door")
 	}
-	if o.operators.Bolt.On {
+	if cfg.operators.Bolt.On {
 		names = append(names, "bolt")
 	}
-	if o.operators.Fleet.On {
+	if cfg.operators.Fleet.On {
 		names = append(names, "fleet")
 	}
 	if len(names) == 0 {
--- a/cmd/micatrack/serve.go
+++ b/cmd/micatrack/serve.go
@@ -28,38 +28,38 @@
 	"micatrack/internal/sock"
 )
 
-// orders is what a front is told at its start.
-type orders struct {
+// frontConfig is what a front is told at its start.
+type frontConfig struct {
 	name, listen, discovery string
 	cores                   float64
-	memory                  int64 // bytes
+	memoryBytes             int64 // bytes
 	sockets                 int
-	known                   front.StoreList
-	version                 int64
+	knownStores             front.StoreList
+	knownVersion            int64
 	settings                balance.Settings
-	host                    settings.Process
+	process                 settings.Process
 	operators               operators.Options
 	stored                  configuration.StoredVersion // the fleet's configuration, as this front had it last
-	trouble                 string                      // why it was not taken, if it was not
-	pinned                  bool                        // a flag names discovery
-	own                     parts                       // as the front's files have them
+	storedError             string                      // why it was not taken, if it was not
+	discoveryPinned         bool                        // a flag names discovery
+	fromFiles               overridable                 // as the front's files have them
 }
 
 // readConfiguration reads the file. What flags name comes first; the environment fills in what is named nowhere
 // else, for it cannot follow a file that is replaced while the program runs.
-func readConfiguration(path, listen, from, switches string) (o orders, err error) {
+func readConfiguration(path, listen, discoveryAddr, operatorsPath string) (cfg frontConfig, err error) {
 	if path == "" {
-		return o, fmt.Errorf("no configuration: give -config or GW_CONFIG")
+		return cfg, fmt.Errorf("no configuration: give -config or GW_CONFIG")
 	}
-	on, err := operators.Read(switches)
+	operatorsConfig, err := operators.Read(operatorsPath)
 	if err != nil {
-		return o, err
+		return cfg, err
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return o, fmt.Errorf("configuration: %w", err)
+		return cfg, fmt.Errorf("configuration: %w", err)
 	}
-	var w struct {
+	var file struct {
 		Name, Listen, Discovery, Seed string
 		Limits                        struct {
 			Cores    float64
@@ -68,51 +68,51 @@
 		}
 		Known, Settings json.RawMessage
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
-		return o, fmt.Errorf("configuration %s: %w", path, err)
+	if err := json.Unmarshal(text, &file); err != nil {
+		return cfg, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	pinned := from != ""
-	listen = cmp.Or(listen, w.Listen, os.Getenv("GW_LISTEN"))
-	from = cmp.Or(from, w.Discovery, os.Getenv("GW_DISCOVERY"))
-	o = orders{name: w.Name, listen: listen, discovery: from, cores: w.Limits.Cores,
-		memory: w.Limits.MemoryMB << 20, sockets: w.Limits.Sockets, version: -1, operators: on}
-	for _, a := range [...]struct{ key, addr string }{{"listen", listen}, {"discovery", from}} {
+	pinned := discoveryAddr != ""
+	listen = cmp.Or(listen, file.Listen, os.Getenv("GW_LISTEN"))
+	discoveryAddr = cmp.Or(discoveryAddr, file.Discovery, os.Getenv("GW_DISCOVERY"))
+	cfg = frontConfig{name: file.Name, listen: listen, discovery: discoveryAddr, cores: file.Limits.Cores,
+		memoryBytes: file.Limits.MemoryMB << 20, sockets: file.Limits.Sockets, knownVersion: -1, operators: operatorsConfig}
+	for _, a := range [...]struct{ key, addr string }{{"listen", listen}, {"discovery", discoveryAddr}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return o, fmt.Errorf("%s: %w", a.key, err)
+			return cfg, fmt.Errorf("%s: %w", a.key, err)
 		}
 	}
-	if o.cores <= 0 || o.memory <= 0 || o.sockets < 2*reserve {
-		return o, fmt.Errorf("limits: cores, memory_mb or sockets is missing or too small")
+	if cfg.cores <= 0 || cfg.memoryBytes <= 0 || cfg.sockets < 2*reservedDescriptors {
+		return cfg, fmt.Errorf("limits: cores, memory_mb or sockets is missing or too small")
 	}
-	seed, err := strconv.ParseUint(w.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return o, fmt.Errorf("seed: %w", err)
+		return cfg, fmt.Errorf("seed: %w", err)
 	}
-	if o.settings, o.host, err = configuration.ReadSettings(w.Settings); err != nil {
-		return o, fmt.Errorf("settings: %w", err)
+	if cfg.settings, cfg.process, err = configuration.ReadSettings(file.Settings); err != nil {
+		return cfg, fmt.Errorf("settings: %w", err)
 	}
-	o.settings.Seed, o.pinned = seed, pinned
-	o.settle()
-	o.own = parts{o.discovery, o.settings, o.host, o.operators.Door}
-	if on.Fleet.On && on.Fleet.Config.On {
-		o.fromFleet()
+	cfg.settings.Seed, cfg.discoveryPinned = seed, pinned
+	cfg.deriveSettings()
+	cfg.fromFiles = overridable{cfg.discovery, cfg.settings, cfg.process, cfg.operators.Door}
+	if operatorsConfig.Fleet.On && operatorsConfig.Fleet.Config.On {
+		cfg.applyStored()
 	}
-	if len(w.Known) > 0 {
-		if o.version, o.known, err = discovery.Decode(w.Known); err != nil {
-			return o, fmt.Errorf("known: %w", err)
+	if len(file.Known) > 0 {
+		if cfg.knownVersion, cfg.knownStores, err = discovery.Decode(file.Known); err != nil {
+			return cfg, fmt.Errorf("known: %w", err)
 		}
 	}
-	o.known.Kind = balance.ListCached
-	return o, nil
+	cfg.knownStores.Kind = balance.ListCached
+	return cfg, nil
 }
 
 const (
-	reserve = 24                     // descriptors that are neither clients' nor stores'
-	rest    = 2 * time.Second        // a client that asked nothing for that long yields where there is no room
-	grace   = 600 * time.Millisecond // new connections may come for most of that time behind SIGTERM
-	force   = 500 * time.Millisecond // SIGKILL comes 700 ms after the longest deadline, and the front may be held up for 150 ms
-	longest = 3 * time.Second        // that deadline counts as this much where it is longer
-	tick    = 100 * time.Microsecond // one front.Time
+	reservedDescriptors = 24                     // descriptors that are neither clients' nor stores'
+	clientIdle          = 2 * time.Second        // a client that asked nothing for that long yields where there is no room
+	shutdownGrace       = 600 * time.Millisecond // new connections may come for most of that time behind SIGTERM
+	forceAfter          = 500 * time.Millisecond // SIGKILL comes 700 ms after the longest deadline, and the front may be held up for 150 ms
+	maxDeadline         = 3 * time.Second        // that deadline counts as this much where it is longer
+	tick                = 100 * time.Microsecond // one front.Time
 )
 
 // clock reads the wall clock once and goes on monotonically. It is rounded up: a fence or an age that is
@@ -125,21 +125,21 @@
 
 // reload reads the configuration again. Discovery is followed to another address; what else has changed waits
 // for the next start. A faulty file changes nothing.
-func reload(o *orders, read reader, move func(addr string), log *slog.Logger) {
+func reload(cfg *frontConfig, read configReader, setAddr func(addr string), log *slog.Logger) {
 	fresh, err := read()
 	if err != nil {
 		log.Error("configuration not taken", "error", err.Error())
 		return
 	}
 	log.Info("configuration read again", "discovery", fresh.discovery)
-	if fresh.discovery != o.discovery {
-		o.discovery = fresh.discovery
-		move(fresh.discovery)
+	if fresh.discovery != cfg.discovery {
+		cfg.discovery = fresh.discovery
+		setAddr(fresh.discovery)
 	}
-	fresh.known, fresh.version = o.known, o.version
-	fresh.stored, fresh.trouble = o.stored, o.trouble
-	o.own.discovery = fresh.own.discovery
-	if !reflect.DeepEqual(fresh, *o) {
+	fresh.knownStores, fresh.knownVersion = cfg.knownStores, cfg.knownVersion
+	fresh.stored, fresh.storedError = cfg.stored, cfg.storedError
+	cfg.fromFiles.discovery = fresh.fromFiles.discovery
+	if !reflect.DeepEqual(fresh, *cfg) {
 		log.Warn("more than discovery has changed; the rest waits for the next start")
 	}
 }
@@ -147,109 +147,109 @@
 // signals are heard before the configuration is read.
 // Danger: SIGHUP would end a front that has not come to hear it, and what it tells of would be missed.
 var (
-	signals = make(chan os.Signal, 8)
-	begun   = time.Now()
+	signals      = make(chan os.Signal, 8)
+	processStart = time.Now()
 )
 
-// heed has signals wait for serve.
-func heed() { signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) }
+// catchSignals has signals wait for serve.
+func catchSignals() { signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) }
 
 // serve runs a front until it is told to stop; the error says why it could not begin.
-func serve(o orders, read reader) error {
+func serve(cfg frontConfig, read configReader) error {
 	// One processor more than cores: the poller sits in a system call most of the time, and the runtime takes
 	// a processor that does so back only after a while.
-	runtime.GOMAXPROCS(int(math.Ceil(o.cores)) + 1)
-	debug.SetMemoryLimit(o.memory * 3 / 4)
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("front", o.name)
+	runtime.GOMAXPROCS(int(math.Ceil(cfg.cores)) + 1)
+	debug.SetMemoryLimit(cfg.memoryBytes * 3 / 4)
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("front", cfg.name)
 
-	answer := max(pgwire.MaxQuerySize, int(o.memory/64)) // the rings' share of memory holds sixteen
-	net, err := sock.Open(o.listen, o.sockets, o.memory/4, answer)
+	maxReply := max(pgwire.MaxQuerySize, int(cfg.memoryBytes/64)) // the rings' share of memory holds sixteen
+	sockets, err := sock.Open(cfg.listen, cfg.sockets, cfg.memoryBytes/4, maxReply)
 	if err != nil {
-		return exit{1, fmt.Errorf("listen: %w", err)}
+		return exitError{1, fmt.Errorf("listen: %w", err)}
 	}
 	now := clock()
-	watcher := discovery.Watch(o.discovery, o.version, net.Wake, log)
-	links := o.sockets - reserve
-	limits := front.Limits{MaxConnections: links, MaxClients: links / 2, MaxStoreMessage: answer, MaxBufferedReplies: int(o.memory / 16), ClientIdle: int64(rest / tick), ShutdownGrace: int64(grace / tick), ForceAfter: int64(force / tick),
-		MaxDeadline: int64(longest / tick), CancelSecret: make([]byte, 32)}
+	watcher := discovery.Watch(cfg.discovery, cfg.knownVersion, sockets.Wake, log)
+	maxConnections := cfg.sockets - reservedDescriptors
+	limits := front.Limits{MaxConnections: maxConnections, MaxClients: maxConnections / 2, MaxStoreMessage: maxReply, MaxBufferedReplies: int(cfg.memoryBytes / 16), ClientIdle: int64(clientIdle / tick), ShutdownGrace: int64(shutdownGrace / tick), ForceAfter: int64(forceAfter / tick),
+		MaxDeadline: int64(maxDeadline / tick), CancelSecret: make([]byte, 32)}
 	rand.Read(limits.CancelSecret)
-	limits.Admission = doorBounds(&o.operators.Door)
-	if b := o.operators.Bolt; b.On {
-		bound, err := net.AddListener(b.Listen, front.Bolt)
+	limits.Admission = admissionBounds(&cfg.operators.Door)
+	if b := cfg.operators.Bolt; b.On {
+		bound, err := sockets.AddListener(b.Listen, front.Bolt)
 		if err != nil {
-			return exit{1, fmt.Errorf("listen: %w", err)}
+			return exitError{1, fmt.Errorf("listen: %w", err)}
 		}
 		limits.BoltAddress, limits.DrainGrace = cmp.Or(b.Advertise, bound), b.DrainMS*int64(time.Millisecond/tick)
 		log.Info("bolt", "listen", bound)
 	}
-	var others *together
-	if o.operators.Fleet.On {
-		if others, err = join(now, &o, net.Wake, log); err != nil {
-			return exit{1, fmt.Errorf("fleet: %w", err)}
+	var node *fleetNode
+	if cfg.operators.Fleet.On {
+		if node, err = joinFleet(now, &cfg, sockets.Wake, log); err != nil {
+			return exitError{1, fmt.Errorf("fleet: %w", err)}
 		}
-		if others.config != nil {
-			others.config.move = watcher.SetAddr
-			read = others.config.reader(read)
+		if node.config != nil {
+			node.config.setDiscovery = watcher.SetAddr
+			read = node.config.withVersionInForce(read)
 		}
 		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took front.Time) {
-			others.bridge.RecordOutcome(now(), store, how, expected, took)
+			node.bridge.RecordOutcome(now(), store, how, expected, took)
 		}
 	}
-	if others != nil && others.look != nil {
-		limits.PositionWatch = others.look
+	if node != nil && node.positionWatch != nil {
+		limits.PositionWatch = node.positionWatch
 	}
-	core, err := front.New(now(), o.settings, o.host, limits, net, watcher.Connect, log)
+	core, err := front.New(now(), cfg.settings, cfg.process, limits, sockets, watcher.Connect, log)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	core.UpdateStores(o.known)
-	if others != nil {
-		others.serves(core, o.known, time.Duration(o.operators.Fleet.JoinMS)*time.Millisecond)
+	core.UpdateStores(cfg.knownStores)
+	if node != nil {
+		node.attachCore(core, cfg.knownStores, time.Duration(cfg.operators.Fleet.JoinMS)*time.Millisecond)
 	}
-	if o.settings.ListPushed {
+	if cfg.settings.ListPushed {
 		watcher.Connect()
 	}
-	var halt, again atomic.Bool
+	var stopRequested, reloadRequested atomic.Bool
 	go func() {
 		for s := range signals {
 			if s == syscall.SIGHUP {
-				again.Store(true)
+				reloadRequested.Store(true)
 			} else {
-				halt.Store(true)
+				stopRequested.Store(true)
 			}
-			net.Wake()
+			sockets.Wake()
 		}
 	}()
-	log.Info("serving", "listen", net.Addr(), "discovery", o.discovery, "stores", len(o.known.Entries), "ready_ms", time.Since(begun).Milliseconds())
+	log.Info("serving", "listen", sockets.Addr(), "discovery", cfg.discovery, "stores", len(cfg.knownStores.Entries), "ready_ms", time.Since(processStart).Milliseconds())
 	var lists []front.StoreList
 	// What was accepted in the last moment is served as well: the core has yet to hear of it.
-	for deaf := false; !core.Done() || net.Clients() > 0; {
+	for acceptStopped := false; !core.Done() || sockets.Clients() > 0; {
 		next := core.NextStep()
-		if others != nil {
-			next = min(next, others.Next())
+		if node != nil {
+			next = min(next, node.Next())
 		}
-		events := net.Poll(time.Duration(next-now()) * tick)
+		events := sockets.Poll(time.Duration(next-now()) * tick)
 		lists = watcher.TakeUpdates(lists[:0])
 		for _, l := range lists {
 			core.UpdateStores(l)
 		}
-		if halt.Load() {
+		if stopRequested.Load() {
 			core.Stop(now())
 		}
-		if others != nil {
-			others.turn(lists, halt.Load())
+		if node != nil {
+			node.step(lists, stopRequested.Load())
 		}
-		if again.CompareAndSwap(true, false) {
-			reload(&o, read, watcher.SetAddr, log)
+		if reloadRequested.CompareAndSwap(true, false) {
+			reload(&cfg, read, watcher.SetAddr, log)
 		}
 		core.Step(now(), events)
-		if !deaf && core.Stopping() {
-			deaf = true
-			net.StopAccepting()
+		if !acceptStopped && core.Stopping() {
+			acceptStopped = true
+			sockets.StopAccepting()
 		}
 	}
-	if others != nil {
-		others.close()
+	if node != nil {
+		node.close()
 	}
 	core.LogCounts()
 	log.Info("stopped")
--- a/cmd/micatrack/state.go
+++ b/cmd/micatrack/state.go
@@ -22,7 +22,7 @@
 			}
 			w, err := voterstate.Create(args[0], fleet, voter, first, voters)
 			if err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: voter %s of fleet %s, number %d\n", args[0], w.Voter, w.Fleet, w.ID)
 			return nil
@@ -36,7 +36,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := voterstate.ReadSummary(args[0])
 			if err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(s)
@@ -52,7 +52,7 @@
 	verify := &cobra.Command{Use: "verify FILE", Short: "Tell whether it is whole, and end with status 1 where it is not", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := voterstate.ReadSummary(args[0]); err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: whole\n", args[0])
 			return nil
--- a/cmd/micatrack/zones_test.go
+++ b/cmd/micatrack/zones_test.go
@@ -283,7 +283,7 @@
 }
 
 func alive(t *testing.T, f *rig.Front) (n int) {
-	var members []told
+	var members []memberStatus
 	if _, err := ask(t, f, &members, "members"); err != nil {
 		return -1
 	}
@@ -612,7 +612,7 @@
 		}
 		for _, o := range r.Fronts {
 			r.Await(10*time.Second, o.Name+" holds the fleet for alive", func() bool {
-				var members []told
+				var members []memberStatus
 				ask(t, o, &members, "members")
 				n := 0
 				for _, m := range members {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -17,27 +17,27 @@
 
 // host holds the fronts of this process; they share nothing but the numbered lists of the wire.
 type host struct {
-	out    *bufio.Writer
-	fronts map[string]*front
-	lists  [16]*list
-	fields map[string]string
-	now    balance.Time
-	inside bool
-	batch  string
+	out     *bufio.Writer
+	fronts  map[string]*front
+	lists   [16]*list
+	fields  map[string]string
+	now     balance.Time
+	inBatch bool
+	batch   string
 }
 
 type list struct {
-	left    int
+	missing int
 	members []balance.Member
 }
 
 // front is one instance: the module and what it may ask for.
 type front struct {
-	host   *host
-	name   string
-	zero   int64 // microseconds
-	module *balance.Balancer
-	stores map[uint32]bool
+	host          *host
+	name          string
+	positionEpoch int64 // microseconds
+	balancer      *balance.Balancer
+	listedStores  map[uint32]bool
 }
 
 // Serve plays batches from in until its end.
@@ -48,7 +48,7 @@
 	for n := 1; ; n++ {
 		line, err := r.ReadString('\n')
 		if err == io.EOF && line == "" {
-			if h.inside {
+			if h.inBatch {
 				return fmt.Errorf("batch %s, line %d: input ends inside a batch", h.batch, n)
 			}
 			return nil
@@ -59,66 +59,66 @@
 		if line = strings.TrimRight(line, "\r\n"); line == "" {
 			continue
 		}
-		if err := h.line(line); err != nil {
+		if err := h.handleLine(line); err != nil {
 			return fmt.Errorf("batch %s, line %d: %w", h.batch, n, err)
 		}
 	}
 }
 
-func (h *host) line(line string) error {
+func (h *host) handleLine(line string) error {
 	word, rest, _ := strings.Cut(line, " ")
-	if err := h.parse(rest); err != nil {
+	if err := h.parseFields(rest); err != nil {
 		return fmt.Errorf("%s: %w", word, err)
 	}
 	if word == "TICK" {
-		clock, err := h.int("Clock")
+		clock, err := h.intField("Clock")
 		if err != nil {
 			return err
 		}
-		if _, err := h.int("round"); err != nil {
+		if _, err := h.intField("round"); err != nil {
 			return err
 		}
-		if h.inside {
+		if h.inBatch {
 			return fmt.Errorf("TICK inside a batch")
 		}
 		// Rounded up: a fence or an age reckoned from it errs to the safe side.
-		h.batch, h.now, h.inside = h.fields["round"], (clock+microsPerTime-1)/microsPerTime, true
+		h.batch, h.now, h.inBatch = h.fields["round"], (clock+microsPerTime-1)/microsPerTime, true
 		return nil
 	}
-	if !h.inside {
+	if !h.inBatch {
 		return fmt.Errorf("%q outside a batch", word)
 	}
-	if err := h.openList(word); err != nil {
+	if err := h.checkListComplete(word); err != nil {
 		return err
 	}
 	switch word {
 	case "COMMIT":
-		h.inside = false
+		h.inBatch = false
 		fmt.Fprintf(h.out, "FINISHED round=%s\n", h.batch)
 		if err := h.out.Flush(); err != nil {
 			return fmt.Errorf("writing the reply: %w", err)
 		}
 		return nil
 	case "MANIFEST":
-		return h.manifest()
+		return h.startList()
 	case "ENTRY":
-		return h.entry()
+		return h.appendEntry()
 	}
 	return h.event(word)
 }
 
-// openList refuses anything but an ENTRY while a list lacks lines.
-func (h *host) openList(word string) error {
+// checkListComplete refuses anything but an ENTRY while a list lacks lines.
+func (h *host) checkListComplete(word string) error {
 	for i, l := range h.lists {
-		if l != nil && l.left > 0 && word != "ENTRY" {
-			return fmt.Errorf("%s while list %d lacks %d entries", word, i, l.left)
+		if l != nil && l.missing > 0 && word != "ENTRY" {
+			return fmt.Errorf("%s while list %d lacks %d entries", word, i, l.missing)
 		}
 	}
 	return nil
 }
 
-// parse splits name=value pairs; BootInfo and BodyText run to the end of the line.
-func (h *host) parse(rest string) error {
+// parseFields splits name=value pairs; BootInfo and BodyText run to the end of the line.
+func (h *host) parseFields(rest string) error {
 	clear(h.fields)
 	for rest != "" {
 		name, tail, ok := strings.Cut(rest, "=")
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (h *host) int(name string) (int64, error) {
+func (h *host) intField(name string) (int64, error) {
 	v, ok := h.fields[name]
 	if !ok {
 		return 0, fmt.Errorf("%s is missing", name)
@@ -147,8 +147,8 @@
 	return n, nil
 }
 
-// optional reads a number that may be left out.
-func (h *host) optional(name string) (float64, error) {
+// optionalField reads a number that may be left out.
+func (h *host) optionalField(name string) (float64, error) {
 	v, ok := h.fields[name]
 	if !ok {
 		return 0, nil
@@ -160,7 +160,7 @@
 	return f, nil
 }
 
-func (h *host) store() (uint32, error) {
+func (h *host) storeField() (uint32, error) {
 	n, err := strconv.ParseUint(h.fields["Store"], 10, 32)
 	if err != nil {
 		return 0, fmt.Errorf("Store: %w", err)
@@ -168,30 +168,30 @@
 	return uint32(n), nil
 }
 
-func (h *host) manifest() error {
-	n, err := h.int("Buffer")
+func (h *host) startList() error {
+	n, err := h.intField("Buffer")
 	if err != nil {
 		return err
 	}
-	count, err := h.int("Entries")
+	count, err := h.intField("Entries")
 	if err != nil {
 		return err
 	}
 	if n < 0 || n >= int64(len(h.lists)) || count < 0 {
 		return fmt.Errorf("MANIFEST: no list %d of %d entries", n, count)
 	}
-	h.lists[n] = &list{left: int(count)}
+	h.lists[n] = &list{missing: int(count)}
 	return nil
 }
 
-func (h *host) entry() error {
+func (h *host) appendEntry() error {
 	for _, l := range h.lists {
-		if l != nil && l.left > 0 {
-			m, err := h.member()
+		if l != nil && l.missing > 0 {
+			m, err := h.parseMember()
 			if err != nil {
 				return fmt.Errorf("ENTRY: %w", err)
 			}
-			l.left--
+			l.missing--
 			l.members = append(l.members, m)
 			return nil
 		}
@@ -199,15 +199,15 @@
 	return fmt.Errorf("ENTRY outside a list")
 }
 
-func (h *host) member() (balance.Member, error) {
+func (h *host) parseMember() (balance.Member, error) {
 	m := balance.Member{Zone: h.fields["Az"]}
 	var err error
-	if m.Store, err = h.store(); err != nil {
+	if m.Store, err = h.storeField(); err != nil {
 		return m, err
 	}
-	var read [5]float64
+	var values [5]float64
 	for i, name := range [...]string{"Share", "StartedAt", "Condition", "IsPrimary", "Db"} {
-		if read[i], err = h.optional(name); err != nil {
+		if values[i], err = h.optionalField(name); err != nil {
 			return m, err
 		}
 	}
@@ -221,7 +221,7 @@
 	default:
 		return m, fmt.Errorf("Condition %q is unknown", h.fields["Condition"])
 	}
-	m.Size, m.Started, m.Primary, m.Group = read[0], int64(read[1])/microsPerTime, read[3] == 1, uint64(read[4])
+	m.Size, m.Started, m.Primary, m.Group = values[0], int64(values[1])/microsPerTime, values[3] == 1, uint64(values[4])
 	return m, nil
 }
 
@@ -229,7 +229,7 @@
 func (h *host) event(word string) (err error) {
 	name := h.fields["I"]
 	if word == "UP" {
-		return h.up(name)
+		return h.startFront(name)
 	}
 	f := h.fronts[name]
 	if f == nil {
@@ -237,7 +237,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			f.text("FAULT", fmt.Sprint(p))
+			f.writeText("FAULT", fmt.Sprint(p))
 			err = nil
 		}
 	}()
@@ -245,18 +245,18 @@
 	case "STOP":
 		delete(h.fronts, name)
 	case "MEMBERSHIP":
-		err = h.membership(f)
+		err = h.updateMembers(f)
 	case "ACCEPT":
-		err = h.accept(f)
+		err = h.submitRequest(f)
 	case "LEFT":
-		f.module.ClientGone(h.now, h.fields["Tid"])
+		f.balancer.ClientGone(h.now, h.fields["Tid"])
 	case "FLOWING":
-		f.module.ResponseStarted(h.now, h.fields["Tid"])
+		f.balancer.ResponseStarted(h.now, h.fields["Tid"])
 	case "WAKEUP":
-		f.module.Tick(h.now)
+		f.balancer.Tick(h.now)
 	case "NOTE_FROM": // the module sends no messages
 	case "OUTCOME", "CHECK_RESULT":
-		err = h.result(f, word == "OUTCOME")
+		err = h.reportResult(f, word == "OUTCOME")
 	default:
 		return fmt.Errorf("unknown message %q", word)
 	}
@@ -266,7 +266,7 @@
 	return nil
 }
 
-func (h *host) up(name string) error {
+func (h *host) startFront(name string) error {
 	if name == "" {
 		return fmt.Errorf("UP: I is missing")
 	}
@@ -274,30 +274,30 @@
 	if err != nil {
 		return fmt.Errorf("UP: Entropy: %w", err)
 	}
-	c, settings, err := settings.Read([]byte(h.fields["BootInfo"]))
+	c, process, err := settings.Read([]byte(h.fields["BootInfo"]))
 	if err != nil {
 		return fmt.Errorf("UP %s: BootInfo: %w", name, err)
 	}
 	c.Seed = seed
-	f := &front{host: h, name: name, zero: settings.PositionEpoch, stores: map[uint32]bool{}}
-	if f.module, err = balance.New(h.now, c, f); err != nil {
+	f := &front{host: h, name: name, positionEpoch: process.PositionEpoch, listedStores: map[uint32]bool{}}
+	if f.balancer, err = balance.New(h.now, c, f); err != nil {
 		return fmt.Errorf("UP %s: %w", name, err)
 	}
 	h.fronts[name] = f
 	return nil
 }
 
-func (h *host) membership(f *front) error {
-	news, ok := map[string]balance.ListKind{"0": balance.ListFailed, "2": balance.ListFull,
+func (h *host) updateMembers(f *front) error {
+	kind, ok := map[string]balance.ListKind{"0": balance.ListFailed, "2": balance.ListFull,
 		"3": balance.ListChanges, "4": balance.ListCached}[h.fields["How"]]
 	if !ok {
 		return fmt.Errorf("How %q is unknown", h.fields["How"])
 	}
-	if news == balance.ListFailed {
-		f.module.UpdateMembers(h.now, news, nil)
+	if kind == balance.ListFailed {
+		f.balancer.UpdateMembers(h.now, kind, nil)
 		return nil
 	}
-	n, err := h.int("Buffer")
+	n, err := h.intField("Buffer")
 	if err != nil {
 		return err
 	}
@@ -305,14 +305,14 @@
 		return fmt.Errorf("no list %d", n)
 	}
 	for _, m := range h.lists[n].members {
-		f.stores[m.Store] = true
+		f.listedStores[m.Store] = true
 	}
-	f.module.UpdateMembers(h.now, news, h.lists[n].members)
+	f.balancer.UpdateMembers(h.now, kind, h.lists[n].members)
 	return nil
 }
 
-func (h *host) accept(f *front) error {
-	left, err := h.int("Remaining")
+func (h *host) submitRequest(f *front) error {
+	remaining, err := h.intField("Remaining")
 	if err != nil {
 		return err
 	}
@@ -320,69 +320,69 @@
 	if err != nil {
 		return fmt.Errorf("ClusterNo: %w", err)
 	}
-	age, err := h.optional("LastWriteMs")
+	age, err := h.optionalField("LastWriteMs")
 	if err != nil {
 		return err
 	}
-	effort, err := h.optional("Effort")
+	effort, err := h.optionalField("Effort")
 	if err != nil {
 		return err
 	}
-	j := balance.Request{ID: h.fields["Tid"], Class: h.fields["Cls"], Tenant: h.fields["Account"],
-		Session: h.fields["Session"], Group: group, Work: int64(effort) / microsPerTime, Left: left / microsPerTime,
+	request := balance.Request{ID: h.fields["Tid"], Class: h.fields["Cls"], Tenant: h.fields["Account"],
+		Session: h.fields["Session"], Group: group, Work: int64(effort) / microsPerTime, Left: remaining / microsPerTime,
 		Repeated: h.fields["Resent"] == "1", WriteAge: -1}
 	if age > 0 {
-		j.WriteAge = int64(age * 1000 / microsPerTime)
+		request.WriteAge = int64(age * 1000 / microsPerTime)
 	}
-	if err := f.module.Submit(h.now, j); err != nil {
+	if err := f.balancer.Submit(h.now, request); err != nil {
 		return err
 	}
 	return nil
 }
 
-var endings = map[string]balance.Ending{"0": balance.Served, "1": balance.NotEligible, "249": balance.NotSent,
+var endingByCode = map[string]balance.Ending{"0": balance.Served, "1": balance.NotEligible, "249": balance.NotSent,
 	"250": balance.Cancelled, "251": balance.ConnectionLost, "252": balance.ConnectFailed, "253": balance.TimedOut,
 	"254": balance.Overloaded, "255": balance.Failed}
 
-func (h *host) result(f *front, attempt bool) error {
-	store, err := h.store()
+func (h *host) reportResult(f *front, attempt bool) error {
+	store, err := h.storeField()
 	if err != nil {
 		return err
 	}
-	if !f.stores[store] {
+	if !f.listedStores[store] {
 		return fmt.Errorf("store %d was in no list", store)
 	}
-	ending, ok := endings[h.fields["StateCode"]]
+	ending, ok := endingByCode[h.fields["StateCode"]]
 	if !ok {
 		return fmt.Errorf("StateCode %q is unknown", h.fields["StateCode"])
 	}
 	r := balance.Result{Ending: ending, Done: h.fields["Closed"] == "1"}
-	if r.Load, err = f.load(h.fields["Usage"]); err != nil {
+	if r.Load, err = f.parseLoad(h.fields["Usage"]); err != nil {
 		return err
 	}
 	if !attempt {
-		f.module.ProbeDone(h.now, store, r)
+		f.balancer.ProbeDone(h.now, store, r)
 		return nil
 	}
 	if h.fields["Note"] != "" {
-		note, err := h.int("Note")
+		note, err := h.intField("Note")
 		if err != nil {
 			return err
 		}
-		r.Note.Role = role(note & 3)
+		r.Note.Role = roleFromNote(note & 3)
 		if note >= 4 {
-			r.Note.Position = f.zero/microsPerTime + note/4*1000/microsPerTime
+			r.Note.Position = f.positionEpoch/microsPerTime + note/4*1000/microsPerTime
 		}
 	}
-	hop, err := h.int("Hop")
+	hop, err := h.intField("Hop")
 	if err != nil {
 		return err
 	}
-	f.module.AttemptDone(h.now, h.fields["Tid"], int(hop), store, r)
+	f.balancer.AttemptDone(h.now, h.fields["Tid"], int(hop), store, r)
 	return nil
 }
 
-func role(n int64) balance.Role {
+func roleFromNote(n int64) balance.Role {
 	switch n {
 	case 1:
 		return balance.Primary
@@ -392,8 +392,8 @@
 	return balance.RoleUnknown
 }
 
-// load reads the two values of a report that the module goes by.
-func (f *front) load(pairs string) (balance.Report, error) {
+// parseLoad reads the two values of a report that the module goes by.
+func (f *front) parseLoad(pairs string) (balance.Report, error) {
 	var r balance.Report
 	for pairs != "" && pairs != "-" {
 		pair, more, _ := strings.Cut(pairs, ",")
@@ -404,7 +404,7 @@
 		}
 		switch {
 		case name == "x0" && v > 0:
-			r.Position = f.zero/microsPerTime + int64(v*1e6)/microsPerTime
+			r.Position = f.positionEpoch/microsPerTime + int64(v*1e6)/microsPerTime
 		case name == "x1" && v == 1:
 			r.Role = balance.Primary
 		case name == "x1":
@@ -417,7 +417,7 @@
 
 // The rest is balance.Front.
 
-func (f *front) start(word string) *bufio.Writer {
+func (f *front) startLine(word string) *bufio.Writer {
 	w := f.host.out
 	w.WriteString(word)
 	w.WriteString(" I=")
@@ -425,70 +425,70 @@
 	return w
 }
 
-func (f *front) field(name string, v int64) {
+func (f *front) writeField(name string, v int64) {
 	f.host.out.WriteString(name)
 	f.host.out.Write(strconv.AppendInt(f.host.out.AvailableBuffer(), v, 10))
 }
 
-func (f *front) onRequest(word, request string) {
-	f.start(word).WriteString(" Tid=" + request)
+func (f *front) startRequestLine(word, request string) {
+	f.startLine(word).WriteString(" Tid=" + request)
 }
 
-func (f *front) end() { f.host.out.WriteByte('\n') }
+func (f *front) endLine() { f.host.out.WriteByte('\n') }
 
-func (f *front) text(word, text string) {
-	f.start(word).WriteString(" BodyText=" + strings.ReplaceAll(text, "\n", " "))
-	f.end()
+func (f *front) writeText(word, text string) {
+	f.startLine(word).WriteString(" BodyText=" + strings.ReplaceAll(text, "\n", " "))
+	f.endLine()
 }
 
 func (f *front) Send(request string, store uint32, until, _ balance.Time) {
-	f.onRequest("SEND", request)
-	f.field(" Store=", int64(store))
-	f.field(" TryUntil=", until*microsPerTime)
-	f.end()
+	f.startRequestLine("SEND", request)
+	f.writeField(" Store=", int64(store))
+	f.writeField(" TryUntil=", until*microsPerTime)
+	f.endLine()
 }
 
 func (f *front) Cancel(request string, attempt int) {
-	f.onRequest("REVOKE", request)
-	f.field(" Hop=", int64(attempt))
-	f.end()
+	f.startRequestLine("REVOKE", request)
+	f.writeField(" Hop=", int64(attempt))
+	f.endLine()
 }
 
 func (f *front) Refuse(request string, pause balance.Time) {
-	f.onRequest("OVERLOAD_REPLY", request)
-	f.field(" Pause=", pause*microsPerTime)
-	f.end()
+	f.startRequestLine("OVERLOAD_REPLY", request)
+	f.writeField(" Pause=", pause*microsPerTime)
+	f.endLine()
 }
 
 func (f *front) Fail(request string) {
-	f.onRequest("ABORT", request)
-	f.end()
+	f.startRequestLine("ABORT", request)
+	f.endLine()
 }
 
 func (f *front) Probe(store uint32, _ balance.Time, _ bool) {
-	f.start("PING")
-	f.field(" Store=", int64(store))
-	f.end()
+	f.startLine("PING")
+	f.writeField(" Store=", int64(store))
+	f.endLine()
 }
 
 func (f *front) CloseIdle(store uint32) {
-	f.start("HANG_UP")
-	f.field(" Store=", int64(store))
-	f.end()
+	f.startLine("HANG_UP")
+	f.writeField(" Store=", int64(store))
+	f.endLine()
 }
 
 // Forget: numbers on the simulator's wire are its own, and name one store for the whole day.
 func (f *front) Forget(uint32) {}
 
 func (f *front) WakeAfter(after balance.Time) {
-	f.start("SET_ALARM").WriteString(" Name=1")
-	f.field(" SleepFor=", after*microsPerTime)
-	f.end()
+	f.startLine("SET_ALARM").WriteString(" Name=1")
+	f.writeField(" SleepFor=", after*microsPerTime)
+	f.endLine()
 }
 
 func (f *front) WatchMembers() {
-	f.start("WATCH").WriteString(" Active=1")
-	f.end()
+	f.startLine("WATCH").WriteString(" Active=1")
+	f.endLine()
 }
 
-func (f *front) Log(text string) { f.text("JOURNAL_LINE", text) }
+func (f *front) Log(text string) { f.writeText("JOURNAL_LINE", text) }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,7 +11,7 @@
 	`"Profiles":[{"Aim":400000,"HardLimit":1500000,"Idempotency":"once","Name":"w","Worth":1}],` +
 	`"RegistryMode":"pushed","ReplicasOfMe":1,"Round":5000,"Unknown":{"x":1}}`
 
-const oneStore = "MANIFEST Buffer=0 Entries=1\nENTRY Kind=k Share=1 Store=5 Az=a Condition=1 IsPrimary=1 Db=3\n" +
+const oneStoreList = "MANIFEST Buffer=0 Entries=1\nENTRY Kind=k Share=1 Store=5 Az=a Condition=1 IsPrimary=1 Db=3\n" +
 	"MEMBERSHIP I=front_0 How=4 SeqNo=1 Buffer=0\n"
 
 func play(t *testing.T, in string) (string, error) {
@@ -22,9 +22,9 @@
 }
 
 func TestBatch(t *testing.T) {
-	out, err := play(t, "TICK Clock=500000 round=1\n"+up+"\n"+oneStore+
+	out, err := play(t, "TICK Clock=500000 round=1\n"+up+"\n"+oneStoreList+
 		"ACCEPT I=front_0 Tid=t/a Remaining=900000 Cls=w ClusterNo=3 Session=s New=1\nCOMMIT\n"+
-		"TICK Clock=505000 round=2\nSTOP I=front_0\n"+up+"\n"+oneStore+"LEFT I=front_0 Tid=t/gone\nCOMMIT\n")
+		"TICK Clock=505000 round=2\nSTOP I=front_0\n"+up+"\n"+oneStoreList+"LEFT I=front_0 Tid=t/gone\nCOMMIT\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	head := "TICK Clock=500000 round=4\n" + up + "\n" + oneStore
+	head := "TICK Clock=500000 round=4\n" + up + "\n" + oneStoreList
 	for _, c := range []struct{ name, in, want string }{
 		{"outside a batch", "STOP I=front_0\n", "outside a batch"},
 		{"unknown message", head + "HELLO I=front_0\n", `unknown message "HELLO"`},
