--- a/cmd/micatrack/capacity.go
+++ b/cmd/micatrack/capacity.go
@@ -13,50 +13,54 @@
 	"micatrack/internal/capacity"
 )
 
-// errOverLimit ends `micatrack capacity` with status 1.
+// errOverLimit makes `micatrack capacity` exit with status 1.
 var errOverLimit = errors.New("at least one figure is over its limit")
 
 // capacityOptions are the flags of `micatrack capacity`.
 type capacityOptions struct {
-	size                    capacity.Size
-	spans                   capacity.Spans
-	event, slopes           string
-	sizes                   []float64
-	asJSON                  bool
-	cpuProfile, heapProfile string
+	size        capacity.Size
+	spans       capacity.Spans
+	event       string    // name of the fault to inject
+	slopes      string    // name of the figure to vary; empty for a single simulation
+	sizes       []float64 // values of the varied figure; empty for its defaults
+	asJSON      bool      // print JSON instead of a table
+	cpuProfile  string    // file for the CPU profile; empty for none
+	heapProfile string    // file for the heap profile; empty for none
 }
 
-// capacityCommand plays a fleet of hollow fronts and prints what it costs.
+// capacityCommand returns the command `micatrack capacity`. It simulates a fleet of hollow fronts, which run a front's
+// control code without sockets, and prints what the fleet costs.
 func capacityCommand() *cobra.Command {
 	var o capacityOptions
-	c := &cobra.Command{Use: "capacity", Short: "Play a whole fleet on a virtual clock and print what it costs",
+	c := &cobra.Command{Use: "capacity", Short: "Simulate a whole fleet on a virtual clock and print what it costs",
 		Args: noArguments, RunE: func(c *cobra.Command, _ []string) error {
 			return o.run(c.OutOrStdout(), c.ErrOrStderr())
 		}}
 	flags := c.Flags()
-	flags.IntVar(&o.size.Fronts, "fronts", 100, "hollow fronts")
+	flags.IntVar(&o.size.Fronts, "fronts", 100, "hollow fronts, which run without sockets")
 	flags.IntVar(&o.size.Stores, "stores", 99, "stores, in groups of three")
 	flags.IntVar(&o.size.Zones, "zones", 3, "zones, over which fronts and stores are spread in turn")
 	flags.IntVar(&o.size.Regions, "regions", 1, "regions, over which zones are spread in turn")
-	flags.Float64Var(&o.size.Statements, "statements", 10, "statements a second of each front; 0: none")
-	flags.BoolVar(&o.size.Watch, "watch", true, "the watch of positions")
-	flags.BoolVar(&o.size.Leases, "leases", true, "leases, granted by five control machines")
-	flags.BoolVar(&o.size.Lossless, "lossless", false, "no datagram between fronts is lost; otherwise 1 %")
-	flags.Uint64Var(&o.size.Seed, "seed", 1, "seed of the play")
-	flags.StringVar(&o.event, "event", "none", "trouble behind the calm time:"+eventList())
-	flags.IntVar(&o.spans.Start, "start", 20, "seconds of first contact, told apart from calm")
-	flags.IntVar(&o.spans.Calm, "calm", 60, "seconds of calm")
-	flags.IntVar(&o.spans.Event, "event-time", 10, "seconds that the trouble lasts")
-	flags.IntVar(&o.spans.Recovery, "recovery", 20, "seconds behind it")
+	flags.Float64Var(&o.size.Statements, "statements", 10, "statements per second on each front; 0: none")
+	flags.BoolVar(&o.size.Watch, "watch", true, "watch the stores' positions")
+	flags.BoolVar(&o.size.Leases, "leases", true, "grant leases by five control machines")
+	flags.BoolVar(&o.size.Lossless, "lossless", false, "lose no datagram between fronts; otherwise 1 % is lost")
+	flags.Uint64Var(&o.size.Seed, "seed", 1, "seed of the simulation")
+	flags.StringVar(&o.event, "event", "none", "fault that follows the calm phase:"+eventList())
+	flags.IntVar(&o.spans.Start, "start", 20, "seconds of first contact, reported separately from the calm phase")
+	flags.IntVar(&o.spans.Calm, "calm", 60, "seconds of the calm phase")
+	flags.IntVar(&o.spans.Event, "event-time", 10, "seconds that the fault lasts")
+	flags.IntVar(&o.spans.Recovery, "recovery", 20, "seconds of recovery after the fault")
 	flags.StringVar(&o.slopes, "slopes", "",
 		"vary one figure and fit slopes: fronts, stores, statements, zones or regions")
-	flags.Float64SliceVar(&o.sizes, "sizes", nil, "sizes for --slopes, in place of its own")
-	flags.BoolVar(&o.asJSON, "json", false, "print JSON in place of a table")
-	flags.StringVar(&o.cpuProfile, "cpu-profile", "", "write a profile of processor time to this file")
-	flags.StringVar(&o.heapProfile, "heap-profile", "", "write a profile of memory at the end to this file")
+	flags.Float64SliceVar(&o.sizes, "sizes", nil, "sizes for --slopes, instead of its defaults")
+	flags.BoolVar(&o.asJSON, "json", false, "print JSON instead of a table")
+	flags.StringVar(&o.cpuProfile, "cpu-profile", "", "write a CPU profile to this file")
+	flags.StringVar(&o.heapProfile, "heap-profile", "", "write a heap profile to this file at the end")
 	return c
 }
 
+// eventList returns one line of help text for each fault.
 func eventList() (text string) {
 	for _, event := range capacity.Events() {
 		text += fmt.Sprintf("\n%s: %s", event.Name, event.Short)
@@ -64,12 +68,13 @@
 	return text
 }
 
-// report is what a play or a study comes to.
+// report is the result of a simulation or of a series of them.
 type report interface {
 	Print(out io.Writer) error
 	Over() bool
 }
 
+// run executes the command. It prints the result to out and messages about its progress to progress.
 func (o *capacityOptions) run(out, progress io.Writer) error {
 	stop, err := o.profile()
 	if err != nil {
@@ -92,6 +97,7 @@
 	return err
 }
 
+// play runs one simulation or, with --slopes, one for each size of the varied figure.
 func (o *capacityOptions) play(progress io.Writer) (report, error) {
 	event, err := capacity.EventByName(o.event)
 	if err != nil {
@@ -111,7 +117,7 @@
 	return capacity.Vary(play, axis)
 }
 
-// profile begins the profiles that were asked for; stop writes them.
+// profile starts the requested profiles; stop writes them.
 func (o *capacityOptions) profile() (stop func() error, err error) {
 	var cpuFile *os.File
 	if o.cpuProfile != "" {
--- a/cmd/micatrack/config.go
+++ b/cmd/micatrack/config.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	maxCommandBytes = 512 << 10       // bytes of a command to the control address
-	loopTimeout     = 2 * time.Second // that the loop may take to answer one
+	maxCommandBytes = 512 << 10       // largest body of a command to the control address
+	loopTimeout     = 2 * time.Second // longest wait for the event loop while a command is served
 )
 
-// fleetConfig is a front's part in the fleet's configuration. It is the loop's, but for what the commands ask.
+// fleetConfig is a front's part in the fleet's configuration. It belongs to the event loop, except for the methods that
+// serve commands and control messages.
 type fleetConfig struct {
 	node          *fleetNode
-	current       *frontConfig
-	front         *configuration.Front
-	control       *configuration.Control
-	service       configuration.Service
-	addr          string // where other machines reach this one
-	setDiscovery  func(addr string)
-	nextDiscovery string // address of discovery that is to be followed; empty: no other one
+	current       *frontConfig           // the configuration that the front uses now
+	front         *configuration.Front   // receives versions and puts them in force on this front
+	control       *configuration.Control // stores and distributes versions; used by the voter's goroutine only
+	service       configuration.Service  // finds the control machine that executes an operator's request
+	addr          string                 // address at which other machines reach this one
+	setDiscovery  func(addr string)      // switches to another address of discovery
+	nextDiscovery string                 // address of discovery to switch to in the next step; empty if unchanged
 }
 
-// newConfigControl gives what a voter keeps beside its leases. Danger: a voter without it could not take the others'
-// entries, so it is there also where this front's file does not switch the configuration on; nothing is
-// handed out then.
+// newConfigControl returns the state machine that a voter hosts beside its leases. Without it, a voter could not accept
+// the other voters' log entries; so it exists even if this front's file leaves the configuration disabled, and then it
+// distributes no versions.
 func newConfigControl(node *fleetNode, cfg *frontConfig, addr string) *configuration.Control {
 	f := &cfg.operators.Fleet
 	options := configuration.ControlOptions{
@@ -50,10 +51,10 @@
 	return control
 }
 
-// newFleetConfig opens a front's part in the configuration.
+// newFleetConfig opens a front's part in the fleet's configuration and registers its message handlers.
 func newFleetConfig(node *fleetNode, cfg *frontConfig, incarnation uint64, addr string, control *configuration.Control) *fleetConfig {
 	if cfg.storedError != "" {
-		node.log.Error("the fleet's configuration on disk is left aside", "error", cfg.storedError)
+		node.log.Error("the fleet's configuration on disk is ignored", "error", cfg.storedError)
 	}
 	c := &fleetConfig{node: node, current: cfg, control: control, addr: addr}
 	f := &cfg.operators.Fleet
@@ -73,13 +74,15 @@
 	return c
 }
 
-// handleControlMessage hands a message to the control part; several goroutines call it.
+// handleControlMessage passes a peer's message to the control part in the voter's goroutine. It is safe for concurrent
+// use, and copies the message's body.
 func (c *fleetConfig) handleControlMessage(m peers.ConfigMessage) {
 	m.Body = slices.Clone(m.Body)
 	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
 }
 
-// handleRequest has the control part work on a request, and waits for the answer.
+// handleRequest executes an encoded request in this machine's control part and returns the encoded answer, nil if it
+// cannot be encoded.
 func (c *fleetConfig) handleRequest(body []byte) []byte {
 	text, err := json.Marshal(c.execute(body))
 	if err != nil {
@@ -88,6 +91,8 @@
 	return text
 }
 
+// execute runs an encoded request in the control part and waits up to peers.HandlerTimeout for the answer. After that the outcome
+// is unknown.
 func (c *fleetConfig) execute(body []byte) configuration.Answer {
 	r, err := configuration.ReadRequest(body)
 	if err != nil {
@@ -108,7 +113,8 @@
 	}
 }
 
-// sendRequest asks one control machine, this one without the network.
+// sendRequest sends a request to the control machine at addr and returns its answer. A request to this machine does not
+// use the network.
 func (c *fleetConfig) sendRequest(addr string, request []byte) ([]byte, error) {
 	if addr == c.addr && c.node.leases.HasVoter() {
 		return c.handleRequest(request), nil
@@ -116,7 +122,7 @@
 	return c.node.peers.Request(addr, request)
 }
 
-// step is the configuration's part of a turn of the loop.
+// step is the configuration's part of one iteration of the event loop.
 func (c *fleetConfig) step(now front.Time) {
 	c.front.Poll(now)
 	if c.nextDiscovery != "" && c.setDiscovery != nil {
@@ -128,7 +134,7 @@
 	}
 }
 
-// PutInForce has the front go by a version's texts, as a whole or not at all.
+// PutInForce applies a version's texts to the running front. On an error nothing has changed.
 func (c *fleetConfig) PutInForce(texts []config.ScopeText) error {
 	fresh, err := c.current.withVersion(texts)
 	if err != nil {
@@ -138,13 +144,14 @@
 		return err
 	}
 	c.nextDiscovery = fresh.discovery
-	fresh.discovery = c.current.discovery // until the loop has moved there
+	fresh.discovery = c.current.discovery // step switches to the new address
 	*c.current = fresh
 	return nil
 }
 
-// withVersionInForce reads the front's files as a start would, but with the version that is in force now.
-// Danger: the version's file may be on its way to the disk, and a reload would go back to an older address.
+// withVersionInForce returns a reader of the front's files that then applies the version in force now, instead of the
+// stored version that a start would apply. The version in force may not have been written to disk yet, and a reload would
+// then go back to an older address of discovery.
 func (c *fleetConfig) withVersionInForce(read configReader) configReader {
 	return func() (frontConfig, error) {
 		fresh, err := read()
@@ -155,7 +162,7 @@
 	}
 }
 
-// Peers tells who is there: the voters, and the fronts that membership has alive. It tells the control part
+// Peers returns the voters, and the fronts that membership has as alive or suspect. It passes them to the control part
 // too.
 func (c *fleetConfig) Peers() (known config.Peers) {
 	for _, s := range c.node.leases.Voters() {
@@ -170,7 +177,7 @@
 	return known
 }
 
-// DeliverToControl hands a message of this front to the control part of this machine, if there is one.
+// DeliverToControl passes a message of this front to this machine's control part. It returns false if there is none.
 func (c *fleetConfig) DeliverToControl(body []byte) bool {
 	if !c.node.leases.HasVoter() {
 		return false
@@ -179,8 +186,8 @@
 	return true
 }
 
-// applyStored puts the version that this front had last in the place of its files' parts. What cannot be taken
-// is left aside.
+// applyStored replaces parts of the files' configuration with the version that this front stored last. A version that
+// cannot be read or applied is ignored, and storedError says why.
 func (cfg *frontConfig) applyStored() {
 	stored, err := configuration.Load(cfg.operators.Fleet.Config.State)
 	if err != nil {
@@ -196,7 +203,7 @@
 	cfg.stored = stored
 }
 
-// registerHandlers serves the commands about the fleet's configuration.
+// registerHandlers adds the HTTP handler for the commands that execute requests about the fleet's configuration.
 func (c *fleetConfig) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST /config", func(w http.ResponseWriter, r *http.Request) {
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCommandBytes))
@@ -218,9 +225,10 @@
 	})
 }
 
+// errLoopTimeout reports that the event loop accepted no call or did not answer within loopTimeout.
 var errLoopTimeout = errors.New("the front does not answer")
 
-// controlAddrs asks the loop for the control machines' addresses.
+// controlAddrs has the event loop list the control machines' addresses.
 func (c *fleetConfig) controlAddrs() ([]string, error) {
 	addrs := make(chan []string, 1)
 	ask := func() {
@@ -244,7 +252,7 @@
 	}
 }
 
-// registerConfigDisabled answers the same commands where the configuration is not switched on.
+// registerConfigDisabled adds handlers that refuse the same commands if the configuration is disabled.
 func registerConfigDisabled(mux *http.ServeMux) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "fleet.config is not switched on", http.StatusConflict)
@@ -253,5 +261,5 @@
 	mux.HandleFunc("POST /config", refuse)
 }
 
-// frontPointer is where this machine's control part leaves messages for its front.
+// frontPointer holds the front to which this machine's control part delivers messages; the voter's goroutine reads it.
 type frontPointer = atomic.Pointer[configuration.Front]
--- a/cmd/micatrack/configcommands.go
+++ b/cmd/micatrack/configcommands.go
@@ -22,24 +22,25 @@
 	"micatrack/internal/operators"
 )
 
-// Statuses that the commands end with, beside 0 and 2 (told wrong, or a faulty change).
+// Exit statuses of the commands, besides 0 and 2 (invalid arguments, or an invalid change).
 const (
-	statusNotDone = 1 // nothing was changed
-	statusUnknown = 3 // it may have been changed
+	statusNotDone = 1 // nothing has changed
+	statusUnknown = 3 // the change may have been made
 )
 
 const (
-	commandTimeout = 7 * time.Second        // for an answer of the front, which tries for some seconds itself
-	statusInterval = 200 * time.Millisecond // between two looks while a command waits
+	commandTimeout = 7 * time.Second        // wait for the front's answer; the front itself retries for some seconds
+	statusInterval = 200 * time.Millisecond // between two status requests while a command waits
 )
 
-// configClient asks this machine's front about the fleet's configuration.
+// configClient sends requests about the fleet's configuration to this machine's front.
 type configClient struct {
-	operatorsPath, control string
-	asJSON                 bool
+	operatorsPath string // operators' file, whose fleet.control is the address if control is empty
+	control       string // control address of the front
+	asJSON        bool   // print JSON
 }
 
-// address gives the control address of this machine's front.
+// address returns the control address of this machine's front.
 func (c *configClient) address() (string, error) {
 	if c.control != "" {
 		return c.control, nil
@@ -54,7 +55,7 @@
 	return o.Fleet.Control, nil
 }
 
-// send sends one request to the front, and reads what it says into v.
+// send sends one HTTP request to the front and decodes the reply into v.
 func (c *configClient) send(method string, body []byte, v any) error {
 	addr, err := c.address()
 	if err != nil {
@@ -80,9 +81,9 @@
 	return json.Unmarshal(text, v)
 }
 
-const maxAnswerBytes = 4 << 20 // bytes of the front's answer
+const maxAnswerBytes = 4 << 20 // largest answer of the front
 
-// ask has the control machines work on a request, by way of the front.
+// ask sends a request through the front to the control machines. An outcome other than Done is returned as an error.
 func (c *configClient) ask(r configuration.Request) (a configuration.Answer, err error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return a, outcomeError(&a)
 }
 
-// outcomeError gives the error, and the status, for an answer that is not what was asked for.
+// outcomeError returns an exitError for an answer whose outcome is not Done, and nil otherwise.
 func outcomeError(a *configuration.Answer) error {
 	err := fmt.Errorf("%s", a.Error)
 	switch {
@@ -108,38 +109,40 @@
 	return exitError{statusNotDone, err}
 }
 
-// newestVersion gives the number of the newest version.
+// newestVersion returns the number of the newest version.
 func (c *configClient) newestVersion() (uint64, error) {
 	a, err := c.ask(configuration.Request{Op: configuration.OpGet})
 	return a.Version, err
 }
 
-// changeFlags are who changes something, and why.
+// changeFlags are the flags of commands that make a new version.
 type changeFlags struct {
-	author, reason string
-	base           uint64
+	author string // who makes the change
+	reason string // why
+	base   uint64 // version that the change is based on; the newest one unless the flag is set
 
-	wait time.Duration
+	wait time.Duration // longest wait until the change is in force everywhere; 0 to not wait
 }
 
+// register adds the flags to a command.
 func (f *changeFlags) register(c *cobra.Command) {
 	name := ""
 	if u, err := user.Current(); err == nil {
 		name = u.Username
 	}
-	c.Flags().StringVar(&f.author, "who", name, "who changes it, for the history")
-	c.Flags().StringVar(&f.reason, "why", "", "why, for the history")
+	c.Flags().StringVar(&f.author, "who", name, "author of the change, for the history")
+	c.Flags().StringVar(&f.reason, "why", "", "reason for the change, for the history")
 	c.Flags().Uint64Var(&f.base, "base", 0,
-		"the version that the change was made from; without it the newest one now")
-	c.Flags().DurationVar(&f.wait, "wait", 0, "wait for so long at most until it is in force everywhere")
+		"the version that the change is based on; by default the newest one now")
+	c.Flags().DurationVar(&f.wait, "wait", 0, "wait up to this long until the change is in force everywhere")
 }
 
-// newRequest fills in what all changes have.
+// newRequest returns a request with the fields that all changes have.
 func (f *changeFlags) newRequest(
 	c *cobra.Command, client *configClient, op configuration.Op,
 ) (r configuration.Request, err error) {
 	if f.reason == "" || f.author == "" {
-		return r, fmt.Errorf("give --why, and --who")
+		return r, fmt.Errorf("--why and --who are required")
 	}
 	r = configuration.Request{Op: op, Base: f.base, Author: f.author, Reason: f.reason, At: time.Now().UnixMilli()}
 	if !c.Flags().Changed("base") {
@@ -148,7 +151,7 @@
 	return r, err
 }
 
-// reportAccepted tells of a change that was accepted, and waits until it is in force, where that is asked for.
+// reportAccepted prints the version of an accepted change and, with --wait, waits until it is in force everywhere.
 func (f *changeFlags) reportAccepted(c *cobra.Command, client *configClient, version uint64) error {
 	fmt.Fprintf(c.OutOrStdout(), "version %d\n", version)
 	if f.wait == 0 {
@@ -163,11 +166,11 @@
 			return client.reportInForce(c.OutOrStdout(), version)
 		}
 	}
-	err := fmt.Errorf("version %d is accepted, and was not in force everywhere within %v", version, f.wait)
+	err := fmt.Errorf("version %d is accepted, but was not in force everywhere within %v", version, f.wait)
 	return exitError{statusNotDone, err}
 }
 
-// reportInForce tells that a version is in force everywhere, unless it began a roll-out that was stopped.
+// reportInForce prints that a version is in force everywhere, or returns an error if it began a roll-out that was stopped.
 func (c *configClient) reportInForce(out io.Writer, version uint64) error {
 	a, err := c.ask(configuration.Request{Op: configuration.OpHistory})
 	if err != nil {
@@ -181,20 +184,20 @@
 			return exitError{statusNotDone, fmt.Errorf("the roll-out was stopped: %s", r.Reason)}
 		}
 		if r.Kind != config.KindAdvance {
-			break // a later change is another matter
+			break // a later change does not belong to this roll-out
 		}
 	}
 	fmt.Fprintln(out, "in force everywhere")
 	return nil
 }
 
-// configCommands ask and change the fleet's configuration.
+// configCommands returns the command `micatrack config`, whose subcommands query and change the fleet's configuration.
 func configCommands() *cobra.Command {
 	client := &configClient{}
 	root := &cobra.Command{Use: "config",
-		Short: "Ask about the fleet's configuration, or change it, by way of this machine's front"}
+		Short: "Query or change the fleet's configuration through this machine's front"}
 	root.PersistentFlags().StringVar(&client.operatorsPath, "operators", "",
-		"the operators' file, whose fleet.control is asked")
+		"the operators' file, whose fleet.control is the address to ask")
 	root.PersistentFlags().StringVar(&client.control, "control", "", "address to ask instead")
 	root.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
 	root.AddCommand(client.getCommand(), client.setCommand(), client.diffCommand(), client.historyCommand(),
@@ -208,7 +211,7 @@
 	get := &cobra.Command{Use: "get [SCOPE]", Args: cobra.MaximumNArgs(1),
 		Short: "Print a version's texts, or one scope's"}
 	get.Flags().Uint64Var(&version, "version", 0, "an older version; without it the newest")
-	get.Flags().BoolVar(&here, "here", false, "what is in force on this machine's front, whoever can be reached")
+	get.Flags().BoolVar(&here, "here", false, "what is in force on this machine's front, even if no control machine can be reached")
 	get.RunE = func(cmd *cobra.Command, args []string) error {
 		if here && version != 0 {
 			return fmt.Errorf("--here and --version exclude each other")
@@ -237,7 +240,7 @@
 	return get
 }
 
-// texts gives a version's texts, or those in force here.
+// texts returns the texts and the number of a version (0: the newest), or of the one in force on this machine's front.
 func (c *configClient) texts(version uint64, here bool) ([]configuration.ScopeText, uint64, error) {
 	if here {
 		var v configuration.FrontStatus
@@ -248,6 +251,7 @@
 	return a.Texts, a.Version, err
 }
 
+// scopeText returns a scope's text, and whether the scope has one.
 func scopeText(texts []configuration.ScopeText, scope string) (string, bool) {
 	for _, t := range texts {
 		if t.Scope == scope {
@@ -266,14 +270,14 @@
 	set := &cobra.Command{Use: "set SCOPE [FILE]", Args: cobra.RangeArgs(1, 2),
 		Short: "Set a scope (settings, operators, discovery) to a file's text; - reads standard input"}
 	change.register(set)
-	set.Flags().BoolVar(&remove, "remove", false, "take the scope out in place of a file")
-	set.Flags().Uint32Var(&program, "program", 0, "the oldest program that can take it")
+	set.Flags().BoolVar(&remove, "remove", false, "remove the scope's text instead of setting it")
+	set.Flags().Uint32Var(&program, "program", 0, "the oldest program version that can apply it")
 	set.Flags().StringVar(&front, "first-front", "", "roll-out in steps: this front first")
 	set.Flags().StringVar(&zone, "then-zone", "", "roll-out in steps: then this zone, then all")
 	set.Flags().DurationVar(&soak, "soak", 10*time.Second,
-		"roll-out: for which a step has to stand before the next")
+		"roll-out: how long a step must stay in force before the next")
 	set.Flags().DurationVar(&limit, "limit", time.Minute,
-		"roll-out: after which a step that is not done ends it")
+		"roll-out: a step that takes longer than this stops it")
 	set.RunE = func(cmd *cobra.Command, args []string) error {
 		if (len(args) == 2) == remove {
 			return fmt.Errorf("give a file, or --remove")
@@ -301,6 +305,7 @@
 	return set
 }
 
+// fileText returns the text to set: that of the named file, of standard input for -, or none with --remove.
 func fileText(cmd *cobra.Command, args []string, remove bool) (string, error) {
 	if remove {
 		return "", nil
@@ -316,9 +321,9 @@
 	case err != nil:
 		return "", err
 	case len(text) == 0:
-		return "", fmt.Errorf("%s is empty; --remove takes a scope out", args[1])
+		return "", fmt.Errorf("%s is empty; use --remove to remove a scope", args[1])
 	case len(text) > config.MaxTextBytes:
-		return "", fmt.Errorf("%s has %d bytes, at most %d", args[1], len(text), config.MaxTextBytes)
+		return "", fmt.Errorf("%s has %d bytes; the limit is %d", args[1], len(text), config.MaxTextBytes)
 	}
 	return string(text), nil
 }
@@ -326,12 +331,12 @@
 func (c *configClient) rollbackCommand() *cobra.Command {
 	var change changeFlags
 	back := &cobra.Command{Use: "rollback VERSION", Args: cobra.ExactArgs(1),
-		Short: "Make a new version with the texts of an older one"}
+		Short: "Create a new version with the texts of an older one"}
 	change.register(back)
 	back.RunE = func(cmd *cobra.Command, args []string) error {
 		to, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
-			return fmt.Errorf("%q is no version", args[0])
+			return fmt.Errorf("%q is not a version number", args[0])
 		}
 		r, err := change.newRequest(cmd, c, configuration.OpRollback)
 		if err != nil {
@@ -377,7 +382,7 @@
 
 func (c *configClient) diffCommand() *cobra.Command {
 	return &cobra.Command{Use: "diff VERSION [VERSION]", Args: cobra.RangeArgs(1, 2),
-		Short: "Show which lines differ between two versions; the second is the newest if it is not named",
+		Short: "Show which lines differ between two versions; the second defaults to the newest",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var texts [2][]configuration.ScopeText
 			for k := range texts {
@@ -385,7 +390,7 @@
 				if k < len(args) {
 					var err error
 					if version, err = strconv.ParseUint(args[k], 10, 64); err != nil || version == 0 {
-						return fmt.Errorf("%q is no version", args[k])
+						return fmt.Errorf("%q is not a version number", args[k])
 					}
 				}
 				a, err := c.ask(configuration.Request{Op: configuration.OpGet, Version: version})
@@ -402,7 +407,7 @@
 func (c *configClient) statusCommand() *cobra.Command {
 	var alone bool
 	status := &cobra.Command{Use: "status", Args: noArguments,
-		Short: "Show what is in force here, and how far the newest version has come in the fleet"}
+		Short: "Show what is in force here, and how far the newest version has spread in the fleet"}
 	status.Flags().BoolVar(&alone, "here", false, "only what is in force here; no control machine is asked")
 	status.RunE = func(cmd *cobra.Command, _ []string) error {
 		var here configuration.FrontStatus
@@ -439,7 +444,7 @@
 	}
 }
 
-// ageText says how old the version in force is.
+// ageText describes when the version in force was last known to be the newest.
 func ageText(v *configuration.FrontStatus) string {
 	switch {
 	case v.Fresh:
@@ -451,7 +456,7 @@
 	return fmt.Sprintf("last heard to be the newest %v ago", time.Duration(v.AgeMS)*time.Millisecond)
 }
 
-// showFleet prints how far the newest version has come.
+// showFleet prints how far the newest version has spread in the fleet.
 func showFleet(out io.Writer, a *configuration.Answer) error {
 	s := a.Status
 	if s == nil {
--- a/cmd/micatrack/configdiff.go
+++ b/cmd/micatrack/configdiff.go
@@ -11,11 +11,10 @@
 	"micatrack/internal/configuration"
 )
 
-// maxCompared bounds the lines of one text times those of the other; above it the whole text is shown as
-// changed.
+// maxComparedPairs bounds the product of two texts' line counts. Above it all lines are shown as changed.
 const maxComparedPairs = 4 << 20
 
-// printDiff prints which lines differ, scope by scope.
+// printDiff prints the lines that differ between two versions' texts, scope by scope.
 func printDiff(out io.Writer, old, new []configuration.ScopeText) {
 	var scopes []string
 	for _, t := range slices.Concat(old, new) {
@@ -35,7 +34,7 @@
 	}
 }
 
-// lines gives a text's lines; JSON in its usual form, so that texts written in another way are alike.
+// lines returns a text's lines. JSON is indented first, so that texts that differ only in white space are equal.
 func lines(text string) []string {
 	if text == "" {
 		return nil
@@ -47,7 +46,7 @@
 	return strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 }
 
-// diffLines gives the lines that only one of two texts has, by a longest common subsequence.
+// diffLines returns the lines that only one of two texts has, marked - or +, by a longest common subsequence.
 func diffLines(old, new []string) (changed []string) {
 	common := commonLengths(old, new)
 	i, j := 0, 0
@@ -67,8 +66,8 @@
 	return changed
 }
 
-// commonLengths gives how many lines the rests of two texts have in common, from each pair of lines on; nil:
-// too many.
+// commonLengths returns, for each pair of line indices, the length of the longest common subsequence of the two texts'
+// remainders. It returns nil if there are more than maxComparedPairs pairs.
 func commonLengths(old, new []string) [][]int32 {
 	if len(old)*len(new) > maxComparedPairs {
 		return nil
--- a/cmd/micatrack/fleet.go
+++ b/cmd/micatrack/fleet.go
@@ -25,44 +25,47 @@
 	"micatrack/internal/peers"
 )
 
-const noteTTLPeriods = 20 // periods after which what another front told counts for nothing
+// noteTTLPeriods is the number of protocol periods after which a note received from another front expires.
+const noteTTLPeriods = 20
 
-// fleetNode joins a front's loop with the fleet's decisions and the talk between fronts. All of it is the loop's, but
-// for asks, which the control listener puts there.
+// fleetNode connects a front's event loop with the fleet's state machines and with the messages between fronts. It
+// belongs to the event loop, except for calls, to which the control listener sends, and configFront, which the voter's
+// goroutine reads.
 type fleetNode struct {
 	*fleet.Fleet
 	now           func() front.Time
 	peers         *peers.Transport
 	core          *front.Core
 	log           *slog.Logger
-	bridge        fleetadapter.Adapter
-	leases        *leaseService  // nil: no leases
-	positionWatch *positionWatch // nil: no watch of positions
-	config        *fleetConfig   // nil: each front goes by its own files
-	configFront   frontPointer   // nil until there is a configuration
-	fleetName     string         // of the fleet
-	wake          func()
-	calls         chan func()
-	left          bool
+	adapter       fleetadapter.Adapter
+	leases        *leaseService  // nil if leases are disabled
+	positionWatch *positionWatch // nil if the watch of store positions is disabled
+	config        *fleetConfig   // nil if each front uses its own files only
+	configFront   frontPointer   // holds nil until the fleet's configuration is open
+	fleetName     string
+	wake          func()      // ends the event loop's wait for events
+	calls         chan func() // functions that the control listener's goroutines have the event loop call
+	left          bool        // the front has told the fleet that it is leaving
 }
 
-// joinFleet opens the talk with other fronts.
+// joinFleet opens the front's listener for other fronts and the fleet's parts that the operators' file enables: leases,
+// configuration, the watch of positions and the control listener.
 func joinFleet(now func() front.Time, cfg *frontConfig, wake func(), log *slog.Logger) (*fleetNode, error) {
 	f := cfg.operators.Fleet
-	p, err := peers.Open(f.Listen, f.Name, wake)
+	transport, err := peers.Open(f.Listen, f.Name, wake)
 	if err != nil {
 		return nil, err
 	}
-	node := &fleetNode{now: now, peers: p, fleetName: f.Name, wake: wake, log: log.With("fleet", f.Name), calls: make(chan func(), 16)}
+	node := &fleetNode{now: now, peers: transport, fleetName: f.Name, wake: wake, log: log.With("fleet", f.Name), calls: make(chan func(), 16)}
 	period := f.PeriodMS * 10
-	addr, incarnation := cmp.Or(f.Advertise, p.Addr()), uint64(now())/10
+	addr, incarnation := cmp.Or(f.Advertise, transport.Addr()), uint64(now())/10
 	node.Fleet = fleet.New(now(), membership.Config{Name: cfg.name, Zone: cmp.Or(cfg.settings.Zone, "-"), Addr: addr, Incarnation: incarnation, RandomSeed: cfg.settings.Seed, Period: period, Seeds: f.Seeds, MaxMembers: f.Members, NoteTTL: noteTTLPeriods * period},
 		zones.Config{ColdCapacity: cfg.settings.StartCapacity, WarmupTime: cfg.settings.WarmupTime, OverloadTolerance: cfg.settings.ColdOverloadSpan}, node)
-	node.bridge.Zones = node.Zones
+	node.adapter.Zones = node.Zones
 	if len(f.Lease.Voters) > 0 {
 		control := newConfigControl(node, cfg, addr)
 		if node.leases, err = newLeaseService(node, cfg, incarnation, addr, wake, control); err != nil {
-			p.Close()
+			transport.Close()
 			return nil, err
 		}
 		if f.Config.On {
@@ -73,24 +76,25 @@
 		}
 	}
 	if f.Config.On && node.config == nil {
-		p.Close()
-		return nil, fmt.Errorf("config: it needs lease.voters, which keep it")
+		transport.Close()
+		return nil, fmt.Errorf("config: lease.voters is missing; the voters store the configuration")
 	}
 	if f.Control != "" {
 		if err := node.serveControl(f.Control, wake); err != nil {
 			node.close()
-			p.Close()
+			transport.Close()
 			return nil, err
 		}
 	}
 	return node, nil
 }
 
-// attachCore hands the fleet's plans to the core from now on. The start waits for them, as long as that is allowed.
-// Danger: a front that starts while a zone is being returned to would send it all that it can.
+// attachCore gives the fleet its core, to which zone shares are applied from now on. It returns when the front has joined
+// the fleet, or after wait. Without that wait, a front that starts while traffic is returning to a zone in steps would
+// send the zone its full share at once.
 func (node *fleetNode) attachCore(c *front.Core, known front.StoreList, wait time.Duration) {
 	node.core = c
-	node.bridge.UpdateStores(node.now(), known)
+	node.adapter.UpdateStores(node.now(), known)
 	for end := time.Now().Add(wait); !node.Members.Joined() && time.Now().Before(end); {
 		node.step(nil, false)
 		time.Sleep(5 * time.Millisecond)
@@ -98,11 +102,12 @@
 	node.log.Info("joined", "fronts", len(node.Members.List()), "listen", node.peers.Addr())
 }
 
-// step is the fleet's part of a turn of the loop.
+// step is the fleet's part of one iteration of the event loop. It handles store lists, messages from other fronts, calls
+// from the control listener and expired timers. With stopping set, the front leaves the fleet.
 func (node *fleetNode) step(lists []front.StoreList, stopping bool) {
 	now := node.now()
 	for _, l := range lists {
-		node.bridge.UpdateStores(now, l)
+		node.adapter.UpdateStores(now, l)
 	}
 	if stopping && !node.left {
 		node.left = true
@@ -136,7 +141,7 @@
 	}
 }
 
-// Next is when turn must be called again.
+// Next returns the time at which step must be called again.
 func (node *fleetNode) Next() front.Time {
 	next := node.Fleet.Next()
 	if node.leases != nil {
@@ -151,7 +156,7 @@
 	return next
 }
 
-// close ends what has a disk.
+// close closes the parts that keep files on disk.
 func (node *fleetNode) close() {
 	if node.leases != nil {
 		node.leases.Close()
@@ -161,7 +166,8 @@
 	}
 }
 
-// Send, Exchange, Part and Log are what the fleet's decisions ask for.
+// Send, StartSync, SetShare and Log implement fleet.Host.
+
 func (node *fleetNode) Send(addr string, m *membership.Message) { node.peers.Send(addr, m) }
 func (node *fleetNode) StartSync(addr string) {
 	node.peers.StartSync(addr, node.Members.SyncMessage(membership.SyncRequest))
@@ -169,11 +175,12 @@
 func (node *fleetNode) SetShare(zone string, part float64) { node.core.SetZoneShare(zone, part) }
 func (node *fleetNode) Log(text string)                    { node.log.Info(text) }
 
-// serveControl listens for the commands of this machine's operators. What they ask is done by the loop.
+// serveControl serves the operators' commands over HTTP at addr, which must be a loopback address. The commands run in
+// the event loop, except for those that leaseService and fleetConfig serve themselves.
 func (node *fleetNode) serveControl(addr string, wake func()) error {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil || !address.Addr().IsLoopback() {
-		return fmt.Errorf("control: %s is no loopback address with a port", addr)
+		return fmt.Errorf("control: %s is not a loopback address with a port", addr)
 	}
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -249,7 +256,7 @@
 	return nil
 }
 
-// memberStatus is one member, as it is shown.
+// memberStatus is one member of the fleet in the reply to GET /members.
 type memberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
@@ -259,13 +266,13 @@
 	SinceMS     int64  `json:"since_ms"`
 }
 
-// fleetCommands ask the front of this machine.
+// fleetCommands returns the command `micatrack fleet`, whose subcommands query the front of this machine.
 func fleetCommands() *cobra.Command {
 	var operatorsPath, control string
 	var asJSON, force bool
 	var leaveFor time.Duration
 	root := &cobra.Command{Use: "fleet", Short: "Ask this machine's front about its fleet"}
-	root.PersistentFlags().StringVar(&operatorsPath, "operators", "", "the operators' file, whose fleet.control is asked")
+	root.PersistentFlags().StringVar(&operatorsPath, "operators", "", "the operators' file, whose fleet.control is the address to ask")
 	root.PersistentFlags().StringVar(&control, "control", "", "address to ask instead")
 	root.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	ask := func(c *cobra.Command, method, path string, q url.Values, show func(w io.Writer, text []byte) error) error {
@@ -329,9 +336,9 @@
 				return w.Flush()
 			})
 		}}
-	plan := &cobra.Command{Use: "plan", Short: "Show which part of ordinary traffic may go to each zone", Args: noArguments,
+	plan := &cobra.Command{Use: "plan", Short: "Show the share of ordinary traffic that may go to each zone", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error { return ask(c, "GET", "/plan", nil, showPlan) }}
-	why := &cobra.Command{Use: "why ZONE", Short: "Show what is seen of a zone", Args: cobra.ExactArgs(1),
+	why := &cobra.Command{Use: "why ZONE", Short: "Show the evidence about a zone", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return ask(c, "GET", "/why", url.Values{"zone": args}, func(out io.Writer, text []byte) error {
 				var lines []string
@@ -350,9 +357,9 @@
 			}
 			return ask(c, "POST", "/order", q, showPlan)
 		}}
-	leave.Flags().DurationVar(&leaveFor, "for", 10*time.Minute, "how long; it ends by itself")
-	leave.Flags().BoolVar(&force, "force", false, "also where the rest does not bear it")
-	back := &cobra.Command{Use: "return ZONE", Short: "End an order to leave a zone; its traffic comes back in steps", Args: cobra.ExactArgs(1),
+	leave.Flags().DurationVar(&leaveFor, "for", 10*time.Minute, "how long the order lasts; it ends by itself")
+	leave.Flags().BoolVar(&force, "force", false, "even if the other zones lack the capacity")
+	back := &cobra.Command{Use: "return ZONE", Short: "End an order to leave a zone; its traffic returns in steps", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return ask(c, "POST", "/order", url.Values{"zone": args}, showPlan)
 		}}
--- a/cmd/micatrack/main.go
+++ b/cmd/micatrack/main.go
@@ -14,13 +14,14 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// exitError carries the status that the program ends with, where that is not 2.
+// exitError is an error for which the program exits with a status other than 2.
 type exitError struct {
 	status int
 	error
 }
 
-// run carries out a command line and gives the status to end with: 2 for what it was told wrong.
+// run executes a command line and returns the exit status: 0 on success, an exitError's status, and 2 for any other error,
+// such as invalid arguments or files.
 func run(args []string, out, errs io.Writer) int {
 	root := rootCommand()
 	root.SetArgs(doubleDashes(args))
@@ -31,14 +32,15 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "micatrack:", err)
-	var f exitError
-	if errors.As(err, &f) {
-		return f.status
+	var exitErr exitError
+	if errors.As(err, &exitErr) {
+		return exitErr.status
 	}
 	return 2
 }
 
-// doubleDashes lets flags be given with one dash too, as they were before there were two: -config as --config.
+// doubleDashes returns args with -config written as --config, and so on for each flag. Flags had one dash in earlier
+// versions, and that form is still accepted.
 func doubleDashes(args []string) []string {
 	args = append([]string(nil), args...)
 	for i, a := range args {
@@ -52,6 +54,7 @@
 	return args
 }
 
+// rootCommand returns the command `micatrack` with all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "micatrack", Short: "A query router for sharded, replicated databases",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
@@ -67,7 +70,7 @@
 		frontCommand("serve", "Route queries until SIGTERM", func(_ *cobra.Command, cfg frontConfig, read configReader) error {
 			return serve(cfg, read)
 		}),
-		frontCommand("check", "Read the configuration and the operators' file, say what is in them, and end",
+		frontCommand("check", "Read the configuration and the operators' file, and print a summary of them",
 			func(c *cobra.Command, cfg frontConfig, _ configReader) error {
 				fmt.Fprintf(c.OutOrStdout(), "%s: listens on %s, discovery at %s, %d profiles, %d stores known, on: %s\n",
 					cfg.name, cfg.listen, cfg.discovery, len(cfg.settings.Classes), len(cfg.knownStores.Entries), cfg.enabledSubsystems())
@@ -77,6 +80,7 @@
 	return root
 }
 
+// noArguments rejects positional arguments.
 func noArguments(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected argument %q", args[0])
@@ -84,10 +88,10 @@
 	return nil
 }
 
-// configReader reads the configuration anew, from where the command line has it.
+// configReader reads the configuration again from the files that the command line names.
 type configReader func() (frontConfig, error)
 
-// frontCommand is a command that takes a front's configuration.
+// frontCommand returns a command that reads a front's configuration and calls do with it.
 func frontCommand(name, short string, do func(c *cobra.Command, cfg frontConfig, read configReader) error) *cobra.Command {
 	var path, listen, discovery, operators string
 	c := &cobra.Command{Use: name, Short: short, Args: noArguments}
@@ -106,11 +110,11 @@
 	c.Flags().StringVar(&listen, "listen", "", "address for clients (or the configuration, or GW_LISTEN)")
 	c.Flags().StringVar(&discovery, "discovery", "", "address of discovery (or the configuration, or GW_DISCOVERY)")
 	c.Flags().StringVar(&operators, "operators", os.Getenv("MICATRACK_OPERATORS"),
-		"the operators' file, JSON (or MICATRACK_OPERATORS); without it all that it could switch on is off")
+		"the operators' file, JSON (or MICATRACK_OPERATORS); without it, everything that it can enable is off")
 	return c
 }
 
-// enabledSubsystems names the subsystems that the operators have switched on.
+// enabledSubsystems lists the subsystems that the operators' file enables.
 func (cfg *frontConfig) enabledSubsystems() string {
 	var names []string
 	if cfg.operators.Door.On {
@@ -128,6 +132,7 @@
 	return strings.Join(names, ", ")
 }
 
+// version returns the module's version, or the commit if there is none, and the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/micatrack/serve.go
+++ b/cmd/micatrack/serve.go
@@ -28,25 +28,28 @@
 	"micatrack/internal/sock"
 )
 
-// frontConfig is what a front is told at its start.
+// frontConfig is the configuration of a front: its files, flags and environment, with the fleet's configuration applied.
 type frontConfig struct {
-	name, listen, discovery string
-	cores                   float64
-	memoryBytes             int64 // bytes
-	sockets                 int
-	knownStores             front.StoreList
-	knownVersion            int64
-	settings                balance.Settings
-	process                 settings.Process
-	operators               operators.Options
-	stored                  configuration.StoredVersion // the fleet's configuration, as this front had it last
-	storedError             string                      // why it was not taken, if it was not
-	discoveryPinned         bool                        // a flag names discovery
-	fromFiles               overridable                 // as the front's files have them
+	name            string                      // name of the front
+	listen          string                      // address for PostgreSQL clients
+	discovery       string                      // address of discovery
+	cores           float64                     // processors that the front may use
+	memoryBytes     int64                       // memory that the front may use
+	sockets         int                         // file descriptors that the front may use
+	knownStores     front.StoreList             // store list to start with, until discovery sends one
+	knownVersion    int64                       // discovery's version of knownStores; -1 if none is known
+	settings        balance.Settings            // settings of the balancer
+	process         settings.Process            // settings of the process around the balancer
+	operators       operators.Options           // the operators' file
+	stored          configuration.StoredVersion // version of the fleet's configuration that this front stored last
+	storedError     string                      // why the stored version was not applied; empty if it was
+	discoveryPinned bool                        // a flag sets discovery, and the fleet's configuration cannot change it
+	fromFiles       overridable                 // the overridable parts as the front's files have them
 }
 
-// readConfiguration reads the file. What flags name comes first; the environment fills in what is named nowhere
-// else, for it cannot follow a file that is replaced while the program runs.
+// readConfiguration reads the configuration file at path and the operators' file, and applies the version of the fleet's
+// configuration that the front stored last. Flags override the file. The environment only supplies what neither names,
+// because it cannot follow a file that is replaced while the program runs.
 func readConfiguration(path, listen, discoveryAddr, operatorsPath string) (cfg frontConfig, err error) {
 	if path == "" {
 		return cfg, fmt.Errorf("no configuration: give -config or GW_CONFIG")
@@ -107,24 +110,24 @@
 }
 
 const (
-	reservedDescriptors = 24                     // descriptors that are neither clients' nor stores'
-	clientIdle          = 2 * time.Second        // a client that asked nothing for that long yields where there is no room
-	shutdownGrace       = 600 * time.Millisecond // new connections may come for most of that time behind SIGTERM
-	forceAfter          = 500 * time.Millisecond // SIGKILL comes 700 ms after the longest deadline, and the front may be held up for 150 ms
-	maxDeadline         = 3 * time.Second        // that deadline counts as this much where it is longer
-	tick                = 100 * time.Microsecond // one front.Time
+	reservedDescriptors = 24                     // file descriptors that serve neither clients nor stores
+	clientIdle          = 2 * time.Second        // a client without a request for this long is closed if connections run out
+	shutdownGrace       = 600 * time.Millisecond // new connections can arrive for most of this time after SIGTERM
+	forceAfter          = 500 * time.Millisecond // SIGKILL comes 700 ms after the longest deadline, and the front may stall for 150 ms
+	maxDeadline         = 3 * time.Second        // upper limit of that longest deadline
+	tick                = 100 * time.Microsecond // one unit of front.Time
 )
 
-// clock reads the wall clock once and goes on monotonically. It is rounded up: a fence or an age that is
-// reckoned from it errs to the safe side.
+// clock returns a function that tells the time. It reads the wall clock once and continues from the monotonic clock. The
+// time is rounded up, so that a fence or an age computed from it errs on the safe side.
 func clock() func() front.Time {
 	start := time.Now()
 	base := start.UnixNano()
 	return func() front.Time { return (base + int64(time.Since(start)) + int64(tick) - 1) / int64(tick) }
 }
 
-// reload reads the configuration again. Discovery is followed to another address; what else has changed waits
-// for the next start. A faulty file changes nothing.
+// reload reads the configuration again. A new address of discovery takes effect at once, other changes at the next start.
+// An invalid file changes nothing.
 func reload(cfg *frontConfig, read configReader, setAddr func(addr string), log *slog.Logger) {
 	fresh, err := read()
 	if err != nil {
@@ -144,25 +147,26 @@
 	}
 }
 
-// signals are heard before the configuration is read.
-// Danger: SIGHUP would end a front that has not come to hear it, and what it tells of would be missed.
 var (
+	// signals queues signals from before the configuration is read. Without this, a SIGHUP during the start would end
+	// the process, and the change that it announces would be missed.
 	signals      = make(chan os.Signal, 8)
 	processStart = time.Now()
 )
 
-// catchSignals has signals wait for serve.
+// catchSignals starts to queue signals until serve reads them.
 func catchSignals() { signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) }
 
-// serve runs a front until it is told to stop; the error says why it could not begin.
+// serve runs a front until it gets SIGTERM or SIGINT and its requests have ended. It returns an error if the front cannot
+// start.
 func serve(cfg frontConfig, read configReader) error {
-	// One processor more than cores: the poller sits in a system call most of the time, and the runtime takes
-	// a processor that does so back only after a while.
+	// One processor more than cores: the poller spends most of its time in a system call, and the runtime reclaims the
+	// processor of a thread in a system call only after a delay.
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.cores)) + 1)
 	debug.SetMemoryLimit(cfg.memoryBytes * 3 / 4)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("front", cfg.name)
 
-	maxReply := max(pgwire.MaxQuerySize, int(cfg.memoryBytes/64)) // the rings' share of memory holds sixteen
+	maxReply := max(pgwire.MaxQuerySize, int(cfg.memoryBytes/64)) // the ring buffers' quarter of the memory holds sixteen of them
 	sockets, err := sock.Open(cfg.listen, cfg.sockets, cfg.memoryBytes/4, maxReply)
 	if err != nil {
 		return exitError{1, fmt.Errorf("listen: %w", err)}
@@ -192,7 +196,7 @@
 			read = node.config.withVersionInForce(read)
 		}
 		limits.OnAttemptEnd = func(store string, how balance.Ending, expected, took front.Time) {
-			node.bridge.RecordOutcome(now(), store, how, expected, took)
+			node.adapter.RecordOutcome(now(), store, how, expected, took)
 		}
 	}
 	if node != nil && node.positionWatch != nil {
@@ -222,7 +226,7 @@
 	}()
 	log.Info("serving", "listen", sockets.Addr(), "discovery", cfg.discovery, "stores", len(cfg.knownStores.Entries), "ready_ms", time.Since(processStart).Milliseconds())
 	var lists []front.StoreList
-	// What was accepted in the last moment is served as well: the core has yet to hear of it.
+	// A client accepted at the last moment is served too: the sockets may count it before the core knows of it.
 	for acceptStopped := false; !core.Done() || sockets.Clients() > 0; {
 		next := core.NextStep()
 		if node != nil {
--- a/cmd/micatrack/settings.go
+++ b/cmd/micatrack/settings.go
@@ -10,23 +10,23 @@
 	"micatrack/internal/settings"
 )
 
-// overridable are what the fleet's configuration may say in place of a front's files.
+// overridable holds the parts of a front's configuration that the fleet's configuration can override.
 type overridable struct {
-	discovery string
-	settings  balance.Settings
-	process   settings.Process
-	admission operators.Admission
+	discovery string              // address of discovery
+	settings  balance.Settings    // settings of the balancer
+	process   settings.Process    // settings of the process around the balancer
+	admission operators.Admission // admission control
 }
 
-// deriveSettings works out what the settings leave to the program round the module.
+// deriveSettings sets those settings of the balancer that follow from settings of the process.
 func (cfg *frontConfig) deriveSettings() {
 	if cfg.settings.ListPushed {
 		cfg.settings.AgentGrace = cfg.process.DrainGrace
 	}
 }
 
-// withVersion returns the orders as they are under a version's texts. A scope without a text is as the front's files have it; a
-// flag that names discovery comes before them.
+// withVersion returns the configuration with a version's texts applied. A scope without a text is as in the front's files.
+// A flag that sets the address of discovery overrides the version. On an error it returns the configuration unchanged.
 func (cfg *frontConfig) withVersion(texts []config.ScopeText) (frontConfig, error) {
 	fresh := *cfg
 	fresh.settings, fresh.process, fresh.operators.Door = cfg.fromFiles.settings, cfg.fromFiles.process, cfg.fromFiles.admission
@@ -58,7 +58,7 @@
 	return fresh, nil
 }
 
-// admissionBounds returns the bounds of the door, nil if it is off.
+// admissionBounds returns the bounds of admission control, nil if it is off.
 func admissionBounds(d *operators.Admission) *admission.Bounds {
 	if !d.On {
 		return nil
@@ -67,8 +67,8 @@
 		SharedWeight: d.Strangers, RetriesPerRequest: d.Further}
 }
 
-// reconfigure has the running front go by other settings and another door, as a whole or not at all. Before its core is
-// there nothing has to be done: it starts with them.
+// reconfigure applies new settings and bounds of admission control to the running front, all of them or, on an error,
+// none. Before attachCore it does nothing, because the core will start with them.
 func (node *fleetNode) reconfigure(before, after *frontConfig) error {
 	if node.core == nil {
 		return nil
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// watchTimeouts returns how long the watch of positions waits for a watcher's answer, half of what a read waits for a
-// position, and for a store's.
+// watchTimeouts returns how long the watch of positions waits for an answer of another front that watches a store, which
+// is half as long as a read waits for a position, and how long it waits for an answer of the store itself.
 func watchTimeouts(cfg *frontConfig) (watcherTimeout, storeTimeout front.Time) {
 	shortest := cfg.settings.Classes[0].ExpectedTime
 	for _, class := range cfg.settings.Classes {
--- a/cmd/micatrack/state.go
+++ b/cmd/micatrack/state.go
@@ -9,13 +9,14 @@
 	"micatrack/internal/voterstate"
 )
 
-// stateCommands look at what a voter keeps on disk, while no voter has it open.
+// stateCommands returns the command `micatrack state`, whose subcommands create or read a voter's state file while no voter
+// has it open.
 func stateCommands() *cobra.Command {
 	var fleet, voter string
 	var first, asJSON bool
 	var voters []string
-	root := &cobra.Command{Use: "state", Short: "Make or look at what a voter of the fleet's leases keeps on disk"}
-	create := &cobra.Command{Use: "create FILE", Short: "Make the state of a voter's first life; it replaces none", Args: cobra.ExactArgs(1),
+	root := &cobra.Command{Use: "state", Short: "Create or inspect the state file of a voter for the fleet's leases"}
+	create := &cobra.Command{Use: "create FILE", Short: "Create the state file of a new voter; an existing file is not replaced", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if fleet == "" || voter == "" {
 				return fmt.Errorf("give --fleet and --voter")
@@ -29,10 +30,10 @@
 		}}
 	create.Flags().StringVar(&fleet, "fleet", "", "name of the fleet")
 	create.Flags().StringVar(&voter, "voter", "", "name of the front that votes")
-	create.Flags().StringSliceVar(&voters, "voters", nil, "names of the fleet's first voters, the same on all")
+	create.Flags().StringSliceVar(&voters, "voters", nil, "names of the fleet's first voters, the same on each")
 	create.Flags().BoolVar(&first, "first", false,
-		"it is one of the fleet's first voters; never for one that lost its disk: that one is removed, and added anew")
-	show := &cobra.Command{Use: "show FILE", Short: "Show what is in it", Args: cobra.ExactArgs(1),
+		"it is one of the fleet's first voters; never for one that lost its disk, which must be removed and added again")
+	show := &cobra.Command{Use: "show FILE", Short: "Show the contents of a state file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := voterstate.ReadSummary(args[0])
 			if err != nil {
@@ -49,7 +50,7 @@
 			return nil
 		}}
 	show.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	verify := &cobra.Command{Use: "verify FILE", Short: "Tell whether it is whole, and end with status 1 where it is not", Args: cobra.ExactArgs(1),
+	verify := &cobra.Command{Use: "verify FILE", Short: "Check that a state file is intact; exit with status 1 if it is not", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := voterstate.ReadSummary(args[0]); err != nil {
 				return exitError{1, err}
--- a/cmd/micatrack/watch.go
+++ b/cmd/micatrack/watch.go
@@ -5,30 +5,32 @@
 	"micatrack/internal/front"
 )
 
-// positionWatch is what a front's loop does for its watch of positions, and for its core what the watch takes over.
+// positionWatch connects the watch of store positions with the fleet node and the core. It belongs to the event loop. It
+// implements positions.Host, and the core's front.PositionWatch.
 type positionWatch struct {
 	node  *fleetNode
 	watch *positions.Service
 }
 
-// newPositionWatch opens a front's part in the watch.
+// newPositionWatch returns a front's part in the watch and registers its message handlers.
 func newPositionWatch(node *fleetNode, cfg *frontConfig, addr string) *positionWatch {
 	watcherTimeout, storeTimeout := watchTimeouts(cfg)
 	p := &positionWatch{node: node}
 	p.watch = positions.New(node.now(), positions.Config{Name: cfg.name, Addr: addr, AnswerTimeout: watcherTimeout, Period: cfg.operators.Fleet.PeriodMS * 10,
 		StoreTimeout: storeTimeout, Seed: cfg.settings.Seed}, p)
-	node.bridge.Positions = p.watch
+	node.adapter.Positions = p.watch
 	node.peers.OnPositions(func(q positions.Query) { p.watch.HandleQuery(node.now(), q) }, func(a positions.Answer) { p.watch.HandleAnswer(node.now(), a) })
 	return p
 }
 
-// step is the watch's part of a turn of the loop.
+// step is the watch's part of one iteration of the event loop.
 func (p *positionWatch) step(now front.Time) {
-	p.node.bridge.UpdateMembers(p.node.Fleet)
+	p.node.adapter.UpdateMembers(p.node.Fleet)
 	p.watch.Tick(now)
 }
 
-// SendQuery to Holds are what the watch asks for.
+// SendQuery and the methods up to HoldsLease implement positions.Host.
+
 func (p *positionWatch) SendQuery(addr string, q positions.Query)   { p.node.peers.SendQuery(addr, q) }
 func (p *positionWatch) SendAnswer(addr string, a positions.Answer) { p.node.peers.SendAnswer(addr, a) }
 func (p *positionWatch) QueryPosition(store string)                 { p.node.core.QueryPosition(store) }
@@ -40,13 +42,14 @@
 }
 func (p *positionWatch) ReleaseLease(lease string) { p.node.leases.Holder.Release(p.node.now(), lease) }
 
-// AcquireLease asks for a lease, but not any more once the front is to end: what it gives back then is others'.
+// AcquireLease requests a lease, except during a planned stop: the leases that the front releases then are for other
+// fronts to take.
 func (p *positionWatch) AcquireLease(lease string) {
 	if p.node.leases.stopping {
 		return
 	}
 	if err := p.node.leases.Holder.Acquire(p.node.now(), lease); err != nil {
-		p.node.log.Warn("not watched", "error", err.Error())
+		p.node.log.Warn("lease for the watch of positions not requested", "error", err.Error())
 	}
 }
 func (p *positionWatch) HoldsLease(lease string) bool {
@@ -54,7 +57,8 @@
 	return ok
 }
 
-// RequestPosition, Learned and Failed are what the core tells.
+// RequestPosition, PositionObserved and QueryFailed implement front.PositionWatch.
+
 func (p *positionWatch) RequestPosition(store string, need front.Time, any bool) bool {
 	return p.watch.RequestPosition(p.node.now(), store, need, any)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost plays any number of fronts on the simulator's wire, on standard input and output.
+// Command simhost runs any number of simulated fronts, which speak the simulator's line protocol on standard input and
+// output.
 package main
 
 import (
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: it decodes lines into calls on the decision module and
-// encodes what the module asks for. It decides nothing.
+// Package simwire implements the simulator's line protocol. It decodes lines into calls of a balance.Balancer and encodes
+// the balancer's actions. It makes no decisions of its own.
 package simwire
 
 import (
@@ -13,34 +13,36 @@
 	"micatrack/internal/settings"
 )
 
-const microsPerTime = 100 // the wire's microseconds in one balance.Time
+const microsPerTime = 100 // the protocol counts microseconds; this is one unit of balance.Time
 
-// host holds the fronts of this process; they share nothing but the numbered lists of the wire.
+// host holds the fronts of this process. They share nothing but the numbered member lists of the protocol.
 type host struct {
 	out     *bufio.Writer
-	fronts  map[string]*front
-	lists   [16]*list
-	fields  map[string]string
-	now     balance.Time
-	inBatch bool
-	batch   string
+	fronts  map[string]*front // by name
+	lists   [16]*list         // by number; nil until a MANIFEST begins the list
+	fields  map[string]string // fields of the current line
+	now     balance.Time      // time of the current batch
+	inBatch bool              // a TICK began a batch that no COMMIT has ended
+	batch   string            // round of the last batch, for error messages
 }
 
+// list is a numbered list of members, which MANIFEST begins and ENTRY lines fill.
 type list struct {
-	missing int
+	missing int // entries that are still to come
 	members []balance.Member
 }
 
-// front is one instance: the module and what it may ask for.
+// front is one simulated front. It implements balance.Front for its balancer.
 type front struct {
 	host          *host
 	name          string
-	positionEpoch int64 // microseconds
+	positionEpoch int64 // microseconds; positions on the wire count from here
 	balancer      *balance.Balancer
-	listedStores  map[uint32]bool
+	listedStores  map[uint32]bool // stores that a list for this front has named
 }
 
-// Serve plays batches from in until its end.
+// Serve reads batches of lines from in until its end and writes the replies to out. It returns an error, which names the
+// batch and the line, if the input breaks the protocol or cannot be read, or if a reply cannot be written.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{out: bufio.NewWriterSize(out, 1<<16), fronts: map[string]*front{}, fields: map[string]string{},
 		batch: "none"}
@@ -65,6 +67,7 @@
 	}
 }
 
+// handleLine executes one line.
 func (h *host) handleLine(line string) error {
 	word, rest, _ := strings.Cut(line, " ")
 	if err := h.parseFields(rest); err != nil {
@@ -81,7 +84,7 @@
 		if h.inBatch {
 			return fmt.Errorf("TICK inside a batch")
 		}
-		// Rounded up: a fence or an age reckoned from it errs to the safe side.
+		// The time is rounded up, so that a fence or an age computed from it errs on the safe side.
 		h.batch, h.now, h.inBatch = h.fields["round"], (clock+microsPerTime-1)/microsPerTime, true
 		return nil
 	}
@@ -107,7 +110,7 @@
 	return h.event(word)
 }
 
-// checkListComplete refuses anything but an ENTRY while a list lacks lines.
+// checkListComplete returns an error if a list lacks entries and word is not ENTRY.
 func (h *host) checkListComplete(word string) error {
 	for i, l := range h.lists {
 		if l != nil && l.missing > 0 && word != "ENTRY" {
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// parseFields splits name=value pairs; BootInfo and BodyText run to the end of the line.
+// parseFields splits name=value pairs into h.fields. The values of BootInfo and BodyText extend to the end of the line.
 func (h *host) parseFields(rest string) error {
 	clear(h.fields)
 	for rest != "" {
@@ -135,6 +138,7 @@
 	return nil
 }
 
+// intField returns the value of a required field with an integer.
 func (h *host) intField(name string) (int64, error) {
 	v, ok := h.fields[name]
 	if !ok {
@@ -147,7 +151,7 @@
 	return n, nil
 }
 
-// optionalField reads a number that may be left out.
+// optionalField returns the value of an optional field with a number, 0 if the field is missing.
 func (h *host) optionalField(name string) (float64, error) {
 	v, ok := h.fields[name]
 	if !ok {
@@ -160,6 +164,7 @@
 	return f, nil
 }
 
+// storeField returns the store's number from the field Store.
 func (h *host) storeField() (uint32, error) {
 	n, err := strconv.ParseUint(h.fields["Store"], 10, 32)
 	if err != nil {
@@ -168,6 +173,7 @@
 	return uint32(n), nil
 }
 
+// startList executes MANIFEST: it replaces a list by an empty one that expects a number of entries.
 func (h *host) startList() error {
 	n, err := h.intField("Buffer")
 	if err != nil {
@@ -184,6 +190,7 @@
 	return nil
 }
 
+// appendEntry executes ENTRY: it appends a member to the list that lacks entries.
 func (h *host) appendEntry() error {
 	for _, l := range h.lists {
 		if l != nil && l.missing > 0 {
@@ -199,6 +206,7 @@
 	return fmt.Errorf("ENTRY outside a list")
 }
 
+// parseMember returns the member that the fields of an ENTRY describe.
 func (h *host) parseMember() (balance.Member, error) {
 	m := balance.Member{Zone: h.fields["Az"]}
 	var err error
@@ -225,7 +233,7 @@
 	return m, nil
 }
 
-// event hands one line to the instance that it names.
+// event passes one line to the front that it names. A panic of the balancer is reported to the simulator as FAULT.
 func (h *host) event(word string) (err error) {
 	name := h.fields["I"]
 	if word == "UP" {
@@ -254,7 +262,7 @@
 		f.balancer.ResponseStarted(h.now, h.fields["Tid"])
 	case "WAKEUP":
 		f.balancer.Tick(h.now)
-	case "NOTE_FROM": // the module sends no messages
+	case "NOTE_FROM": // fronts in the simulation send each other no messages
 	case "OUTCOME", "CHECK_RESULT":
 		err = h.reportResult(f, word == "OUTCOME")
 	default:
@@ -266,6 +274,7 @@
 	return nil
 }
 
+// startFront executes UP: it starts a front, and replaces one of the same name.
 func (h *host) startFront(name string) error {
 	if name == "" {
 		return fmt.Errorf("UP: I is missing")
@@ -287,6 +296,7 @@
 	return nil
 }
 
+// updateMembers executes MEMBERSHIP: it gives a front a list of members.
 func (h *host) updateMembers(f *front) error {
 	kind, ok := map[string]balance.ListKind{"0": balance.ListFailed, "2": balance.ListFull,
 		"3": balance.ListChanges, "4": balance.ListCached}[h.fields["How"]]
@@ -311,6 +321,7 @@
 	return nil
 }
 
+// submitRequest executes ACCEPT: it submits a client's request to a front.
 func (h *host) submitRequest(f *front) error {
 	remaining, err := h.intField("Remaining")
 	if err != nil {
@@ -340,10 +351,12 @@
 	return nil
 }
 
+// endingByCode maps the wire's StateCode to the ending of an attempt or a probe.
 var endingByCode = map[string]balance.Ending{"0": balance.Served, "1": balance.NotEligible, "249": balance.NotSent,
 	"250": balance.Cancelled, "251": balance.ConnectionLost, "252": balance.ConnectFailed, "253": balance.TimedOut,
 	"254": balance.Overloaded, "255": balance.Failed}
 
+// reportResult executes OUTCOME, if attempt is set, or CHECK_RESULT: it reports the result of an attempt or a probe.
 func (h *host) reportResult(f *front, attempt bool) error {
 	store, err := h.storeField()
 	if err != nil {
@@ -382,6 +395,7 @@
 	return nil
 }
 
+// roleFromNote returns the role that the two low bits of a Note encode.
 func roleFromNote(n int64) balance.Role {
 	switch n {
 	case 1:
@@ -392,7 +406,7 @@
 	return balance.RoleUnknown
 }
 
-// parseLoad reads the two values of a report that the module goes by.
+// parseLoad returns the two values of a Usage field that the balancer uses: the position (x0, in seconds) and the role (x1).
 func (f *front) parseLoad(pairs string) (balance.Report, error) {
 	var r balance.Report
 	for pairs != "" && pairs != "-" {
@@ -415,8 +429,9 @@
 	return r, nil
 }
 
-// The rest is balance.Front.
+// The methods below write lines; the exported ones implement balance.Front.
 
+// startLine writes a line's first word and the front's name.
 func (f *front) startLine(word string) *bufio.Writer {
 	w := f.host.out
 	w.WriteString(word)
@@ -477,7 +492,7 @@
 	f.endLine()
 }
 
-// Forget: numbers on the simulator's wire are its own, and name one store for the whole day.
+// Forget does nothing: the simulator assigns the stores' numbers, and each names one store for the whole simulated day.
 func (f *front) Forget(uint32) {}
 
 func (f *front) WakeAfter(after balance.Time) {
