--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -34,15 +34,15 @@
 	// Changed is set when a member has come, gone or moved. Whoever has taken that in sets it back.
 	MembersChanged bool
 
-	host   Host
-	now    Time // of the call in hand
-	dueAt  Time // when Tick was due last
-	period Time // of the membership protocol
+	host      Host
+	now       Time // of the call in hand
+	tickDueAt Time // when Tick was due last
+	period    Time // of the membership protocol
 }
 
 // New returns a view. What zones needs of the front itself is taken from its configuration for membership.
 func New(now Time, self membership.Config, zonesSelf zones.Config, host Host) *Fleet {
-	f := &Fleet{host: host, now: now, dueAt: now, period: self.Period}
+	f := &Fleet{host: host, now: now, tickDueAt: now, period: self.Period}
 	zonesSelf.Name = self.Name
 	zonesSelf.Zone = self.Zone
 	zonesSelf.Incarnation = self.Incarnation
@@ -100,12 +100,12 @@
 
 // Tick does what is due. It must be called at the time that Next returns.
 func (f *Fleet) Tick(now Time) {
-	late := now - f.dueAt
+	lateBy := now - f.tickDueAt
 	f.now = now
 	switch {
-	case late > f.period:
+	case lateBy > f.period:
 		f.Zones.HandleStall(now)
-	case late > f.period/overloadDivisor:
+	case lateBy > f.period/overloadDivisor:
 		f.Zones.HandleOverload(now)
 	}
 	f.Members.Tick(now)
@@ -115,5 +115,5 @@
 	if !f.Members.Replaced() {
 		f.Zones.Tick(now)
 	}
-	f.dueAt = f.Next()
+	f.tickDueAt = f.Next()
 }
--- a/fleet/membership/budget.go
+++ b/fleet/membership/budget.go
@@ -13,45 +13,45 @@
 	quietRate   = 2_000 // and quietly
 	quietBurst  = 16_000
 
-	gossipHeadBytes = 60  // of a message of gossip, besides facts and notes
-	minUrgentBytes  = 150 // of what is urgent for which a round of gossip is worth its message
-	minGossipBytes  = 400 // the same of facts, or of quiet notes
+	gossipHeaderBytes = 60  // of a message of gossip, besides facts and notes
+	minUrgentBytes    = 150 // of what is urgent for which a round of gossip is worth its message
+	minGossipBytes    = 400 // the same of facts, or of quiet notes
 
-	answerRate     = 400   // bytes a second of answers to full exchanges
-	answerBurst    = 6_000 // bytes of them at once
-	minAnswerBytes = 1_000 // of one answer in any case
-	firstRate      = 4_000 // the same of answers to fronts that have just started
-	firstBurst     = 64_000
-	minFirstBytes  = 4_000
-	unitsPerByte   = 10_000 // units of a bucket in a byte: a Time at a rate of one byte a second is one unit
+	responseRate     = 400   // bytes a second of answers to full exchanges
+	responseBurst    = 6_000 // bytes of them at once
+	minResponseBytes = 1_000 // of one answer in any case
+	startupRate      = 4_000 // the same of answers to fronts that have just started
+	startupBurst     = 64_000
+	minStartupBytes  = 4_000
+	unitsPerByte     = 10_000 // units of a bucket in a byte: a Time at a rate of one byte a second is one unit
 )
 
-// bucket is a token bucket (RFC 2697) in bytes. It may be overdrawn, by its burst at most: whoever asks for much in a row must
+// tokenBucket is a token bucket (RFC 2697) in bytes. It may be overdrawn, by its burst at most: whoever asks for much in a row must
 // not shut all others out for long.
-type bucket struct {
+type tokenBucket struct {
 	rate, burst int64 // bytes a second, bytes
 	units       int64
 	filledAt    Time
 }
 
-func newBucket(now Time, rate, burst int64) bucket {
-	return bucket{rate: rate, burst: burst, units: burst * unitsPerByte, filledAt: now}
+func newTokenBucket(now Time, rate, burst int64) tokenBucket {
+	return tokenBucket{rate: rate, burst: burst, units: burst * unitsPerByte, filledAt: now}
 }
 
-// left fills the bucket up to a moment and returns the bytes that it holds.
-func (b *bucket) left(now Time) int64 {
-	passed := max(now-b.filledAt, 0)
+// available fills the bucket up to a moment and returns the bytes that it holds.
+func (b *tokenBucket) available(now Time) int64 {
+	elapsed := max(now-b.filledAt, 0)
 	b.filledAt = now
-	b.units = min(b.units+min(passed, b.burst*unitsPerByte)*b.rate, b.burst*unitsPerByte)
+	b.units = min(b.units+min(elapsed, b.burst*unitsPerByte)*b.rate, b.burst*unitsPerByte)
 	return b.units / unitsPerByte
 }
 
-func (b *bucket) take(bytes int) {
+func (b *tokenBucket) spend(bytes int) {
 	b.units = max(b.units-int64(bytes)*unitsPerByte, -b.burst*unitsPerByte)
 }
 
 // room returns how many bytes a bucket allows in one datagram.
-func (b *bucket) room(now Time) int { return int(min(max(b.left(now), 0), datagramBytes)) }
+func (b *tokenBucket) room(now Time) int { return int(min(max(b.available(now), 0), datagramBytes)) }
 
 // mayGossip reports whether a round of gossip is worth a message now, and charges what asks for it with the message's head.
 //
@@ -59,17 +59,17 @@
 // of them, many times what the network is given for it.
 func (m *Members) mayGossip() bool {
 	switch {
-	case m.urgent.length > 0 && m.urgentBudget.room(m.now) >= minUrgentBytes:
-		m.urgentBudget.take(gossipHeadBytes)
+	case m.urgentQueue.length > 0 && m.urgentBudget.room(m.now) >= minUrgentBytes:
+		m.urgentBudget.spend(gossipHeaderBytes)
 		return true
-	case m.soon.length > 0 && m.soonBudget.room(m.now) >= minUrgentBytes:
-		m.soonBudget.take(gossipHeadBytes)
+	case m.soonQueue.length > 0 && m.soonBudget.room(m.now) >= minUrgentBytes:
+		m.soonBudget.spend(gossipHeaderBytes)
 		return true
-	case m.quiet.length > 0 && m.quietBudget.room(m.now) >= minGossipBytes:
-		m.quietBudget.take(gossipHeadBytes)
+	case m.quietQueue.length > 0 && m.quietBudget.room(m.now) >= minGossipBytes:
+		m.quietBudget.spend(gossipHeaderBytes)
 		return true
-	case m.facts.length > 0 && m.factBudget.room(m.now) >= minGossipBytes:
-		m.factBudget.take(gossipHeadBytes)
+	case m.factQueue.length > 0 && m.factBudget.room(m.now) >= minGossipBytes:
+		m.factBudget.spend(gossipHeaderBytes)
 		return true
 	default:
 		return false
--- a/fleet/membership/budget_test.go
+++ b/fleet/membership/budget_test.go
@@ -7,35 +7,35 @@
 
 // TestTalkKeepsToItsBudget: a zone of a hundred fronts is cut off for a minute and comes back. What a front sends in the worst
 // ten seconds stays within what its budgets allow, whatever the fleet's size, and all hold all for alive again soon after.
-func TestTalkKeepsToItsBudget(t *testing.T) {
+func TestTrafficStaysWithinBudget(t *testing.T) {
 	const (
 		window = 10 * 10_000 // Time
 		// The budget of facts full at the start of the window and spent in it; pings, their answers and refutations. There are no notes.
 		allowed = factBurst/10 + factRate + 700
 	)
 	for _, each := range []int{20, 100} {
-		n := fleet(12, each)
-		n.run(150 * period)
+		network := startFleet(12, each)
+		network.run(150 * period)
 		worst := 0.0
 		run := func(spans int) {
 			for range spans {
-				before := n.bytes
-				n.run(window)
-				worst = max(worst, float64(n.bytes-before)/float64(len(n.order))/10)
+				before := network.bytes
+				network.run(window)
+				worst = max(worst, float64(network.bytes-before)/float64(len(network.order))/10)
 			}
 		}
-		n.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
+		network.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
 		run(6)
-		n.cut = nil
+		network.cut = nil
 		run(9)
 		t.Logf("%d members: %.0f bytes a second in the worst ten seconds", 3*each, worst)
 		if worst > allowed {
 			t.Errorf("%d members: %.0f bytes a second in the worst ten seconds, %d allowed", 3*each, worst, allowed)
 		}
-		for _, o := range n.order {
-			for _, e := range o.m.List() {
+		for _, o := range network.order {
+			for _, e := range o.view.List() {
 				if e.State != Alive {
-					t.Fatalf("%d members: %s holds %s for %v, 90 s after the return", 3*each, o.m.self.Name, e.Name, e.State)
+					t.Fatalf("%d members: %s holds %s for %v, 90 s after the return", 3*each, o.view.config.Name, e.Name, e.State)
 				}
 			}
 		}
@@ -43,39 +43,39 @@
 }
 
 // TestBucket: a bucket holds its burst at most, fills at its rate, and an overdrawn one has to fill up first.
-func TestBucket(t *testing.T) {
-	b := newBucket(0, 100, 1000)
+func TestTokenBucket(t *testing.T) {
+	b := newTokenBucket(0, 100, 1000)
 	for _, step := range []struct {
 		now  Time
 		take int
 		left int64
 	}{{0, 0, 1000}, {10_000, 300, 1000}, {10_000, 0, 700}, {20_000, 900, 800}, {30_000, 0, 0}, {40_000, 0, 100}, {1 << 50, 0, 1000}} {
-		if left := b.left(step.now); left != step.left {
+		if left := b.available(step.now); left != step.left {
 			t.Errorf("at %d: %d bytes left, want %d", step.now, left, step.left)
 		}
-		b.take(step.take)
+		b.spend(step.take)
 	}
-	b.take(1 << 30)
-	if left := b.left(1<<50 + 10_000); left != -900 {
+	b.spend(1 << 30)
+	if left := b.available(1<<50 + 10_000); left != -900 {
 		t.Errorf("%d bytes left a second after much was taken, want the burst overdrawn and a second's rate", left)
 	}
 }
 
 // view gives a view of so many members of one zone, which have all answered.
-func viewOf(members int) *Members {
-	d := &node{net: newNet(1), dead: map[string]int{}, heard: map[string]uint64{}}
-	d.m = New(1, Config{Name: "self", Zone: "a", Addr: "self", Period: period, MaxMembers: 1024, NoteTTL: 1 << 40}, d)
+func viewWithMembers(members int) *Members {
+	node := &testNode{network: newTestNetwork(1), deathCounts: map[string]int{}, noteVersions: map[string]uint64{}}
+	node.view = New(1, Config{Name: "self", Zone: "a", Addr: "self", Period: period, MaxMembers: 1024, NoteTTL: 1 << 40}, node)
 	for k := range members {
 		name := fmt.Sprintf("m%d", k)
-		d.m.Receive(1, &Message{Kind: Gossip, Sender: Fact{Name: []byte(name), Zone: []byte("a"), Addr: []byte(name), Incarnation: 1}})
+		node.view.Receive(1, &Message{Kind: Gossip, Sender: Fact{Name: []byte(name), Zone: []byte("a"), Addr: []byte(name), Incarnation: 1}})
 	}
-	return d.m
+	return node.view
 }
 
 // TestExchangeCarriesWhatDiffers: of two views that hold the same an answer carries nothing; of two that differ in one member
 // it carries that member and little else; and a program that sends no digest is told everything.
-func TestExchangeCarriesWhatDiffers(t *testing.T) {
-	a, b := viewOf(300), viewOf(300)
+func TestSyncCarriesOnlyDifferences(t *testing.T) {
+	a, b := viewWithMembers(300), viewWithMembers(300)
 	ask := func(digest []byte) *Message {
 		b.rememberDigest(&Message{Kind: SyncRequest, Digest: digest})
 		return b.SyncMessage(SyncResponse)
@@ -87,17 +87,17 @@
 	b.applyFact(&Fact{Name: []byte("m7"), Zone: []byte("a"), Addr: []byte("m7"), Incarnation: 2})
 	b.Publish(1, "note", 1, []byte("body"), SpreadQuietly)
 	got := ask(digest)
-	told := false
+	sent := false
 	for _, fact := range got.Facts {
-		told = told || string(fact.Name) == "m7" && fact.Incarnation == 2
+		sent = sent || string(fact.Name) == "m7" && fact.Incarnation == 2
 	}
-	if !told || len(got.Facts) > 20 || len(got.Notes) != 1 {
-		t.Errorf("%d facts, %d notes; the one that differs among them: %v", len(got.Facts), len(got.Notes), told)
+	if !sent || len(got.Facts) > 20 || len(got.Notes) != 1 {
+		t.Errorf("%d facts, %d notes; the one that differs among them: %v", len(got.Facts), len(got.Notes), sent)
 	}
 	if got := ask(nil); len(got.Facts) != 300 {
 		t.Errorf("without a digest %d facts", len(got.Facts))
 	}
-	starting := append([]byte(nil), viewOf(1).SyncMessage(SyncRequest).Digest...)
+	starting := append([]byte(nil), viewWithMembers(1).SyncMessage(SyncRequest).Digest...)
 	if got := ask(starting); len(got.Facts) != 300 {
 		t.Errorf("a front that starts is told %d facts", len(got.Facts))
 	}
@@ -108,50 +108,50 @@
 			bytes += answer.Facts[i].size()
 		}
 	}
-	if most := firstBurst + 200*(minFirstBytes+100); bytes > most {
+	if most := startupBurst + 200*(minStartupBytes+100); bytes > most {
 		t.Errorf("%d bytes for 200 fronts that start at once, %d at most expected", bytes, most)
 	}
 }
 
 // TestAnswersKeepToTheirBudget: many that hold other things ask at once. The first are told more than the last, each is told
 // something, and over many asks all members are told.
-func TestAnswersKeepToTheirBudget(t *testing.T) {
-	a, b := viewOf(300), viewOf(300)
+func TestSyncResponsesStayWithinBudget(t *testing.T) {
+	a, b := viewWithMembers(300), viewWithMembers(300)
 	for k := range 300 {
 		name := fmt.Appendf(nil, "m%d", k)
 		b.applyFact(&Fact{Name: name, Zone: []byte("a"), Addr: name, Incarnation: 2})
 	}
 	digest := append([]byte(nil), a.SyncMessage(SyncRequest).Digest...)
-	told, bytes := map[string]bool{}, 0
+	sent, bytes := map[string]bool{}, 0
 	const asks = 60
 	for k := range asks {
 		b.rememberDigest(&Message{Kind: SyncRequest, Digest: digest})
 		answer := b.SyncMessage(SyncResponse)
 		for i := range answer.Facts {
-			told[string(answer.Facts[i].Name)] = true
+			sent[string(answer.Facts[i].Name)] = true
 			bytes += answer.Facts[i].size()
 		}
 		if len(answer.Facts) < 20 {
 			t.Fatalf("ask %d is told %d facts", k, len(answer.Facts))
 		}
 	}
-	if most := answerBurst + asks*(minAnswerBytes+100); bytes > most {
+	if most := responseBurst + asks*(minResponseBytes+100); bytes > most {
 		t.Errorf("%d bytes, %d at most expected", bytes, most)
 	}
-	if len(told) < 290 {
-		t.Errorf("%d of 300 members were told of", len(told))
+	if len(sent) < 290 {
+		t.Errorf("%d of 300 members were told of", len(sent))
 	}
 }
 
 // TestContestedDeathIsTold: one front holds a member for dead that another holds for alive. Once the second has answered the
 // first, it is told of the death as a suspicion, which the member can refute.
-func TestContestedDeathIsTold(t *testing.T) {
-	m := viewOf(5)
+func TestContestedDeathIsSent(t *testing.T) {
+	m := viewWithMembers(5)
 	dead := Fact{Name: []byte("m3"), Zone: []byte("a"), Addr: []byte("m3"), Incarnation: 1, State: Dead}
 	m.applyFact(&dead)
 	alive := dead
 	alive.State = Alive
-	m.nextContestAt = 3 // so that it is not told in an exchange of its own, which begins at once otherwise
+	m.nextContestedSyncAt = 3 // so that it is not told in an exchange of its own, which begins at once otherwise
 	m.Receive(2, &Message{Kind: SyncResponse, Sender: Fact{Name: []byte("m1"), Zone: []byte("a"), Addr: []byte("m1"), Incarnation: 1}, Facts: []Fact{alive}})
 	if got := m.SyncMessage(SyncRequest); len(got.Facts) != 1 || string(got.Facts[0].Name) != "m3" || got.Facts[0].State != Dead {
 		t.Errorf("the next exchange tells %+v", got.Facts)
--- a/fleet/membership/digest.go
+++ b/fleet/membership/digest.go
@@ -17,7 +17,7 @@
 )
 
 // startingBuckets is how many buckets of members are filled at most where a front has just started.
-const startingBuckets = 3
+const maxStartingBuckets = 3
 
 // maxContested bounds the facts that a front tells again because another one holds older ones.
 const maxContested = 128
@@ -29,9 +29,9 @@
 
 func noteBucket(key []byte) int { return memberBuckets + int(xxhash.Sum64(key)%noteBuckets) }
 
-// digestNow returns the digest of what this front holds. Those that are dead or have left do not count: some fronts have
+// currentDigest returns the digest of what this front holds. Those that are dead or have left do not count: some fronts have
 // forgotten them already.
-func (m *Members) digestNow() (sums digest) {
+func (m *Members) currentDigest() (sums digest) {
 	hash := &m.hash
 	for index := range m.members {
 		e := &m.members[index]
@@ -65,27 +65,27 @@
 }
 
 // readDigest reads a digest of DigestBytes.
-func readDigest(text []byte) (sums digest) {
+func readDigest(data []byte) (sums digest) {
 	for k := range sums {
-		sums[k] = binary.LittleEndian.Uint32(text[4*k:])
+		sums[k] = binary.LittleEndian.Uint32(data[4*k:])
 	}
 	return sums
 }
 
 // rememberDigest keeps what the sender of a Whole holds for the Answer to it.
 func (m *Members) rememberDigest(in *Message) {
-	m.askerHasDigest = len(in.Digest) == DigestBytes
-	if m.askerHasDigest {
-		m.askerDigest = readDigest(in.Digest)
+	m.requesterSentDigest = len(in.Digest) == DigestBytes
+	if m.requesterSentDigest {
+		m.requesterDigest = readDigest(in.Digest)
 	}
 }
 
-// openDigest fills the scratch message that begins an exchange: what this front holds as a digest, and the facts that the
+// fillSyncRequest fills the scratch message that begins an exchange: what this front holds as a digest, and the facts that the
 // last one that answered held older ones of.
-func (m *Members) openDigest() {
-	sums := m.digestNow()
-	m.digestText = appendDigest(m.digestText[:0], &sums)
-	m.message.Digest = m.digestText
+func (m *Members) fillSyncRequest() {
+	sums := m.currentDigest()
+	m.digestBytes = appendDigest(m.digestBytes[:0], &sums)
+	m.message.Digest = m.digestBytes
 	for _, index := range m.contested {
 		e := &m.members[index]
 		if e.used {
@@ -96,15 +96,15 @@
 	m.contested = m.contested[:0]
 }
 
-// openDifference fills the scratch message with what is in the buckets that differ from those of the asker, from another
+// fillDifference fills the scratch message with what is in the buckets that differ from those of the asker, from another
 // place on each time, as far as the budget reaches, and the least in any case.
 //
 // Danger: behind a cut each of hundreds of fronts asks the few on the other side for all that they hold.
-func (m *Members) openDifference(budget *bucket, least int64) {
-	sums := m.digestNow()
-	room := int(max(budget.left(m.now), least))
+func (m *Members) fillDifference(budget *tokenBucket, minBytes int64) {
+	sums := m.currentDigest()
+	room := int(max(budget.available(m.now), minBytes))
 	sent := 0
-	differs := func(bucket int) bool { return sums[bucket] != m.askerDigest[bucket] }
+	differs := func(bucket int) bool { return sums[bucket] != m.requesterDigest[bucket] }
 	for k := range m.notes {
 		n := &m.notes[k]
 		if n.used && !m.noteExpired(n) && differs(noteBucket(bytesOf(n.key))) && sent < room/2 {
@@ -124,13 +124,13 @@
 		m.messageFacts = append(m.messageFacts, fact)
 		sent += fact.size()
 	}
-	budget.take(sent)
+	budget.spend(sent)
 }
 
-// noteContested has a fact told to whoever is asked next, if its sender holds an older one than this front.
+// markContested has a fact told to whoever is asked next, if its sender holds an older one than this front.
 //
 // Danger: a member that one half holds for dead and the other for alive learns of it in no other way, and both go on.
-func (m *Members) noteContested(index int32, fact *Fact) {
+func (m *Members) markContested(index int32, fact *Fact) {
 	e := &m.members[index]
 	newer := e.incarnation > fact.Incarnation || e.incarnation == fact.Incarnation && e.state > fact.State
 	if newer && e.state == Dead && !e.contested && len(m.contested) < maxContested {
@@ -139,32 +139,32 @@
 	}
 }
 
-// compareAnswer looks at what an Answer tells of a member.
-func (m *Members) compareAnswer(fact *Fact) {
+// compareResponse looks at what an Answer tells of a member.
+func (m *Members) compareResponse(fact *Fact) {
 	index, known := m.byName[string(fact.Name)]
 	if known && index != selfIndex {
-		m.noteContested(index, fact)
+		m.markContested(index, fact)
 	}
 }
 
-// tellContested begins another exchange with whoever told something older, soon but not in a row.
+// syncContested begins another exchange with whoever told something older, soon but not in a row.
 //
 // Danger: of a member that is dead in truth the other has to find that out first, and both would exchange all the while.
-func (m *Members) tellContested(from int32) {
-	if len(m.contested) == 0 || m.now < m.nextContestAt {
+func (m *Members) syncContested(from int32) {
+	if len(m.contested) == 0 || m.now < m.nextContestedSyncAt {
 		return
 	}
-	m.nextContestAt = m.now + m.jitter(rejoinPeriods)
+	m.nextContestedSyncAt = m.now + m.jitter(rejoinPeriods)
 	m.host.StartSync(m.members[from].addr)
 }
 
-// holdsNothing reports whether a digest is that of a front that has just started and knows itself and few others.
-func (d *digest) holdsNothing() bool {
+// nearlyEmpty reports whether a digest is that of a front that has just started and knows itself and few others.
+func (d *digest) nearlyEmpty() bool {
 	filled := 0
 	for _, sum := range d[:memberBuckets] {
 		if sum != 0 {
 			filled++
 		}
 	}
-	return filled <= startingBuckets
+	return filled <= maxStartingBuckets
 }
--- a/fleet/membership/digest_test.go
+++ b/fleet/membership/digest_test.go
@@ -13,75 +13,75 @@
 // is meant to change actions records it anew and says so.
 const playDigest = "9948ac9b4bc33b7d"
 
-// TestPlayDigest plays one seeded fleet through loss, a kill, a leave, a cut, a stopped process, a second
+// TestActionDigest plays one seeded fleet through loss, a kill, a leave, a cut, a stopped process, a second
 // process of one name, unknown members and notes, and compares the hash of all actions.
-func TestPlayDigest(t *testing.T) {
+func TestActionDigest(t *testing.T) {
 	hash := fnv.New64a()
-	n := newNet(20)
-	n.trace = hash
+	network := newTestNetwork(20)
+	network.trace = hash
 	for k := range 6 {
 		for _, zone := range []string{"a", "b", "c"} {
 			name := fmt.Sprintf("%s%d", zone, k)
-			n.start(name, zone, name, 1)
+			network.start(name, zone, name, 1)
 		}
 	}
-	n.loss, n.delay = 60, 400
-	n.run(30 * period)
+	network.loss, network.delay = 60, 400
+	network.run(30 * period)
 
-	n.kill("c3")
+	network.kill("c3")
 	for round := range 10 {
 		for _, from := range []string{"a1", "b2", "c4"} {
-			n.nodes[from].m.Publish(n.now, fmt.Sprintf("p%s", from), uint64(round+1), []byte{byte(round)}, SpreadUrgently)
-			n.nodes[from].m.Publish(n.now, fmt.Sprintf("e%s", from), uint64(round+1), []byte{1, byte(round)}, SpreadQuietly)
+			network.nodes[from].view.Publish(network.now, fmt.Sprintf("p%s", from), uint64(round+1), []byte{byte(round)}, SpreadUrgently)
+			network.nodes[from].view.Publish(network.now, fmt.Sprintf("e%s", from), uint64(round+1), []byte{1, byte(round)}, SpreadQuietly)
 		}
-		n.nodes["b1"].m.StopSpreading("pa1")
-		n.run(5 * period)
+		network.nodes["b1"].view.StopSpreading("pa1")
+		network.run(5 * period)
 	}
-	n.start("c3", "c", "c3", 2)
-	n.run(10 * period)
-	n.kill("c3")
-	n.start("c3", "b", "elsewhere", 1)
-	n.run(40 * period)
+	network.start("c3", "c", "c3", 2)
+	network.run(10 * period)
+	network.kill("c3")
+	network.start("c3", "b", "elsewhere", 1)
+	network.run(40 * period)
 
-	n.nodes["b4"].m.Leave(n.now)
-	n.run(2 * period)
-	n.kill("b4")
+	network.nodes["b4"].view.Leave(network.now)
+	network.run(2 * period)
+	network.kill("b4")
 
-	n.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
-	n.run(100 * period)
-	n.cut = func(from, to string) bool { return from == "a2" && to[0] == 'b' }
-	n.run(30 * period)
-	n.cut = nil
+	network.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
+	network.run(100 * period)
+	network.cut = func(from, to string) bool { return from == "a2" && to[0] == 'b' }
+	network.run(30 * period)
+	network.cut = nil
 
-	n.nodes["a5"].stopped = true
-	n.run(6 * period)
-	n.nodes["a5"].stopped = false
-	n.run(20 * period)
+	network.nodes["a5"].stopped = true
+	network.run(6 * period)
+	network.nodes["a5"].stopped = false
+	network.run(20 * period)
 
-	n.start("a4", "a", "twin", 5)
-	n.run(20 * period)
-	n.nodes["a1"].m.self.MaxMembers = 60 // so that the dead make room
+	network.start("a4", "a", "twin", 5)
+	network.run(20 * period)
+	network.nodes["a1"].view.config.MaxMembers = 60 // so that the dead make room
 	for k := range 300 {
 		sender := Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"),
 			Incarnation: 1}
-		n.nodes["a1"].m.Receive(n.now, &Message{Kind: Gossip, Sender: sender})
-		n.run(100)
+		network.nodes["a1"].view.Receive(network.now, &Message{Kind: Gossip, Sender: sender})
+		network.run(100)
 	}
-	n.run(20 * period)
-	for _, node := range n.order {
+	network.run(20 * period)
+	for _, node := range network.order {
 		if strings.HasSuffix(node.addr, "2") || strings.HasSuffix(node.addr, "3") {
-			n.kill(node.addr)
+			network.kill(node.addr)
 		}
 	}
-	n.run(100 * period)
+	network.run(100 * period)
 	for _, zone := range []string{"a", "b", "c"} {
-		n.kill(zone + "4")
-		n.kill(zone + "5")
+		network.kill(zone + "4")
+		network.kill(zone + "5")
 	}
-	n.run(1300 * period) // past the time for which the dead are kept
+	network.run(1300 * period) // past the time for which the dead are kept
 
-	for _, node := range n.order {
-		view := node.m
+	for _, node := range network.order {
+		view := node.view
 		fmt.Fprintln(hash, view.List(), view.Health(), view.Joined(), view.Replaced(), view.Isolated(), view.Zones(),
 			view.ZoneLastHeard("b"), view.Next(), view.Dropped)
 	}
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -5,7 +5,7 @@
 	retransmitFactor = 4  // times that a fact is sent for each decimal digit of the fleet's size, and once more
 	gossipFanout     = 3  // members that a round goes to
 	roundsPerPeriod  = 10 // rounds of gossip in a protocol period
-	bulkFacts        = 32 // facts of other members in the queue past which each is sent fewer times
+	bulkFactCount    = 32 // facts of other members in the queue past which each is sent fewer times
 	bulkSends        = 4  // times that it is sent then
 )
 
@@ -15,7 +15,7 @@
 // factSends returns how many times a member's fact is sent. Where many have changed at once it is sent fewer times: of
 // random messages that go to each member four times on average one in fifty misses it, and full exchanges tell it those.
 func (m *Members) factSends() int {
-	if m.facts.length > bulkFacts {
+	if m.factQueue.length > bulkFactCount {
 		return bulkSends
 	}
 	return m.maxSends()
@@ -31,9 +31,9 @@
 	}
 	e.queued = true
 	if index == selfIndex {
-		m.urgent.pushFront(index)
+		m.urgentQueue.pushFront(index)
 	} else {
-		m.facts.pushFront(index)
+		m.factQueue.pushFront(index)
 	}
 }
 
@@ -51,11 +51,11 @@
 	n.queued = true
 	switch spread {
 	case SpreadUrgently:
-		m.urgent.pushFront(subjectOfNote(index))
+		m.urgentQueue.pushFront(subjectOfNote(index))
 	case SpreadSoon:
-		m.soon.pushFront(subjectOfNote(index))
+		m.soonQueue.pushFront(subjectOfNote(index))
 	default:
-		m.quiet.pushBack(subjectOfNote(index))
+		m.quietQueue.pushBack(subjectOfNote(index))
 	}
 }
 
@@ -71,17 +71,17 @@
 		m.messageFacts = append(m.messageFacts, fact)
 		room -= fact.size()
 	}
-	room -= m.drain(&m.urgent, &m.urgentBudget, room)
-	room -= m.drain(&m.soon, &m.soonBudget, room)
-	room -= m.drain(&m.quiet, &m.quietBudget, room)
-	m.drain(&m.facts, &m.factBudget, room)
+	room -= m.fillFromQueue(&m.urgentQueue, &m.urgentBudget, room)
+	room -= m.fillFromQueue(&m.soonQueue, &m.soonBudget, room)
+	room -= m.fillFromQueue(&m.quietQueue, &m.quietBudget, room)
+	m.fillFromQueue(&m.factQueue, &m.factBudget, room)
 	m.message.Facts = m.messageFacts
 	m.message.Notes = m.messageNotes
 }
 
-// drain moves the subjects of a queue into the scratch message, each once, as far as the room and the budget reach, and
+// fillFromQueue moves the subjects of a queue into the scratch message, each once, as far as the room and the budget reach, and
 // returns the bytes that they take. A subject that is to be sent again goes to the queue's end.
-func (m *Members) drain(queue *broadcastQueue, budget *bucket, room int) (used int) {
+func (m *Members) fillFromQueue(queue *broadcastQueue, budget *tokenBucket, room int) (used int) {
 	room = min(room, budget.room(m.now))
 	for subjects := queue.length; subjects > 0; subjects-- {
 		next := queue.pop()
@@ -100,7 +100,7 @@
 			queue.pushBack(next)
 		}
 	}
-	budget.take(used)
+	budget.spend(used)
 	return used
 }
 
@@ -181,14 +181,14 @@
 // told.
 //
 // Danger: a front that is new to most of its fleet has answered few of them, and would be told last of all.
-func (m *Members) pickUnverified(otherwise int32) int32 {
+func (m *Members) pickUnverified(fallback int32) int32 {
 	if len(m.members) <= 1 {
-		return otherwise
+		return fallback
 	}
 	drawn := int32(1 + m.random.Below(int64(len(m.members)-1)))
 	e := &m.members[drawn]
 	if e.used && e.state <= Suspect {
 		return drawn
 	}
-	return otherwise
+	return fallback
 }
--- a/fleet/membership/members.go
+++ b/fleet/membership/members.go
@@ -50,7 +50,7 @@
 // Members is the view of one front. It is not safe for concurrent use.
 type Members struct {
 	host   Host
-	self   Config
+	config Config
 	now    Time // of the call in hand
 	random random.Source
 
@@ -90,21 +90,21 @@
 	zoneNames    []string
 
 	// What is still to be sent (gossip.go): what is urgent, notes that are spread soon or quietly, facts of other members.
-	urgent, soon, quiet, facts                        broadcastQueue
-	urgentBudget, soonBudget, quietBudget, factBudget bucket
+	urgentQueue, soonQueue, quietQueue, factQueue     broadcastQueue
+	urgentBudget, soonBudget, quietBudget, factBudget tokenBucket
 
 	// Full exchanges (sync.go, digest.go).
-	answerBudget   bucket
-	firstBudget    bucket  // of answers to fronts that have just started
-	learned        int     // members of which the message in hand has told something new
-	seedTurn       int     // position in Self.Seeds of the one that is asked next
-	askerDigest    digest  // of the Whole that Open(Answer) answers next
-	askerHasDigest bool    // a program before this one sends none, and everything instead
-	contested      []int32 // members of which the last Answer told something older
-	nextContestAt  Time    // before which no exchange is begun for those alone
-	digestText     []byte
-	hash           xxhash.Digest
-	hashed         [8]byte
+	responseBudget      tokenBucket
+	startupBudget       tokenBucket // of answers to fronts that have just started
+	learned             int         // members of which the message in hand has told something new
+	nextSeed            int         // position in Self.Seeds of the one that is asked next
+	requesterDigest     digest      // of the Whole that Open(Answer) answers next
+	requesterSentDigest bool        // a program before this one sends none, and everything instead
+	contested           []int32     // members of which the last Answer told something older
+	nextContestedSyncAt Time        // before which no exchange is begun for those alone
+	digestBytes         []byte
+	hash                xxhash.Digest
+	hashed              [8]byte
 
 	// Dropped counts messages, facts and notes that were refused: malformed, out of bounds, or without a free
 	// place.
@@ -113,14 +113,14 @@
 
 // New returns a view that holds this front alone. Incarnation and Members are raised or lowered into their
 // bounds.
-func New(now Time, self Config, host Host) *Members {
-	self.Incarnation = max(self.Incarnation, 1)
-	self.MaxMembers = min(max(self.MaxMembers, minMembers), MaxFacts)
+func New(now Time, config Config, host Host) *Members {
+	config.Incarnation = max(config.Incarnation, 1)
+	config.MaxMembers = min(max(config.MaxMembers, minMembers), MaxFacts)
 	m := &Members{
 		host:        host,
-		self:        self,
+		config:      config,
 		now:         now,
-		random:      random.New(self.RandomSeed),
+		random:      random.New(config.RandomSeed),
 		byName:      map[string]int32{},
 		noteByKey:   map[string]int32{},
 		zoneByName:  map[string]int{},
@@ -128,35 +128,35 @@
 		nextTickAt:  now,
 		lastHeardAt: now,
 
-		urgentBudget: newBucket(now, urgentRate, urgentBurst),
-		factBudget:   newBucket(now, factRate, factBurst),
-		soonBudget:   newBucket(now, soonRate, soonBurst),
-		quietBudget:  newBucket(now, quietRate, quietBurst),
-		answerBudget: newBucket(now, answerRate, answerBurst),
-		firstBudget:  newBucket(now, firstRate, firstBurst),
+		urgentBudget:   newTokenBucket(now, urgentRate, urgentBurst),
+		factBudget:     newTokenBucket(now, factRate, factBurst),
+		soonBudget:     newTokenBucket(now, soonRate, soonBurst),
+		quietBudget:    newTokenBucket(now, quietRate, quietBurst),
+		responseBudget: newTokenBucket(now, responseRate, responseBurst),
+		startupBudget:  newTokenBucket(now, startupRate, startupBurst),
 	}
 	m.members = append(m.members, member{
-		name:        self.Name,
-		zone:        self.Zone,
-		addr:        self.Addr,
-		incarnation: self.Incarnation,
+		name:        config.Name,
+		zone:        config.Zone,
+		addr:        config.Addr,
+		incarnation: config.Incarnation,
 		stateSince:  now,
 		used:        true,
 	})
-	m.byName[self.Name] = selfIndex
-	m.zoneIndex(self.Zone)
-	m.joined = !slices.ContainsFunc(self.Seeds, func(addr string) bool { return addr != self.Addr })
-	m.nextProbeAt = now + m.random.Below(self.Period)
+	m.byName[config.Name] = selfIndex
+	m.zoneIndex(config.Zone)
+	m.joined = !slices.ContainsFunc(config.Seeds, func(addr string) bool { return addr != config.Addr })
+	m.nextProbeAt = now + m.random.Below(config.Period)
 	m.nextRejoinAt = now
 	m.nextSyncAt = now + m.jitter(syncPeriods)
-	m.seedTurn = int(m.random.Below(int64(max(len(self.Seeds), 1))))
+	m.nextSeed = int(m.random.Below(int64(max(len(config.Seeds), 1))))
 	m.spreadMember(selfIndex)
 	return m
 }
 
 // jitter draws a span between one half and one and a half of the given number of periods.
 func (m *Members) jitter(periods Time) Time {
-	return periods*m.self.Period/2 + m.random.Below(periods*m.self.Period)
+	return periods*m.config.Period/2 + m.random.Below(periods*m.config.Period)
 }
 
 // fleetDigits is the number of decimal digits of the number of members, at least 1. Retransmissions and
@@ -179,7 +179,7 @@
 func (m *Members) Health() int { return m.health }
 
 // Isolated reports whether no other member has been heard for four periods.
-func (m *Members) Isolated() bool { return m.now-m.lastHeardAt > isolatedPeriods*m.self.Period }
+func (m *Members) Isolated() bool { return m.now-m.lastHeardAt > isolatedPeriods*m.config.Period }
 
 // ZoneLastHeard returns when a member of a zone was last heard; 0 means never.
 func (m *Members) ZoneLastHeard(name string) Time {
--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/membership_test.go
@@ -14,66 +14,66 @@
 
 const period = Time(5000)
 
-// net is a network of views on one virtual clock.
-type net struct {
-	now    Time
-	chance random.Source
-	nodes  map[string]*node
-	order  []*node
-	post   letters
-	serial int
-	loss   int                        // of 1,000 datagrams
-	delay  Time                       // of each, from half of it to one and a half
-	cut    func(from, to string) bool // by address; whole exchanges need both ways
-	bytes  int
-	log    []string
-	trace  io.Writer // where every action is written, for a digest; nil: nowhere
-}
-
-// act writes one action of a node to the trace.
-func (d *node) act(format string, values ...any) {
-	if d.net.trace != nil {
-		fmt.Fprintf(d.net.trace, "%d %s ", d.net.now, d.addr)
-		fmt.Fprintf(d.net.trace, format+"\n", values...)
-	}
-}
-
-type node struct {
-	net     *net
-	m       *Members
-	addr    string
-	stopped bool
-	heard   map[string]uint64
-	dead    map[string]int // times that each was declared dead here
-}
-
-type letter struct {
-	at     Time
-	serial int
-	to     string
-	do     func(n *node)
-}
-
-type letters []letter
-
-func (l letters) Len() int { return len(l) }
-func (l letters) Less(i, j int) bool {
-	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].serial < l[j].serial
-}
-func (l letters) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *letters) Push(x any)   { *l = append(*l, x.(letter)) }
-func (l *letters) Pop() any {
+// testNetwork is a network of views on one virtual clock.
+type testNetwork struct {
+	now        Time
+	random     random.Source
+	nodes      map[string]*testNode
+	order      []*testNode
+	deliveries deliveryQueue
+	sequence   int
+	loss       int                        // of 1,000 datagrams
+	delay      Time                       // of each, from half of it to one and a half
+	cut        func(from, to string) bool // by address; whole exchanges need both ways
+	bytes      int
+	logLines   []string
+	trace      io.Writer // where every action is written, for a digest; nil: nowhere
+}
+
+// traceAction writes one action of a node to the trace.
+func (node *testNode) traceAction(format string, values ...any) {
+	if node.network.trace != nil {
+		fmt.Fprintf(node.network.trace, "%d %s ", node.network.now, node.addr)
+		fmt.Fprintf(node.network.trace, format+"\n", values...)
+	}
+}
+
+type testNode struct {
+	network      *testNetwork
+	view         *Members
+	addr         string
+	stopped      bool
+	noteVersions map[string]uint64
+	deathCounts  map[string]int // times that each was declared dead here
+}
+
+type delivery struct {
+	at       Time
+	sequence int
+	to       string
+	deliver  func(n *testNode)
+}
+
+type deliveryQueue []delivery
+
+func (l deliveryQueue) Len() int { return len(l) }
+func (l deliveryQueue) Less(i, j int) bool {
+	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].sequence < l[j].sequence
+}
+func (l deliveryQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *deliveryQueue) Push(x any)   { *l = append(*l, x.(delivery)) }
+func (l *deliveryQueue) Pop() any {
 	x := (*l)[len(*l)-1]
 	*l = (*l)[:len(*l)-1]
 	return x
 }
 
-func newNet(seed uint64) *net {
-	return &net{now: 1_000_000, chance: random.New(seed), nodes: map[string]*node{}, delay: 50}
+func newTestNetwork(seed uint64) *testNetwork {
+	return &testNetwork{now: 1_000_000, random: random.New(seed), nodes: map[string]*testNode{}, delay: 50}
 }
 
-// copied keeps a message beyond the call.
-func copied(in *Message) *Message {
+// copyMessage keeps a message beyond the call.
+func copyMessage(in *Message) *Message {
 	dup := func(b []byte) []byte { return append([]byte(nil), b...) }
 	fact := func(f Fact) Fact {
 		return Fact{dup(f.Name), dup(f.Zone), dup(f.Addr), dup(f.By), f.Incarnation, f.State}
@@ -88,113 +88,113 @@
 	return out
 }
 
-func (n *net) put(to string, after Time, do func(n *node)) {
-	n.serial++
-	heap.Push(&n.post, letter{n.now + after, n.serial, to, do})
+func (network *testNetwork) schedule(to string, after Time, do func(n *testNode)) {
+	network.sequence++
+	heap.Push(&network.deliveries, delivery{network.now + after, network.sequence, to, do})
 }
 
-func (d *node) Send(addr string, m *Message) {
-	n := d.net
-	d.act("send %s %+v", addr, *m)
+func (node *testNode) Send(addr string, m *Message) {
+	network := node.network
+	node.traceAction("send %s %+v", addr, *m)
 	for k := range m.Facts {
-		n.bytes += m.Facts[k].size()
+		network.bytes += m.Facts[k].size()
 	}
 	for k := range m.Notes {
-		n.bytes += m.Notes[k].size()
+		network.bytes += m.Notes[k].size()
 	}
-	n.bytes += 40 + len(m.Sender.Name) + len(m.Sender.Addr)
-	if n.cut != nil && n.cut(d.addr, addr) || n.chance.Below(1000) < int64(n.loss) {
+	network.bytes += 40 + len(m.Sender.Name) + len(m.Sender.Addr)
+	if network.cut != nil && network.cut(node.addr, addr) || network.random.Below(1000) < int64(network.loss) {
 		return
 	}
-	c := copied(m)
-	n.put(addr, n.delay/2+n.chance.Below(n.delay), func(to *node) { to.m.Receive(n.now, c) })
+	c := copyMessage(m)
+	network.schedule(addr, network.delay/2+network.random.Below(network.delay), func(to *testNode) { to.view.Receive(network.now, c) })
 }
 
-func (d *node) StartSync(addr string) {
-	n := d.net
-	d.act("exchange %s", addr)
-	if n.cut != nil && (n.cut(d.addr, addr) || n.cut(addr, d.addr)) {
+func (node *testNode) StartSync(addr string) {
+	network := node.network
+	node.traceAction("exchange %s", addr)
+	if network.cut != nil && (network.cut(node.addr, addr) || network.cut(addr, node.addr)) {
 		return
 	}
-	c := copied(d.m.SyncMessage(SyncRequest))
-	n.put(addr, n.delay, func(to *node) {
-		if to.m.Receive(n.now, c) {
-			back := copied(to.m.SyncMessage(SyncResponse))
-			n.put(d.addr, n.delay, func(from *node) { from.m.Receive(n.now, back) })
+	c := copyMessage(node.view.SyncMessage(SyncRequest))
+	network.schedule(addr, network.delay, func(to *testNode) {
+		if to.view.Receive(network.now, c) {
+			back := copyMessage(to.view.SyncMessage(SyncResponse))
+			network.schedule(node.addr, network.delay, func(from *testNode) { from.view.Receive(network.now, back) })
 		}
 	})
 }
 
-func (d *node) MemberChanged(name, zone string, state State) {
-	d.act("member %s %s %v", name, zone, state)
+func (node *testNode) MemberChanged(name, zone string, state State) {
+	node.traceAction("member %s %s %v", name, zone, state)
 	if state == Dead {
-		d.dead[name]++
+		node.deathCounts[name]++
 	}
 }
-func (d *node) NoteReceived(key []byte, n Note, sinceMade Time) Spread {
-	d.act("heard %s %+v %d", key, n, sinceMade)
-	d.heard[string(key)] = n.Version
+func (node *testNode) NoteReceived(key []byte, n Note, sinceMade Time) Spread {
+	node.traceAction("heard %s %+v %d", key, n, sinceMade)
+	node.noteVersions[string(key)] = n.Version
 	if key[0] == 'e' {
 		return SpreadQuietly
 	}
 	return SpreadUrgently
 }
-func (d *node) Log(text string) {
-	d.act("log %s", text)
-	d.net.log = append(d.net.log, d.m.self.Name+": "+text)
+func (node *testNode) Log(text string) {
+	node.traceAction("log %s", text)
+	node.network.logLines = append(node.network.logLines, node.view.config.Name+": "+text)
 }
 
-func (n *net) start(name, zone, addr string, incarnation uint64) *node {
-	d := &node{net: n, addr: addr, heard: map[string]uint64{}, dead: map[string]int{}}
-	n.nodes[addr], n.order = d, append(n.order, d)
-	d.m = New(n.now, Config{Name: name, Zone: zone, Addr: addr, Incarnation: incarnation, RandomSeed: uint64(len(n.order)) * 977,
-		Period: period, Seeds: []string{"a0", "b0"}, MaxMembers: 4096, NoteTTL: 20 * period}, d)
-	return d
+func (network *testNetwork) start(name, zone, addr string, incarnation uint64) *testNode {
+	node := &testNode{network: network, addr: addr, noteVersions: map[string]uint64{}, deathCounts: map[string]int{}}
+	network.nodes[addr], network.order = node, append(network.order, node)
+	node.view = New(network.now, Config{Name: name, Zone: zone, Addr: addr, Incarnation: incarnation, RandomSeed: uint64(len(network.order)) * 977,
+		Period: period, Seeds: []string{"a0", "b0"}, MaxMembers: 4096, NoteTTL: 20 * period}, node)
+	return node
 }
 
-// fleet starts so many in each of three zones.
-func fleet(seed uint64, each int) *net {
-	n := newNet(seed)
+// startFleet starts so many in each of three zones.
+func startFleet(seed uint64, each int) *testNetwork {
+	network := newTestNetwork(seed)
 	for k := range each {
 		for _, z := range []string{"a", "b", "c"} {
-			n.start(fmt.Sprintf("%s%d", z, k), z, fmt.Sprintf("%s%d", z, k), 1)
+			network.start(fmt.Sprintf("%s%d", z, k), z, fmt.Sprintf("%s%d", z, k), 1)
 		}
 	}
-	return n
+	return network
 }
 
-func (n *net) run(span Time) {
-	for end := n.now + span; ; {
+func (network *testNetwork) run(span Time) {
+	for end := network.now + span; ; {
 		next := end
-		if len(n.post) > 0 {
-			next = min(next, n.post[0].at)
+		if len(network.deliveries) > 0 {
+			next = min(next, network.deliveries[0].at)
 		}
-		for _, d := range n.order {
-			if !d.stopped {
-				next = min(next, max(d.m.Next(), n.now))
+		for _, node := range network.order {
+			if !node.stopped {
+				next = min(next, max(node.view.Next(), network.now))
 			}
 		}
-		if n.now = next; n.now >= end {
+		if network.now = next; network.now >= end {
 			return
 		}
-		for len(n.post) > 0 && n.post[0].at <= n.now {
-			l := heap.Pop(&n.post).(letter)
-			if d := n.nodes[l.to]; d != nil && d.stopped {
-				n.put(l.to, 100, l.do) // a stopped process has its datagrams wait for it
-			} else if d != nil {
-				l.do(d)
+		for len(network.deliveries) > 0 && network.deliveries[0].at <= network.now {
+			l := heap.Pop(&network.deliveries).(delivery)
+			if node := network.nodes[l.to]; node != nil && node.stopped {
+				network.schedule(l.to, 100, l.deliver) // a stopped process has its datagrams wait for it
+			} else if node != nil {
+				l.deliver(node)
 			}
 		}
-		for _, d := range n.order {
-			if !d.stopped && d.m.Next() <= n.now {
-				d.m.Tick(n.now)
+		for _, node := range network.order {
+			if !node.stopped && node.view.Next() <= network.now {
+				node.view.Tick(network.now)
 			}
 		}
 	}
 }
 
-func (d *node) state(name string) string {
-	for _, e := range d.m.List() {
+func (node *testNode) stateOf(name string) string {
+	for _, e := range node.view.List() {
 		if e.Name == name {
 			return e.State.String()
 		}
@@ -202,66 +202,66 @@
 	return "unknown"
 }
 
-func (n *net) kill(addr string) {
-	d := n.nodes[addr]
-	delete(n.nodes, addr)
-	for k, o := range n.order {
-		if o == d {
-			n.order = append(n.order[:k:k], n.order[k+1:]...)
+func (network *testNetwork) kill(addr string) {
+	node := network.nodes[addr]
+	delete(network.nodes, addr)
+	for k, o := range network.order {
+		if o == node {
+			network.order = append(network.order[:k:k], network.order[k+1:]...)
 		}
 	}
 }
 
-// all wants the same held of a member everywhere.
-func (n *net) all(t *testing.T, name, want string) {
+// wantState wants the same held of a member everywhere.
+func (network *testNetwork) wantState(t *testing.T, name, want string) {
 	t.Helper()
-	for _, d := range n.order {
-		if got := d.state(name); got != want && d.m.self.Name != name {
-			t.Errorf("%s holds %s for %s, not %s", d.m.self.Name, name, got, want)
+	for _, node := range network.order {
+		if got := node.stateOf(name); got != want && node.view.config.Name != name {
+			t.Errorf("%s holds %s for %s, not %s", node.view.config.Name, name, got, want)
 		}
 	}
 }
 
-func (n *net) quiet(t *testing.T) {
+func (network *testNetwork) wantNoDeaths(t *testing.T) {
 	t.Helper()
-	for _, d := range n.order {
-		for name, times := range d.dead {
-			t.Errorf("%s declared %s dead %d times", d.m.self.Name, name, times)
+	for _, node := range network.order {
+		for name, times := range node.deathCounts {
+			t.Errorf("%s declared %s dead %d times", node.view.config.Name, name, times)
 		}
 	}
 }
 
 // TestAllFindEachOther: through seeds, with loss, and nobody is given up.
-func TestAllFindEachOther(t *testing.T) {
-	n := fleet(1, 20)
-	n.loss, n.delay = 50, 300
-	n.run(60 * period)
-	for _, d := range n.order {
-		if got := len(d.m.List()); got != 60 || !d.m.Joined() {
-			t.Errorf("%s holds %d, joined %v", d.m.self.Name, got, d.m.Joined())
+func TestAllMembersJoin(t *testing.T) {
+	network := startFleet(1, 20)
+	network.loss, network.delay = 50, 300
+	network.run(60 * period)
+	for _, node := range network.order {
+		if got := len(node.view.List()); got != 60 || !node.view.Joined() {
+			t.Errorf("%s holds %d, joined %v", node.view.config.Name, got, node.view.Joined())
 		}
 	}
-	n.quiet(t)
+	network.wantNoDeaths(t)
 }
 
 // TestDeadAndBack: one that is killed is dead everywhere; a new life under its name is alive everywhere at once.
-func TestDeadAndBack(t *testing.T) {
-	n := fleet(2, 6)
-	n.run(20 * period)
-	n.kill("c3")
-	n.run(60 * period)
-	n.all(t, "c3", "dead")
-	n.start("c3", "c", "c3", 2)
-	n.run(6 * period)
-	n.all(t, "c3", "alive")
-	n.kill("c3")
-	n.start("c3", "b", "elsewhere", 1) // its clock was set back, and it moved
-	n.run(90 * period)
-	n.all(t, "c3", "alive")
-	for _, d := range n.order {
-		for _, e := range d.m.List() {
+func TestRestartAfterDeath(t *testing.T) {
+	network := startFleet(2, 6)
+	network.run(20 * period)
+	network.kill("c3")
+	network.run(60 * period)
+	network.wantState(t, "c3", "dead")
+	network.start("c3", "c", "c3", 2)
+	network.run(6 * period)
+	network.wantState(t, "c3", "alive")
+	network.kill("c3")
+	network.start("c3", "b", "elsewhere", 1) // its clock was set back, and it moved
+	network.run(90 * period)
+	network.wantState(t, "c3", "alive")
+	for _, node := range network.order {
+		for _, e := range node.view.List() {
 			if e.Name == "c3" && (e.Addr != "elsewhere" || e.Zone != "b") {
-				t.Errorf("%s has it at %s in %s", d.m.self.Name, e.Addr, e.Zone)
+				t.Errorf("%s has it at %s in %s", node.view.config.Name, e.Addr, e.Zone)
 			}
 		}
 	}
@@ -269,31 +269,31 @@
 
 // TestLeave: a planned end is known everywhere within two periods, and is no death.
 func TestLeave(t *testing.T) {
-	n := fleet(3, 10)
-	n.run(20 * period)
-	n.nodes["b4"].m.Leave(n.now)
-	n.run(2 * period)
-	n.kill("b4")
-	n.all(t, "b4", "left")
-	n.run(40 * period)
-	n.quiet(t)
+	network := startFleet(3, 10)
+	network.run(20 * period)
+	network.nodes["b4"].view.Leave(network.now)
+	network.run(2 * period)
+	network.kill("b4")
+	network.wantState(t, "b4", "left")
+	network.run(40 * period)
+	network.wantNoDeaths(t)
 }
 
 // TestHalvesFindEachOther: a fleet cut in two buries the other half, and is whole again soon after the cut ends.
-func TestHalvesFindEachOther(t *testing.T) {
-	n := fleet(4, 8)
-	n.run(20 * period)
-	n.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
-	n.run(120 * period)
-	if got := n.nodes["a1"].state("b1"); got != "dead" {
+func TestPartitionHeals(t *testing.T) {
+	network := startFleet(4, 8)
+	network.run(20 * period)
+	network.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
+	network.run(120 * period)
+	if got := network.nodes["a1"].stateOf("b1"); got != "dead" {
 		t.Errorf("b1 is %s for a1 during the cut", got)
 	}
-	n.cut = nil
-	n.run(40 * period)
-	for _, d := range n.order {
-		for _, e := range d.m.List() {
+	network.cut = nil
+	network.run(40 * period)
+	for _, node := range network.order {
+		for _, e := range node.view.List() {
 			if e.State != Alive {
-				t.Errorf("%s holds %s for %v", d.m.self.Name, e.Name, e.State)
+				t.Errorf("%s holds %s for %v", node.view.config.Name, e.Name, e.State)
 			}
 		}
 	}
@@ -301,127 +301,127 @@
 
 // TestOneWayCut: one that hears all and is not heard by one zone is vouched for by the others.
 func TestOneWayCut(t *testing.T) {
-	n := fleet(5, 6)
-	n.run(20 * period)
-	n.cut = func(from, to string) bool { return from == "a2" && to[0] == 'b' }
-	n.run(100 * period)
-	n.quiet(t)
+	network := startFleet(5, 6)
+	network.run(20 * period)
+	network.cut = func(from, to string) bool { return from == "a2" && to[0] == 'b' }
+	network.run(100 * period)
+	network.wantNoDeaths(t)
 }
 
 // TestStoppedFrontEvictsNobody: one that stood still for 3 s, or has no network of its own, judges nobody.
-func TestStoppedFrontEvictsNobody(t *testing.T) {
-	n := fleet(6, 6)
-	n.run(20 * period)
-	d := n.nodes["a1"]
+func TestStalledFrontDeclaresNobodyDead(t *testing.T) {
+	network := startFleet(6, 6)
+	network.run(20 * period)
+	node := network.nodes["a1"]
 	for range 5 {
-		d.stopped = true
-		n.run(3 * 10_000)
-		d.stopped = false
-		n.run(3 * period)
+		node.stopped = true
+		network.run(3 * 10_000)
+		node.stopped = false
+		network.run(3 * period)
 	}
-	if d.m.Health() == 0 {
+	if node.view.Health() == 0 {
 		t.Error("it does not doubt itself")
 	}
-	n.cut = func(from, to string) bool { return from == "a1" || to == "a1" }
-	n.run(200 * period)
-	n.cut = nil
-	n.run(60 * period)
-	for _, o := range n.order {
-		for name := range o.dead {
+	network.cut = func(from, to string) bool { return from == "a1" || to == "a1" }
+	network.run(200 * period)
+	network.cut = nil
+	network.run(60 * period)
+	for _, o := range network.order {
+		for name := range o.deathCounts {
 			if name != "a1" {
-				t.Errorf("%s declared %s dead", o.m.self.Name, name)
+				t.Errorf("%s declared %s dead", o.view.config.Name, name)
 			}
 		}
 	}
-	n.all(t, "a1", "alive")
+	network.wantState(t, "a1", "alive")
 }
 
 // TestNameUsedTwice: the newer life holds and the older falls out, instead of refuting each other for ever.
-func TestNameUsedTwice(t *testing.T) {
-	n := fleet(7, 4)
-	n.run(20 * period)
-	twin := n.start("a1", "a", "twin", 5)
-	n.run(20 * period)
-	if !n.nodes["a1"].m.Replaced() || twin.m.Replaced() {
+func TestNameConflict(t *testing.T) {
+	network := startFleet(7, 4)
+	network.run(20 * period)
+	twin := network.start("a1", "a", "twin", 5)
+	network.run(20 * period)
+	if !network.nodes["a1"].view.Replaced() || twin.view.Replaced() {
 		t.Error("the older one goes on, or the newer one does not")
 	}
-	if !strings.Contains(strings.Join(n.log, "\n"), "another front goes by this name") {
+	if !strings.Contains(strings.Join(network.logLines, "\n"), "another front goes by this name") {
 		t.Error("the log does not say so")
 	}
 }
 
 // TestUnknownMembers: 200 made-up members a second fill no table, push no living one out and are forgotten.
-func TestUnknownMembers(t *testing.T) {
-	n := fleet(8, 4)
-	for _, d := range n.order {
-		d.m.self.MaxMembers = 100
+func TestMadeUpMembers(t *testing.T) {
+	network := startFleet(8, 4)
+	for _, node := range network.order {
+		node.view.config.MaxMembers = 100
 	}
-	n.run(20 * period)
-	d := n.nodes["a1"]
+	network.run(20 * period)
+	node := network.nodes["a1"]
 	for k := range 2000 {
-		d.m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"), Incarnation: 1}})
-		n.run(50)
+		node.view.Receive(network.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"), Incarnation: 1}})
+		network.run(50)
 	}
-	if got := len(d.m.members); got > 100 {
+	if got := len(node.view.members); got > 100 {
 		t.Errorf("%d members are held", got)
 	}
-	if len(d.m.zones) > maxZones {
-		t.Errorf("%d zones are held", len(d.m.zones))
+	if len(node.view.zones) > maxZones {
+		t.Errorf("%d zones are held", len(node.view.zones))
 	}
-	n.run(400 * period)
+	network.run(400 * period)
 	for k := range 4 {
-		n.all(t, fmt.Sprintf("b%d", k), "alive")
+		network.wantState(t, fmt.Sprintf("b%d", k), "alive")
 	}
 	ghosts := 0
-	for _, e := range d.m.List() {
+	for _, e := range node.view.List() {
 		if e.Name[0] == 'x' && e.State != Dead {
 			ghosts++
 		}
 	}
 	if ghosts > 0 {
-		t.Errorf("%d made-up members are still held for alive, health %d", ghosts, d.m.Health())
+		t.Errorf("%d made-up members are still held for alive, health %d", ghosts, node.view.Health())
 	}
 }
 
 // TestNotesSpread: a note reaches all within a period, newer ones replace it, and an old one is dropped.
 func TestNotesSpread(t *testing.T) {
-	n := fleet(9, 30)
-	n.loss, n.delay = 50, 300
-	n.run(30 * period)
-	n.nodes["a3"].m.Publish(n.now, "pz", 3, []byte("body"), SpreadUrgently)
-	n.run(period)
-	late := 0
-	for _, d := range n.order {
-		if d.heard["pz"] != 3 && d.addr != "a3" {
-			late++
+	network := startFleet(9, 30)
+	network.loss, network.delay = 50, 300
+	network.run(30 * period)
+	network.nodes["a3"].view.Publish(network.now, "pz", 3, []byte("body"), SpreadUrgently)
+	network.run(period)
+	lateBy := 0
+	for _, node := range network.order {
+		if node.noteVersions["pz"] != 3 && node.addr != "a3" {
+			lateBy++
 		}
 	}
-	if late > 1 {
-		t.Errorf("%d of %d have not heard it after a period", late, len(n.order))
+	if lateBy > 1 {
+		t.Errorf("%d of %d have not heard it after a period", lateBy, len(network.order))
 	}
-	n.nodes["b3"].m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: []byte("a1"), Addr: []byte("a1"), Zone: []byte("a"), Incarnation: 1},
+	network.nodes["b3"].view.Receive(network.now, &Message{Kind: Gossip, Sender: Fact{Name: []byte("a1"), Addr: []byte("a1"), Zone: []byte("a"), Incarnation: 1},
 		Notes: []Note{{Key: []byte("pz"), Version: 2}, {Key: []byte("old"), Version: 1, Age: 21 * period}}})
-	if d := n.nodes["b3"]; d.heard["pz"] != 3 || d.heard["old"] != 0 {
+	if node := network.nodes["b3"]; node.noteVersions["pz"] != 3 || node.noteVersions["old"] != 0 {
 		t.Error("an older version, or an old note, was taken")
 	}
-	n.run(30 * period)
-	if d := n.nodes["c3"]; len(d.m.noteByKey) != 0 {
-		t.Errorf("%d notes are kept past their life", len(d.m.noteByKey))
+	network.run(30 * period)
+	if node := network.nodes["c3"]; len(node.view.noteByKey) != 0 {
+		t.Errorf("%d notes are kept past their life", len(node.view.noteByKey))
 	}
 }
 
 // TestSameCallsSameActions: two runs of one seed lead to the same bytes.
-func TestSameCallsSameActions(t *testing.T) {
-	play := func() (int, int) {
-		n := fleet(10, 10)
-		n.loss, n.delay = 100, 500
-		n.run(40 * period)
-		n.kill("b2")
-		n.run(40 * period)
-		return n.bytes, n.serial
-	}
-	b1, s1 := play()
-	if b2, s2 := play(); b1 != b2 || s1 != s2 {
+func TestDeterminism(t *testing.T) {
+	run := func() (int, int) {
+		network := startFleet(10, 10)
+		network.loss, network.delay = 100, 500
+		network.run(40 * period)
+		network.kill("b2")
+		network.run(40 * period)
+		return network.bytes, network.sequence
+	}
+	b1, s1 := run()
+	if b2, s2 := run(); b1 != b2 || s1 != s2 {
 		t.Errorf("%d bytes and %d messages, then %d and %d", b1, s1, b2, s2)
 	}
 }
@@ -429,11 +429,11 @@
 // TestTraffic: what a front sends while all is well does not grow with the fleet.
 func TestTraffic(t *testing.T) {
 	for _, each := range []int{33, 100} {
-		n := fleet(11, each)
-		n.run(150 * period)
-		before := n.bytes
-		n.run(40 * period)
-		perSecond := float64(n.bytes-before) / float64(len(n.order)) / (40 * float64(period) / 10_000)
+		network := startFleet(11, each)
+		network.run(150 * period)
+		before := network.bytes
+		network.run(40 * period)
+		perSecond := float64(network.bytes-before) / float64(len(network.order)) / (40 * float64(period) / 10_000)
 		t.Logf("%d members: %.0f bytes a second for each", 3*each, perSecond)
 		if perSecond > 600 {
 			t.Errorf("%d members: %.0f bytes a second for each", 3*each, perSecond)
@@ -444,9 +444,9 @@
 // TestHostileMessages: whatever is taken in, bounds hold and the front itself stays alive.
 func TestHostileMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := fleet(12, 2)
-		n.run(5 * period)
-		d := n.nodes["a1"]
+		network := startFleet(12, 2)
+		network.run(5 * period)
+		node := network.nodes["a1"]
 		name := rapid.SampledFrom([]string{"a0", "a1", "b0", "", "x", strings.Repeat("y", 65)})
 		fact := func() Fact {
 			return Fact{Name: []byte(name.Draw(t, "name")), Zone: []byte(name.Draw(t, "zone")), Addr: []byte(name.Draw(t, "addr")),
@@ -459,24 +459,24 @@
 				in.Facts = append(in.Facts, fact())
 				in.Notes = append(in.Notes, Note{Key: []byte(name.Draw(t, "key")), Version: rapid.Uint64().Draw(t, "version"), Age: rapid.Int64().Draw(t, "age")})
 			}
-			d.m.Receive(n.now, in)
-			n.run(period / 2)
+			node.view.Receive(network.now, in)
+			network.run(period / 2)
 		}
-		if e := d.m.List()[0]; e.Name != "a1" || e.State != Alive {
+		if e := node.view.List()[0]; e.Name != "a1" || e.State != Alive {
 			t.Errorf("it holds itself for %+v", e)
 		}
-		if len(d.m.members) > 16 || len(d.m.zones) > 16 {
-			t.Errorf("%d members, %d zones", len(d.m.members), len(d.m.zones))
+		if len(node.view.members) > 16 || len(node.view.zones) > 16 {
+			t.Errorf("%d members, %d zones", len(node.view.members), len(node.view.zones))
 		}
 	})
 }
 
 // BenchmarkTake: a ping with three facts in which nothing is new, in a fleet of 1,000.
-func BenchmarkTake(b *testing.B) {
-	n := newNet(13)
-	d := n.start("a1", "a", "a1", 1)
+func BenchmarkReceive(b *testing.B) {
+	network := newTestNetwork(13)
+	node := network.start("a1", "a", "a1", 1)
 	for k := range 1000 {
-		d.m.Receive(n.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}})
+		node.view.Receive(network.now, &Message{Kind: Gossip, Sender: Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}})
 	}
 	fact := func(k int) Fact {
 		return Fact{Name: fmt.Appendf(nil, "m%d", k), Zone: fmt.Appendf(nil, "z%d", k%3), Addr: []byte("x"), Incarnation: 1}
@@ -484,6 +484,6 @@
 	in := &Message{Kind: Gossip, Sender: fact(1), Facts: []Fact{fact(2), fact(3), fact(4)}}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.m.Receive(n.now, in)
+		node.view.Receive(network.now, in)
 	}
 }
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -76,18 +76,18 @@
 
 // Sizes on the wire, in bytes.
 const (
-	datagramBytes = 1000 // of facts and notes in one datagram, besides its head
-	factBytes     = 16   // of a fact, besides its strings
-	noteBytes     = 20   // of a note, besides its key and body
+	datagramBytes     = 1000 // of facts and notes in one datagram, besides its head
+	factOverheadBytes = 16   // of a fact, besides its strings
+	noteOverheadBytes = 20   // of a note, besides its key and body
 )
 
 // size estimates a fact's length on the wire, in bytes.
 func (f *Fact) size() int {
-	return factBytes + len(f.Name) + len(f.Zone) + len(f.Addr) + len(f.By)
+	return factOverheadBytes + len(f.Name) + len(f.Zone) + len(f.Addr) + len(f.By)
 }
 
 // size estimates a note's length on the wire, in bytes.
-func (n *Note) size() int { return noteBytes + len(n.Key) + len(n.Body) }
+func (n *Note) size() int { return noteOverheadBytes + len(n.Key) + len(n.Body) }
 
 // valid reports whether a fact keeps to the bounds.
 func (f *Fact) valid() bool {
--- a/fleet/membership/notes.go
+++ b/fleet/membership/notes.go
@@ -31,7 +31,7 @@
 	return Note{Key: bytesOf(n.key), Version: n.version, Age: m.now - n.madeAt, Body: n.body}
 }
 
-func (m *Members) noteExpired(n *note) bool { return m.now-n.madeAt > m.self.NoteTTL }
+func (m *Members) noteExpired(n *note) bool { return m.now-n.madeAt > m.config.NoteTTL }
 
 // Publish spreads a note of this front's own. Its version must be larger than any known of its key. Without a free place the
 // note is counted in Dropped.
@@ -65,7 +65,7 @@
 // allocateNote returns the index of a place for a note of a new key, or -1 if there is none.
 func (m *Members) allocateNote(key string) int32 {
 	if len(m.freeNotes) == 0 {
-		if len(m.notes) >= notesPerMember*m.self.MaxMembers {
+		if len(m.notes) >= notesPerMember*m.config.MaxMembers {
 			return -1
 		}
 		m.notes = append(m.notes, note{})
@@ -81,7 +81,7 @@
 
 // applyNote takes in a received note, if it is newer than what is known of its key.
 func (m *Members) applyNote(in *Note) {
-	if !in.valid() || in.Age > m.self.NoteTTL {
+	if !in.valid() || in.Age > m.config.NoteTTL {
 		m.Dropped++
 		return
 	}
--- a/fleet/membership/probe.go
+++ b/fleet/membership/probe.go
@@ -23,7 +23,7 @@
 }
 
 // periodNow returns the protocol period as local health lengthens it.
-func (m *Members) periodNow() Time { return m.self.Period * Time(1+m.health) }
+func (m *Members) periodNow() Time { return m.config.Period * Time(1+m.health) }
 
 // raiseHealth makes the local health multiplier worse.
 func (m *Members) raiseHealth(by int) { m.health = min(m.health+by, maxHealth) }
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -3,13 +3,13 @@
 // Receive takes in a received message. It returns whether the sender expects a full exchange in answer:
 // Open(Answer) gives that message. Messages that are malformed, out of bounds, meant for another member or of
 // an earlier life of their sender are counted in Dropped.
-func (m *Members) Receive(now Time, in *Message) (answer bool) {
+func (m *Members) Receive(now Time, in *Message) (respond bool) {
 	m.now = now
 	if m.replaced || !m.acceptable(in) {
 		m.Dropped++
 		return false
 	}
-	if string(in.Sender.Name) == m.self.Name {
+	if string(in.Sender.Name) == m.config.Name {
 		m.resolveNameConflict(&in.Sender)
 		return false
 	}
@@ -22,7 +22,7 @@
 		m.correctStaleSender(from, in)
 		return in.Kind == SyncRequest
 	}
-	m.noteDirectMessage(from, &in.Sender)
+	m.recordDirectMessage(from, &in.Sender)
 	m.applyContents(in)
 	if m.replaced {
 		return false
@@ -36,7 +36,7 @@
 	if !in.Sender.valid() || len(in.Facts) > MaxFacts || len(in.Notes) > MaxNotes {
 		return false
 	}
-	return len(in.To) == 0 || string(in.To) == m.self.Name
+	return len(in.To) == 0 || string(in.To) == m.config.Name
 }
 
 // correctStaleSender answers a message of an earlier life of a member, or of a life whose clock was set back.
@@ -51,9 +51,9 @@
 	m.host.Send(string(in.Sender.Addr), &m.message)
 }
 
-// noteDirectMessage records that a member has sent a message itself. If it is suspected and does not know so,
+// recordDirectMessage records that a member has sent a message itself. If it is suspected and does not know so,
 // the suspicion is queued again: the member reads it in the answer, and refutes it for all.
-func (m *Members) noteDirectMessage(from int32, sender *Fact) {
+func (m *Members) recordDirectMessage(from int32, sender *Fact) {
 	e := &m.members[from]
 	e.lastDirectAt = m.now
 	m.lastHeardAt = m.now
@@ -77,7 +77,7 @@
 		}
 		m.applyFact(fact)
 		if in.Kind == SyncResponse {
-			m.compareAnswer(fact)
+			m.compareResponse(fact)
 		}
 	}
 	for k := range in.Notes {
@@ -86,7 +86,7 @@
 }
 
 // dispatch acts on the kind of a message, and returns whether a full exchange is expected in answer.
-func (m *Members) dispatch(from int32, in *Message) (answer bool) {
+func (m *Members) dispatch(from int32, in *Message) (respond bool) {
 	switch in.Kind {
 	case Ping:
 		m.sendTo(from, Ack, in.Seq)
@@ -107,8 +107,8 @@
 			m.replayNotes()
 		}
 		m.catchUp()
-		m.compareAnswer(&in.Sender)
-		m.tellContested(from)
+		m.compareResponse(&in.Sender)
+		m.syncContested(from)
 	}
 	return false
 }
--- a/fleet/membership/relay.go
+++ b/fleet/membership/relay.go
@@ -56,7 +56,7 @@
 func (m *Members) sendNacks() {
 	for k := range m.relays {
 		r := &m.relays[k]
-		if r.requesterAddr == "" || r.nackSent || m.now-r.sentAt < m.self.Period/nackDivisor {
+		if r.requesterAddr == "" || r.nackSent || m.now-r.sentAt < m.config.Period/nackDivisor {
 			continue
 		}
 		r.nackSent = true
--- a/fleet/membership/self.go
+++ b/fleet/membership/self.go
@@ -44,7 +44,7 @@
 
 // dismissClaimant takes the name back from a claimant that has not answered.
 func (m *Members) dismissClaimant() {
-	if m.claimant.addr == "" || m.now-m.claimant.since <= claimPeriods*m.self.Period {
+	if m.claimant.addr == "" || m.now-m.claimant.since <= claimPeriods*m.config.Period {
 		return
 	}
 	highest := max(m.members[selfIndex].incarnation, m.claimant.incarnation)
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -9,14 +9,14 @@
 
 // Lives of dead members in the table, in periods.
 const (
-	deadLifePeriods       = 1200
-	unverifiedLifePeriods = 8 // of a member that has never sent a message itself
+	deadRetentionPeriods       = 1200
+	unverifiedRetentionPeriods = 8 // of a member that has never sent a message itself
 )
 
 // suspicionTimeout returns how long a suspicion lasts that has so many confirmations. Local health lengthens
 // it.
 func (m *Members) suspicionTimeout(confirmations int) Time {
-	shortest := minSuspicionPeriods * Time(m.fleetDigits()) * m.self.Period * Time(1+m.health)
+	shortest := minSuspicionPeriods * Time(m.fleetDigits()) * m.config.Period * Time(1+m.health)
 	confirmed := min(confirmations, maxConfirmations)
 	return shortest * Time(maxSuspicionFactor-(maxSuspicionFactor-1)*confirmed/maxConfirmations)
 }
@@ -24,7 +24,7 @@
 // suspect has this front suspect a member that does not answer it.
 func (m *Members) suspect(index int32) {
 	fact := m.factOf(index)
-	fact.By = bytesOf(m.self.Name)
+	fact.By = bytesOf(m.config.Name)
 	fact.State = Suspect
 	m.applyFact(&fact)
 }
@@ -51,8 +51,8 @@
 		case !e.used:
 		case e.state == Suspect && m.now >= e.suspectUntil:
 			m.expireSuspicion(index)
-		case e.state >= Dead && m.now-e.stateSince > m.deadLife(e):
-			m.forgetMember(index)
+		case e.state >= Dead && m.now-e.stateSince > m.deadRetention(e):
+			m.removeMember(index)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 func (m *Members) expireSuspicion(index int32) {
 	e := &m.members[index]
 	if m.Isolated() {
-		e.suspectUntil = m.now + m.self.Period
+		e.suspectUntil = m.now + m.config.Period
 		return
 	}
 	fact := m.factOf(index)
@@ -73,10 +73,10 @@
 	m.applyFact(&fact)
 }
 
-// deadLife returns how long a dead member stays in the table.
-func (m *Members) deadLife(e *member) Time {
+// deadRetention returns how long a dead member stays in the table.
+func (m *Members) deadRetention(e *member) Time {
 	if e.lastDirectAt == 0 {
-		return unverifiedLifePeriods * m.self.Period
+		return unverifiedRetentionPeriods * m.config.Period
 	}
-	return deadLifePeriods * m.self.Period
+	return deadRetentionPeriods * m.config.Period
 }
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -19,21 +19,21 @@
 	m.message = Message{Kind: kind, Sender: m.factOf(selfIndex)}
 	switch {
 	case kind == SyncRequest:
-		m.openDigest()
-	case m.askerHasDigest && m.askerDigest.holdsNothing():
-		m.openDifference(&m.firstBudget, minFirstBytes)
-	case m.askerHasDigest:
-		m.openDifference(&m.answerBudget, minAnswerBytes)
+		m.fillSyncRequest()
+	case m.requesterSentDigest && m.requesterDigest.nearlyEmpty():
+		m.fillDifference(&m.startupBudget, minStartupBytes)
+	case m.requesterSentDigest:
+		m.fillDifference(&m.responseBudget, minResponseBytes)
 	default:
-		m.openAll()
+		m.fillEverything()
 	}
-	m.askerHasDigest = false
+	m.requesterSentDigest = false
 	m.message.Facts, m.message.Notes = m.messageFacts, m.messageNotes
 	return &m.message
 }
 
-// openAll fills the scratch message with all that this front holds: the asker's program sends no digest.
-func (m *Members) openAll() {
+// fillEverything fills the scratch message with all that this front holds: the asker's program sends no digest.
+func (m *Members) fillEverything() {
 	for index := 1; index < len(m.members); index++ {
 		if m.members[index].used {
 			m.messageFacts = append(m.messageFacts, m.factOf(int32(index)))
@@ -75,10 +75,10 @@
 		return
 	}
 	m.nextRejoinAt = m.now + m.jitter(joinPeriods)
-	for range m.self.Seeds {
-		addr := m.self.Seeds[m.seedTurn]
-		m.seedTurn = (m.seedTurn + 1) % len(m.self.Seeds)
-		if addr != m.self.Addr {
+	for range m.config.Seeds {
+		addr := m.config.Seeds[m.nextSeed]
+		m.nextSeed = (m.nextSeed + 1) % len(m.config.Seeds)
+		if addr != m.config.Addr {
 			m.host.StartSync(addr)
 			return
 		}
@@ -95,12 +95,12 @@
 // unreachedAddr returns the address of a member that is dead, or of a seed that no living member has, from a
 // random position on; or "".
 func (m *Members) unreachedAddr() string {
-	count := len(m.members) + len(m.self.Seeds)
+	count := len(m.members) + len(m.config.Seeds)
 	start := int(m.random.Below(int64(count)))
 	for k := range count {
 		position := (start + k) % count
 		if position >= len(m.members) {
-			seed := m.self.Seeds[position-len(m.members)]
+			seed := m.config.Seeds[position-len(m.members)]
 			if !m.holdsAddr(seed) {
 				return seed
 			}
@@ -116,7 +116,7 @@
 
 // holdsAddr reports whether an address is this front's or that of a member that is not known to be dead.
 func (m *Members) holdsAddr(addr string) bool {
-	if addr == m.self.Addr {
+	if addr == m.config.Addr {
 		return true
 	}
 	for index := range m.members {
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -85,7 +85,7 @@
 // allocateMember returns the index of a place for a new member: a free one, else that of the member that has
 // been dead longest, else noMember.
 func (m *Members) allocateMember() int32 {
-	if len(m.freeMembers) == 0 && len(m.members) < m.self.MaxMembers {
+	if len(m.freeMembers) == 0 && len(m.members) < m.config.MaxMembers {
 		m.members = append(m.members, member{})
 		return int32(len(m.members) - 1)
 	}
@@ -94,7 +94,7 @@
 		if oldest == noMember {
 			return noMember
 		}
-		m.forgetMember(oldest)
+		m.removeMember(oldest)
 	}
 	index := m.freeMembers[len(m.freeMembers)-1]
 	m.freeMembers = m.freeMembers[:len(m.freeMembers)-1]
@@ -113,8 +113,8 @@
 	return oldest
 }
 
-// forgetMember frees a member's place, and is the only function that does.
-func (m *Members) forgetMember(index int32) {
+// removeMember frees a member's place, and is the only function that does.
+func (m *Members) removeMember(index int32) {
 	e := &m.members[index]
 	m.removeFromRing(e.zone, index)
 	delete(m.byName, e.name)
--- a/fleet/membership/tick.go
+++ b/fleet/membership/tick.go
@@ -3,24 +3,24 @@
 import "fmt"
 
 // stallHealth is by how much a stall worsens local health.
-const stallHealth = 2
+const stallHealthPenalty = 2
 
 // leaveFanout is how many members a leaving front tells at once.
 const leaveFanout = 2 * gossipFanout
 
 // Tick does what is due. It must be called at the time that Next returns; a call before that does nothing.
 func (m *Members) Tick(now Time) {
-	late := now - m.nextTickAt
+	lateBy := now - m.nextTickAt
 	m.now = now
-	if late < 0 {
+	if lateBy < 0 {
 		return
 	}
-	m.nextTickAt = now + max(m.self.Period/roundsPerPeriod, 1)
+	m.nextTickAt = now + max(m.config.Period/roundsPerPeriod, 1)
 	if m.replaced {
 		return
 	}
-	if late > m.self.Period {
-		m.resumeAfterStall(late)
+	if lateBy > m.config.Period {
+		m.resumeAfterStall(lateBy)
 	}
 	if m.leaving {
 		m.gossip()
@@ -46,21 +46,21 @@
 // resumeAfterStall drops what would be judged by a time in which this process stood still.
 //
 // Danger: whoever did not answer meanwhile may have; it was this front that did not listen.
-func (m *Members) resumeAfterStall(late Time) {
+func (m *Members) resumeAfterStall(lateBy Time) {
 	m.probe.target = noMember
-	m.raiseHealth(stallHealth)
-	m.lastHeardAt = max(m.lastHeardAt, m.now-m.self.Period)
+	m.raiseHealth(stallHealthPenalty)
+	m.lastHeardAt = max(m.lastHeardAt, m.now-m.config.Period)
 	m.nextProbeAt = m.now
 	for index := range m.members {
 		e := &m.members[index]
 		if e.state == Suspect {
-			e.suspectUntil += late
+			e.suspectUntil += lateBy
 		}
 	}
 	m.nextRejoinAt = m.now
 	m.nextSyncAt = m.now
 	m.replayDue = true
-	m.host.Log(fmt.Sprintf("stood still for %d ms; nobody is judged by that", late/timePerMillisecond))
+	m.host.Log(fmt.Sprintf("stood still for %d ms; nobody is judged by that", lateBy/timePerMillisecond))
 }
 
 // Leave announces this front's end to some members at once. Tick spreads it further until the front ends.
--- a/fleet/membership/verify.go
+++ b/fleet/membership/verify.go
@@ -19,7 +19,7 @@
 // Danger: hundreds of made-up members would take the probes of those that live, and look like a network that
 // is down.
 func (m *Members) verifyMembers() {
-	left := maxVerifications
+	remaining := maxVerifications
 	// All fronts have the table in much the same order, and would leave the same members for last.
 	m.verifyCursor = int32(m.random.Below(int64(len(m.members))))
 	for range m.members {
@@ -34,15 +34,15 @@
 			continue
 		}
 		m.verifyMember(m.verifyCursor)
-		left--
-		if left == 0 {
+		remaining--
+		if remaining == 0 {
 			return
 		}
 	}
 }
 
 func (m *Members) needsVerification(e *member) bool {
-	return e.used && !e.verified && e.state <= Suspect && m.now-e.firstPingAt >= m.self.Period
+	return e.used && !e.verified && e.state <= Suspect && m.now-e.firstPingAt >= m.config.Period
 }
 
 // verifyMember sends the next first ping, the last one through helpers; after that it suspects the member.
--- a/fleet/norace_test.go
+++ b/fleet/norace_test.go
@@ -2,4 +2,4 @@
 
 package fleet
 
-const raced = false
+const raceDetector = false
--- a/fleet/race_test.go
+++ b/fleet/race_test.go
@@ -2,5 +2,6 @@
 
 package fleet
 
-// raced: these tests have one goroutine, and the detector makes them ten times as slow; CI plays them whole without it.
-const raced = true
+// raceDetector says that the race detector is on. These tests use a single goroutine, and the detector makes them ten
+// times as slow, so the long ones are shortened or skipped; CI runs them in full without it.
+const raceDetector = true
--- a/fleet/summary/summary.go
+++ b/fleet/summary/summary.go
@@ -22,51 +22,51 @@
 
 // Summary is one front's part.
 type Summary struct {
-	host    Host
-	every   Time
-	longest Time // that telling may take
-	next    Time
-	number  uint64
-	out     bool // one is being told
+	host        Host
+	interval    Time
+	maxDuration Time // that telling may take
+	nextAt      Time
+	sequence    uint64
+	sending     bool // one is being told
 }
 
 // New starts with nothing told. Telling takes longest at most.
-func New(now, every, longest Time, h Host) *Summary {
-	return &Summary{host: h, every: max(every, 1), longest: longest, next: now}
+func New(now, interval, maxDuration Time, host Host) *Summary {
+	return &Summary{host: host, interval: max(interval, 1), maxDuration: maxDuration, nextAt: now}
 }
 
 // LeaseAcquired is told when the lease is this front's: the one before may have told its last one long ago.
-func (s *Summary) LeaseAcquired(now Time) { s.next = now }
+func (s *Summary) LeaseAcquired(now Time) { s.nextAt = now }
 
 // SendFinished takes in how it went.
-func (s *Summary) SendFinished(now Time, refused bool, trouble string) {
-	s.out = false
+func (s *Summary) SendFinished(now Time, refused bool, failure string) {
+	s.sending = false
 	switch {
 	case refused:
 		s.host.Log("the summary was refused: another front has a newer lease")
-	case trouble != "":
-		s.host.Log("the summary was not told: " + trouble)
+	case failure != "":
+		s.host.Log("the summary was not told: " + failure)
 	}
 }
 
 // Sending tells whether one is being told.
-func (s *Summary) Sending() bool { return s.out }
+func (s *Summary) Sending() bool { return s.sending }
 
 // Next is when Beat must be called again.
-func (s *Summary) Next() Time { return s.next }
+func (s *Summary) Next() Time { return s.nextAt }
 
 // Tick tells a summary if one is due and this front may.
 func (s *Summary) Tick(now Time) {
-	if now < s.next {
+	if now < s.nextAt {
 		return
 	}
-	s.next = now + s.every
-	if s.out { // Danger: of two that are under way the older may arrive last.
+	s.nextAt = now + s.interval
+	if s.sending { // Danger: of two that are under way the older may arrive last.
 		return
 	}
-	if token, ok := s.host.LeaseToken(LeaseName, s.longest); ok {
-		s.out = true
-		s.number++
-		s.host.SendSummary(token, s.number, s.longest)
+	if token, ok := s.host.LeaseToken(LeaseName, s.maxDuration); ok {
+		s.sending = true
+		s.sequence++
+		s.host.SendSummary(token, s.sequence, s.maxDuration)
 	}
 }
--- a/fleet/zones/capacity.go
+++ b/fleet/zones/capacity.go
@@ -20,7 +20,7 @@
 	sum, count := z.load(), 1.0
 	for k := range z.observers {
 		o := &z.observers[k]
-		if z.hasCurrentEvidence(o, z.self.NoteTTL) {
+		if z.hasCurrentEvidence(o, z.config.NoteTTL) {
 			sum += float64(o.load) / wholeLoad
 			count++
 		}
@@ -32,7 +32,7 @@
 // a zone is.
 //
 // Danger: with all zones drained there is nowhere to go. The last zone in full service is never drained.
-func (z *Zones) drainable(zoneIndex int) (may, zonePart float64) {
+func (z *Zones) drainable(zoneIndex int) (spareCapacity, zoneCapacity float64) {
 	all, drained, inService := 0.0, 0.0, 0
 	for k := range z.zones {
 		zn := &z.zones[k]
--- a/fleet/zones/digest_test.go
+++ b/fleet/zones/digest_test.go
@@ -25,62 +25,62 @@
 
 // front is one view in the play, and what others have published to it.
 type front struct {
-	play *play
-	name string
-	zone int
-	view *zones.Zones
-	gone bool
+	sim     *simulation
+	name    string
+	zone    int
+	view    *zones.Zones
+	stopped bool
 }
 
-// letter is a note on its way.
-type letter struct {
-	at, made zones.Time
-	to       *front
-	key      string
-	version  uint64
-	body     []byte
+// delivery is a note on its way.
+type delivery struct {
+	at, publishedAt zones.Time
+	to              *front
+	key             string
+	version         uint64
+	body            []byte
 }
 
-type play struct {
-	now     zones.Time
-	chance  random.Source
-	fronts  []*front
-	post    []letter
-	actions hash.Hash64
-	cut     func(from, to int) bool // by zone, for notes and for requests
-	down    [zoneCount]float64      // part of a zone's stores that fail
-	slow    float64                 // answer times over the expected
+type simulation struct {
+	now          zones.Time
+	random       random.Source
+	fronts       []*front
+	deliveries   []delivery
+	actions      hash.Hash64
+	cut          func(from, to int) bool // by zone, for notes and for requests
+	failingShare [zoneCount]float64      // part of a zone's stores that fail
+	slowdown     float64                 // answer times over the expected
 }
 
-func (f *front) act(format string, values ...any) {
-	fmt.Fprintf(f.play.actions, "%d %s ", f.play.now, f.name)
-	fmt.Fprintf(f.play.actions, format+"\n", values...)
+func (f *front) traceAction(format string, values ...any) {
+	fmt.Fprintf(f.sim.actions, "%d %s ", f.sim.now, f.name)
+	fmt.Fprintf(f.sim.actions, format+"\n", values...)
 }
 
-func (f *front) SetShare(zone string, share float64) { f.act("part %s %.6f", zone, share) }
-func (f *front) StopSpreading(key string)            { f.act("hush %s", key) }
-func (f *front) Log(text string)                     { f.act("log %s", text) }
+func (f *front) SetShare(zone string, share float64) { f.traceAction("part %s %.6f", zone, share) }
+func (f *front) StopSpreading(key string)            { f.traceAction("hush %s", key) }
+func (f *front) Log(text string)                     { f.traceAction("log %s", text) }
 
 // Publish sends the note to every other front that the sender's zone reaches, one in ten is lost.
 func (f *front) Publish(key string, version uint64, body []byte, spread zones.Spread) {
-	f.act("publish %q %d %x %v", key, version, body, spread == zones.SpreadUrgently)
-	for _, to := range f.play.fronts {
-		if to == f || to.gone || f.play.cut(f.zone, to.zone) || f.play.chance.Below(10) == 0 {
+	f.traceAction("publish %q %d %x %v", key, version, body, spread == zones.SpreadUrgently)
+	for _, to := range f.sim.fronts {
+		if to == f || to.stopped || f.sim.cut(f.zone, to.zone) || f.sim.random.Below(10) == 0 {
 			continue
 		}
-		at := f.play.now + 50 + f.play.chance.Below(digestPeriod/2)
-		f.play.post = append(f.play.post, letter{at, f.play.now, to, key, version, append([]byte(nil), body...)})
+		at := f.sim.now + 50 + f.sim.random.Below(digestPeriod/2)
+		f.sim.deliveries = append(f.sim.deliveries, delivery{at, f.sim.now, to, key, version, append([]byte(nil), body...)})
 	}
 }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-func newPlay(actions hash.Hash64) *play {
-	p := &play{now: 1_000_000, chance: random.New(77), actions: actions, slow: 1}
+func newSimulation(actions hash.Hash64) *simulation {
+	p := &simulation{now: 1_000_000, random: random.New(77), actions: actions, slowdown: 1}
 	p.cut = func(int, int) bool { return false }
 	for zone := range zoneCount {
 		for k := range frontCount {
-			f := &front{play: p, name: fmt.Sprint(zoneName(zone), k), zone: zone}
+			f := &front{sim: p, name: fmt.Sprint(zoneName(zone), k), zone: zone}
 			f.view = zones.New(p.now, zones.Config{Name: f.name, Zone: zoneName(zone), Incarnation: uint64(k + 1),
 				Period: digestPeriod, MaxObservers: 64, ColdCapacity: 0.15, WarmupTime: 80_000, OverloadTolerance: 15_000,
 				NoteTTL: 20 * digestPeriod}, f)
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, f := range p.fronts {
-		f.view.UpdateStores(p.now, true, list(storeCount))
+		f.view.UpdateStores(p.now, true, storeList(storeCount))
 		for _, other := range p.fronts {
 			f.view.UpdateMember(p.now, other.name, zoneName(other.zone), true)
 		}
@@ -96,8 +96,8 @@
 	return p
 }
 
-// list is the list with so many stores in each zone.
-func list(each int) (stores []zones.Store) {
+// storeList is the list with so many stores in each zone.
+func storeList(each int) (stores []zones.Store) {
 	for zone := range zoneCount {
 		for k := range each {
 			stores = append(stores, zones.Store{ID: fmt.Sprint("s", zoneName(zone), k), Zone: zoneName(zone),
@@ -108,21 +108,21 @@
 }
 
 // run plays a span: requests, notes, heartbeats.
-func (p *play) run(span zones.Time) {
+func (p *simulation) run(span zones.Time) {
 	const step = digestPeriod / 10
 	for end := p.now + span; p.now < end; p.now += step {
-		sort.SliceStable(p.post, func(i, k int) bool { return p.post[i].at < p.post[k].at })
-		due := sort.Search(len(p.post), func(i int) bool { return p.post[i].at > p.now })
-		arrived := append([]letter(nil), p.post[:due]...)
-		p.post = append(p.post[:0], p.post[due:]...)
+		sort.SliceStable(p.deliveries, func(i, k int) bool { return p.deliveries[i].at < p.deliveries[k].at })
+		due := sort.Search(len(p.deliveries), func(i int) bool { return p.deliveries[i].at > p.now })
+		arrived := append([]delivery(nil), p.deliveries[:due]...)
+		p.deliveries = append(p.deliveries[:0], p.deliveries[due:]...)
 		for _, l := range arrived {
-			if !l.to.gone {
-				useful := l.to.view.ReceiveNote(p.now, []byte(l.key), l.version, p.now-l.made, l.body) != zones.DoNotSpread
-				l.to.act("heard %q %d %v", l.key, l.version, useful)
+			if !l.to.stopped {
+				useful := l.to.view.ReceiveNote(p.now, []byte(l.key), l.version, p.now-l.publishedAt, l.body) != zones.DoNotSpread
+				l.to.traceAction("heard %q %d %v", l.key, l.version, useful)
 			}
 		}
 		for _, f := range p.fronts {
-			if f.gone {
+			if f.stopped {
 				continue
 			}
 			for zone := range zoneCount {
@@ -137,110 +137,110 @@
 }
 
 // requests ends a few requests of one front.
-func (p *play) requests(f *front) {
+func (p *simulation) requests(f *front) {
 	for range 4 {
-		zone, k := int(p.chance.Below(zoneCount)), int(p.chance.Below(storeCount))
+		zone, k := int(p.random.Below(zoneCount)), int(p.random.Below(storeCount))
 		id := fmt.Sprint("s", zoneName(zone), k)
 		expected := zones.Time(100)
-		took := zones.Time(float64(expected) * p.slow * (1 + float64(p.chance.Below(100))/200))
+		took := zones.Time(float64(expected) * p.slowdown * (1 + float64(p.random.Below(100))/200))
 		switch {
 		case p.cut(f.zone, zone):
 			f.view.RecordOutcome(p.now, id, zones.TimedOut, 2000, 0)
-		case float64(k) < p.down[zone]*storeCount:
-			f.view.RecordOutcome(p.now, id, zones.Outcome(1+p.chance.Below(3)), took, 0)
+		case float64(k) < p.failingShare[zone]*storeCount:
+			f.view.RecordOutcome(p.now, id, zones.Outcome(1+p.random.Below(3)), took, 0)
 		default:
 			f.view.RecordOutcome(p.now, id, zones.Answered, took, expected)
 		}
 	}
 }
 
-// show hashes what people are shown.
-func (p *play) show() {
+// traceStatus hashes what people are shown.
+func (p *simulation) traceStatus() {
 	for _, f := range p.fronts {
-		if f.gone {
+		if f.stopped {
 			continue
 		}
 		for _, r := range f.view.Status(p.now) {
 			r.Part, r.Fleet = float64(int64(r.Part*1e6)), float64(int64(r.Fleet*1e6))
-			f.act("row %+v", r)
+			f.traceAction("row %+v", r)
 		}
 		for zone := range zoneCount {
 			why, err := f.view.Explain(p.now, zoneName(zone))
-			f.act("why %q %v", why, err)
+			f.traceAction("why %q %v", why, err)
 		}
-		f.act("dropped %d next %d", f.view.Dropped, f.view.Next())
+		f.traceAction("dropped %d next %d", f.view.Dropped, f.view.Next())
 	}
 }
 
 // order gives an operator's order to one front.
-func (p *play) order(front int, zone string, leave, force bool, span zones.Time, version uint64) {
+func (p *simulation) order(front int, zone string, leave, force bool, span zones.Time, version uint64) {
 	f := p.fronts[front]
-	f.act("order %v", f.view.IssueOrder(p.now, zone, leave, force, span, version))
+	f.traceAction("order %v", f.view.IssueOrder(p.now, zone, leave, force, span, version))
 }
 
-// TestPlayDigest plays one seeded fleet through single bad stores, the loss of a zone and its way back, a
+// TestActionDigest plays one seeded fleet through single bad stores, the loss of a zone and its way back, a
 // cut, orders by hand, stopped and busy fronts, malformed notes and changes of the list, and compares the
 // hash of all actions.
-func TestPlayDigest(t *testing.T) {
+func TestActionDigest(t *testing.T) {
 	actions := fnv.New64a()
-	p := newPlay(actions)
+	p := newSimulation(actions)
 	p.run(20 * digestPeriod)
-	p.show()
+	p.traceStatus()
 
-	p.down[1] = 0.2 // a single bad store
+	p.failingShare[1] = 0.2 // a single bad store
 	p.run(20 * digestPeriod)
-	p.down[1] = 0.5
+	p.failingShare[1] = 0.5
 	p.run(10 * digestPeriod)
-	p.show()
-	p.down[1] = 1 // the whole zone
+	p.traceStatus()
+	p.failingShare[1] = 1 // the whole zone
 	p.run(15 * digestPeriod)
 	p.fronts[2].view.HandleStall(p.now)
-	p.show()
+	p.traceStatus()
 	p.run(45 * digestPeriod)
-	p.down[1] = 0
+	p.failingShare[1] = 0
 	p.run(10 * digestPeriod)
-	p.down[1] = 1 // again on its way back
+	p.failingShare[1] = 1 // again on its way back
 	p.run(30 * digestPeriod)
-	p.down[1] = 0.6
+	p.failingShare[1] = 0.6
 	p.run(30 * digestPeriod)
-	p.down[1] = 0
+	p.failingShare[1] = 0
 	p.run(120 * digestPeriod)
-	p.show()
+	p.traceStatus()
 
 	p.cut = func(from, to int) bool { return (from < 2) != (to < 2) } // two halves
 	p.run(30 * digestPeriod)
-	p.show()
+	p.traceStatus()
 	p.cut = func(int, int) bool { return false }
 	p.run(120 * digestPeriod)
 	p.cut = func(from, to int) bool { return from != to && (from == 3 || to == 3) } // one alone
 	p.run(30 * digestPeriod)
-	p.show()
+	p.traceStatus()
 	p.cut = func(int, int) bool { return false }
 	p.run(120 * digestPeriod)
 
-	p.slow = 6 // the rest cannot bear a whole zone
+	p.slowdown = 6 // the rest cannot bear a whole zone
 	p.run(40 * digestPeriod)
-	p.down[2] = 1
+	p.failingShare[2] = 1
 	p.run(30 * digestPeriod)
-	p.show()
+	p.traceStatus()
 	p.order(0, "b", true, false, 20*digestPeriod, 0)
-	p.down[2], p.slow = 0, 1
+	p.failingShare[2], p.slowdown = 0, 1
 	p.run(150 * digestPeriod)
 
 	p.order(0, "d", true, false, 60*digestPeriod, 1)
 	p.order(1, "nowhere", true, false, digestPeriod, 1)
 	p.order(1, "c", true, false, -1, 1)
 	p.run(30 * digestPeriod)
-	p.show()
+	p.traceStatus()
 	p.order(5, "d", false, false, 0, 2)
 	p.run(60 * digestPeriod)
 	p.order(2, "a", true, true, 25*digestPeriod, 3) // and left to end by itself
 	p.run(100 * digestPeriod)
-	p.show()
+	p.traceStatus()
 
 	p.fronts[3].view.HandleStall(p.now)
 	p.fronts[7].view.HandleOverload(p.now)
-	p.fronts[9].gone = true
+	p.fronts[9].stopped = true
 	for k := range 200 { // made-up members of made-up zones, which find no place
 		p.fronts[0].view.UpdateMember(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), true)
 		if k%3 == 0 {
@@ -251,13 +251,13 @@
 	for _, f := range p.fronts {
 		f.view.UpdateMember(p.now, p.fronts[9].name, zoneName(p.fronts[9].zone), false)
 		f.view.UpdateMember(p.now, "late", "e", true)
-		f.view.UpdateStores(p.now, true, list(storeCount-1))
+		f.view.UpdateStores(p.now, true, storeList(storeCount-1))
 		for _, key := range []string{"e" + p.fronts[1].name, "pa\x00b", "pb\x00a", "p", "ob", "x"} {
-			f.act("malformed %v", f.view.ReceiveNote(p.now, []byte(key), 1<<50, 0, []byte{1, 9, 200}) != zones.DoNotSpread)
+			f.traceAction("malformed %v", f.view.ReceiveNote(p.now, []byte(key), 1<<50, 0, []byte{1, 9, 200}) != zones.DoNotSpread)
 		}
 	}
 	p.run(30 * digestPeriod)
-	p.show()
+	p.traceStatus()
 
 	if got := fmt.Sprintf("%016x", actions.Sum64()); got != playDigest {
 		t.Errorf("the actions hash to %s, recorded is %s", got, playDigest)
--- a/fleet/zones/encoding.go
+++ b/fleet/zones/encoding.go
@@ -21,12 +21,12 @@
 const (
 	maxZoneName     = 32 // bytes
 	maxEvidenceRows = 6  // zones in one note of evidence, those with failures first
-	maxSpan         = 1 << 40
+	maxDuration     = 1 << 40
 )
 
 // Bits of an order's flags.
 const (
-	orderFlagLeave byte = 1 << iota
+	orderFlagDrain byte = 1 << iota
 	orderFlagForce
 )
 
@@ -68,13 +68,13 @@
 
 // reader reads the parts of a note. After the first fault it returns zero values.
 type reader struct {
-	rest  []byte
-	fault bool
+	rest   []byte
+	failed bool
 }
 
 func (r *reader) bytes(count int) []byte {
-	if r.fault || count < 0 || count > len(r.rest) {
-		r.fault = true
+	if r.failed || count < 0 || count > len(r.rest) {
+		r.failed = true
 		return nil
 	}
 	part := r.rest[:count]
@@ -92,8 +92,8 @@
 
 func (r *reader) varint(limit uint64) uint64 {
 	value, length := binary.Uvarint(r.rest)
-	if r.fault || length <= 0 || value > limit {
-		r.fault = true
+	if r.failed || length <= 0 || value > limit {
+		r.failed = true
 		return 0
 	}
 	r.rest = r.rest[length:]
@@ -111,7 +111,7 @@
 func (r *reader) zoneName() []byte {
 	length := int(r.byte())
 	if length == 0 || length > maxZoneName {
-		r.fault = true
+		r.failed = true
 		return nil
 	}
 	return r.bytes(length)
@@ -119,16 +119,16 @@
 
 // finish returns an error if there was a fault, or bytes are left.
 func (r *reader) finish() error {
-	if r.fault || len(r.rest) > 0 {
+	if r.failed || len(r.rest) > 0 {
 		return errNoteFormat
 	}
 	return nil
 }
 
 // reuse returns the string that is held if it is the same, so that nothing is allocated.
-func reuse(held string, name []byte) string {
-	if held == string(name) {
-		return held
+func reuse(existing string, name []byte) string {
+	if existing == string(name) {
+		return existing
 	}
 	return string(name)
 }
@@ -172,7 +172,7 @@
 	row.seen = r.slots()
 	row.failed = r.slots()
 	if row.failed&^row.seen != 0 {
-		r.fault = true
+		r.failed = true
 	}
 }
 
@@ -183,7 +183,7 @@
 	permille         int  // share of ordinary traffic, in thousandths
 	step             int  // of the ramp
 	byOperator       bool // set for an operator's order
-	age              Time // of the epoch
+	epochAge         Time // of the epoch
 	dwell            Time // for which the zone stays drained before trials
 	setBy            string
 }
@@ -197,7 +197,7 @@
 	dst = binary.AppendUvarint(dst, uint64(p.epoch))
 	dst = binary.AppendUvarint(dst, uint64(p.baseEpoch))
 	dst = binary.AppendUvarint(dst, uint64(p.permille))
-	dst = binary.AppendUvarint(dst, uint64(max(p.age, 0)))
+	dst = binary.AppendUvarint(dst, uint64(max(p.epochAge, 0)))
 	dst = binary.AppendUvarint(dst, uint64(p.dwell))
 	return appendName(dst, p.setBy)
 }
@@ -214,8 +214,8 @@
 	p.epoch = uint32(r.varint(math.MaxUint32))
 	p.baseEpoch = uint32(r.varint(math.MaxUint32))
 	p.permille = int(r.varint(wholePermille))
-	p.age = Time(r.varint(maxSpan))
-	p.dwell = Time(r.varint(maxSpan))
+	p.epochAge = Time(r.varint(maxDuration))
+	p.dwell = Time(r.varint(maxDuration))
 	p.setBy = string(r.bytes(int(r.byte())))
 	if p.state > Recovering || p.step > rampSteps || p.baseEpoch > p.epoch || p.state == Suspected {
 		return plan{}, errNoteFormat
@@ -225,21 +225,21 @@
 
 // order is an operator's order.
 type order struct {
-	leave bool // to drain the zone; else to return to it
-	force bool // even if the other zones cannot take its traffic
-	span  Time // for which it stands
+	drain    bool // to drain the zone; else to return to it
+	force    bool // even if the other zones cannot take its traffic
+	duration Time // for which it stands
 }
 
 func (o order) append(dst []byte) []byte {
 	var flags byte
-	if o.leave {
-		flags |= orderFlagLeave
+	if o.drain {
+		flags |= orderFlagDrain
 	}
 	if o.force {
 		flags |= orderFlagForce
 	}
 	dst = append(dst, noteFormat, flags)
-	return binary.AppendUvarint(dst, uint64(o.span))
+	return binary.AppendUvarint(dst, uint64(o.duration))
 }
 
 func readOrder(body []byte) (order, error) {
@@ -249,9 +249,9 @@
 	}
 	flags := r.byte()
 	o := order{
-		leave: flags&orderFlagLeave != 0,
-		force: flags&orderFlagForce != 0,
-		span:  Time(r.varint(uint64(MaxOrderDuration))),
+		drain:    flags&orderFlagDrain != 0,
+		force:    flags&orderFlagForce != 0,
+		duration: Time(r.varint(uint64(MaxOrderDuration))),
 	}
 	return o, r.finish()
 }
--- a/fleet/zones/evidence.go
+++ b/fleet/zones/evidence.go
@@ -3,17 +3,17 @@
 import "math/bits"
 
 // quietAnswerDivisor gives the part of a period after which an answer of a zone in service no longer counts.
-const quietAnswerDivisor = 2
+const answerMaxAgeDivisor = 2
 
 // Figures of what evidence is worth publishing.
 const (
 	sufficientReports = 2 // fronts that have reported the same, after which one more changes nothing
 	reportersPerZone  = 4 * sufficientReports
-	minPressingFails  = 2 // failures of stores that make evidence urgent
+	minUrgentFailures = 2 // failures of stores that make evidence urgent
 )
 
-// gatherEvidence takes this front's bits from the outcomes of its requests.
-func (z *Zones) gatherEvidence() {
+// updateEvidence takes this front's bits from the outcomes of its requests.
+func (z *Zones) updateEvidence() {
 	for index := range z.zones {
 		z.zones[index].seen = 0
 		z.zones[index].failed = 0
@@ -23,7 +23,7 @@
 	}
 	for index := range z.stores {
 		s := &z.stores[index]
-		if !z.counts(s) {
+		if !z.isEvidence(s) {
 			continue
 		}
 		zn := &z.zones[s.zone]
@@ -34,13 +34,13 @@
 	}
 }
 
-// counts reports whether a store's last outcome is evidence.
+// isEvidence reports whether a store's last outcome is evidence.
 //
 // Danger: a front that reaches nothing at all has lost its own network, and would blame all others. A failure
 // counts once any store has answered after it.
 //
 // Danger: an answer from before a zone failed is no sign that it works.
-func (z *Zones) counts(s *store) bool {
+func (z *Zones) isEvidence(s *store) bool {
 	if s.id == "" || s.outcomeAt < 0 {
 		return false
 	}
@@ -51,12 +51,12 @@
 	if s.lastOutcome != Answered {
 		return s.outcomeAt <= z.lastAnswerAt
 	}
-	return age <= z.self.Period/quietAnswerDivisor || z.zones[s.zone].row.state != InService
+	return age <= z.config.Period/answerMaxAgeDivisor || z.zones[s.zone].row.state != InService
 }
 
-// inQuestion reports whether anybody sees failures in a zone or it is not in service, so that answers are
+// worthReporting reports whether anybody sees failures in a zone or it is not in service, so that answers are
 // worth publishing too.
-func (z *Zones) inQuestion(zoneIndex int) bool {
+func (z *Zones) worthReporting(zoneIndex int) bool {
 	zn := &z.zones[zoneIndex]
 	if zn.failed != 0 || zn.row.state != InService {
 		return true
@@ -75,32 +75,32 @@
 	return false
 }
 
-// pressing reports whether evidence may lead to a decision now: a row is not in service, half of what would
+// evidenceUrgent reports whether evidence may lead to a decision now: a row is not in service, half of what would
 // have to fail before a zone is drained does fail for somebody, or this front has more than one failure to
 // report.
 //
 // Danger: of hundreds of fronts that each see little, some always see two failures and no answer in a sound
 // zone.
-func (z *Zones) pressing() bool {
+func (z *Zones) evidenceUrgent() bool {
 	for index := range z.zones {
 		zn := &z.zones[index]
 		if zn.row.state != InService {
 			return true
 		}
 		unreported := zn.failed &^ z.publishedOf(index).failed
-		if bits.OnesCount64(unreported) >= minPressingFails {
+		if bits.OnesCount64(unreported) >= minUrgentFailures {
 			return true
 		}
-		count := bits.OnesCount64(z.failedForAnybody(index))
-		if count >= minPressingFails && float64(count) >= coverShare/2*float64(zn.storeCount()) {
+		count := bits.OnesCount64(z.failedForAnyFront(index))
+		if count >= minUrgentFailures && float64(count) >= minFailedShare/2*float64(zn.storeCount()) {
 			return true
 		}
 	}
 	return false
 }
 
-// failedForAnybody returns the slots of a zone's stores that any front sees fail.
-func (z *Zones) failedForAnybody(zoneIndex int) uint64 {
+// failedForAnyFront returns the slots of a zone's stores that any front sees fail.
+func (z *Zones) failedForAnyFront(zoneIndex int) uint64 {
 	zn := &z.zones[zoneIndex]
 	failed := zn.failed
 	for k := range z.observers {
@@ -111,7 +111,7 @@
 		for n := range o.rows {
 			e := &o.rows[n]
 			if e.zone == zn.name && e.baseEpoch >= zn.row.baseEpoch {
-				failed |= e.failed & zn.stores
+				failed |= e.failed & zn.storeSlots
 			}
 		}
 	}
@@ -126,14 +126,14 @@
 // Danger: a hundred fronts that find out the same thing at once would each send it to all the others.
 func (z *Zones) addsEvidence() bool {
 	for k := range z.evidenceRows {
-		if z.addsRow(&z.evidenceRows[k]) {
+		if z.rowAddsEvidence(&z.evidenceRows[k]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (z *Zones) addsRow(e *zoneEvidence) bool {
+func (z *Zones) rowAddsEvidence(e *zoneEvidence) bool {
 	index := z.zoneByName[e.zone]
 	votes := z.publishedVotes(index)
 	published := z.publishedOf(index)
@@ -141,7 +141,7 @@
 	for _, vote := range votes {
 		answers += max(0, -int(vote))
 	}
-	wanted := max(2*sufficientReports, coverShare*float64(z.zones[index].storeCount()))
+	wanted := max(2*sufficientReports, minFailedShare*float64(z.zones[index].storeCount()))
 	wantsAnswers := float64(answers) < wanted && z.rank(index) < reportersPerZone
 	for left := e.seen; left != 0; left &= left - 1 {
 		slot := bits.TrailingZeros64(left)
--- a/fleet/zones/observers.go
+++ b/fleet/zones/observers.go
@@ -14,12 +14,12 @@
 func (z *Zones) UpdateMember(now Time, name, zone string, present bool) {
 	z.now = now
 	zoneIndex := z.zoneIndex(zone, false)
-	if zoneIndex == noZone || name == z.self.Name {
+	if zoneIndex == noZone || name == z.config.Name {
 		return
 	}
 	index, known := z.observerByName[name]
 	if !known {
-		if !present || len(z.observers)-len(z.freeObservers) >= z.self.MaxObservers {
+		if !present || len(z.observers)-len(z.freeObservers) >= z.config.MaxObservers {
 			return
 		}
 		index = z.allocateObserver(name, zoneIndex)
--- a/fleet/zones/outcomes.go
+++ b/fleet/zones/outcomes.go
@@ -3,7 +3,7 @@
 // Figures of outcomes.
 const (
 	averageWeight    = 1.0 / 64           // of a new value in running averages
-	bestRise         = averageWeight / 64 // by which the best latency ratio rises with each answer
+	bestLatencyRise  = averageWeight / 64 // by which the best latency ratio rises with each answer
 	isolatedFailures = 3                  // failures in a row that may be this front's own network
 )
 
@@ -18,7 +18,7 @@
 	s := &z.stores[index]
 	zn := &z.zones[s.zone]
 	r := &zn.row
-	if r.state != InService && r.baseEpoch == r.epoch && now-took < r.since {
+	if r.state != InService && r.baseEpoch == r.epoch && now-took < r.epochAt {
 		return // it began before the zone was drained: all fronts would report it once more, as if it were new
 	}
 	if outcome == Answered {
@@ -39,7 +39,7 @@
 // Danger: a front whose own network is back would report all that failed meanwhile as if others had failed.
 // Failures since the last answer are discarded.
 func (z *Zones) recordAnswer() {
-	if z.failuresSinceAnswer >= isolatedFailures && z.now-z.lastAnswerAt > z.self.Period {
+	if z.failuresSinceAnswer >= isolatedFailures && z.now-z.lastAnswerAt > z.config.Period {
 		for k := range z.stores {
 			other := &z.stores[k]
 			if other.lastOutcome != Answered && other.outcomeAt > z.lastAnswerAt {
@@ -54,7 +54,7 @@
 // countOutcome keeps fading counts of a zone's outcomes, for people who ask why.
 func (z *Zones) countOutcome(zn *zone, outcome Outcome) {
 	if z.now-zn.outcomeCountedAt > z.window {
-		zn.outcomeCounts = [outcomes]float64{}
+		zn.outcomeCounts = [numOutcomes]float64{}
 		zn.outcomeCountedAt = z.now
 	}
 	for k := range zn.outcomeCounts {
@@ -69,7 +69,7 @@
 		z.latencyRatio = ratio
 		z.bestLatencyRatio = ratio
 	}
-	z.bestLatencyRatio = min(z.bestLatencyRatio*(1+bestRise), z.latencyRatio)
+	z.bestLatencyRatio = min(z.bestLatencyRatio*(1+bestLatencyRise), z.latencyRatio)
 }
 
 // discardOutcomes has all outcomes of one zone's stores count for nothing.
--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -13,11 +13,11 @@
 
 // Figures of rows.
 const (
-	dwellForgetFactor = 8 // dwell times in service after which the dwell time is the shortest again
-	minDwellPeriods   = 2
-	maxDwellColds     = 4 // times Cold, the longest dwell time
-	refreshDivisor    = 3 // a row is published again after this part of a note's life
-	maxRankDelay      = 8 // fronts of a higher rank wait no longer than one of this
+	dwellResetFactor = 8 // dwell times in service after which the dwell time is the shortest again
+	minDwellPeriods  = 2
+	maxDwellWarmups  = 4 // times Cold, the longest dwell time
+	refreshDivisor   = 3 // a row is published again after this part of a note's life
+	maxRankDelay     = 8 // fronts of a higher rank wait no longer than one of this
 )
 
 // Shifts in the version of a row's note: the epoch, the part drained, the number of refreshes.
@@ -29,8 +29,8 @@
 // row is what this front's zone sends to another zone.
 type row struct {
 	plan
-	since          Time // of the epoch
-	heardAt        Time // when any front published it last
+	epochAt        Time // of the epoch
+	publishedAt    Time // when any front published it last
 	refreshes      uint16
 	inServiceSince Time
 	reason         string
@@ -39,10 +39,10 @@
 
 // otherRow is a row of another zone's fronts.
 type otherRow struct {
-	state      State
-	byOperator bool
-	baseEpoch  uint32
-	heardAt    Time
+	state       State
+	byOperator  bool
+	baseEpoch   uint32
+	publishedAt Time
 }
 
 // drains reports whether a zone in this state gets no ordinary traffic, or less than it could take, so that
@@ -58,26 +58,26 @@
 	return uint64(r.epoch)<<versionEpochShift | drained<<versionShareShift | uint64(r.refreshes)
 }
 
-// adopt takes over a row that another front of this zone has set.
+// adoptRow takes over a row that another front of this zone has set.
 //
 // Danger: a front with faulty evidence must not drain a zone that its neighbours reach well.
-func (z *Zones) adopt(zoneIndex int, p plan, version uint64, age Time) {
+func (z *Zones) adoptRow(zoneIndex int, p plan, version uint64, age Time) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
-	if age > z.self.NoteTTL || version < r.version() {
+	if age > z.config.NoteTTL || version < r.version() {
 		return
 	}
 	if p.epoch > r.epoch && p.permille < r.permille && !p.byOperator {
 		seen := z.reportOf(ownZone, zoneIndex)
-		if seen.failed == 0 && seen.seen >= minSoundStores && seen.observers >= 2 {
+		if seen.failed == 0 && seen.seen >= minHealthyStores && seen.observers >= 2 {
 			z.host.Log(fmt.Sprintf("zone %s: the plan of %s to leave is not taken: %s", zn.name, p.setBy, seen))
 			return
 		}
 	}
 	previous := *r
 	r.plan = p
-	r.since = z.now - age - p.age
-	r.heardAt = z.now - age
+	r.epochAt = z.now - age - p.epochAge
+	r.publishedAt = z.now - age
 	r.refreshes = uint16(version)
 	// Also within an epoch, where two fronts have set the row at once.
 	z.rowChanged(zoneIndex, &previous, "as "+p.setBy+" has it")
@@ -95,10 +95,10 @@
 	r.state = state
 	r.permille = permille
 	r.step = step
-	r.since = z.now
+	r.epochAt = z.now
 	r.refreshes = 0
 	r.reason = reason
-	r.setBy = z.self.Name
+	r.setBy = z.config.Name
 	r.byOperator = z.drainOrdered(zoneIndex)
 	if state.drains() || state == Recovering && previous.state.drains() {
 		r.baseEpoch = r.epoch
@@ -129,17 +129,17 @@
 func (z *Zones) publishRow(zoneIndex int, spread Spread) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
-	r.heardAt = z.now
+	r.publishedAt = z.now
 	published := r.plan
-	published.age = z.now - r.since
-	z.body = published.append(z.body[:0])
-	z.host.Publish(string(keyPlan)+z.self.Zone+"\x00"+zn.name, r.version(), z.body, spread)
+	published.epochAge = z.now - r.epochAt
+	z.noteBody = published.append(z.noteBody[:0])
+	z.host.Publish(string(keyPlan)+z.config.Zone+"\x00"+zn.name, r.version(), z.noteBody, spread)
 }
 
 // refreshRow publishes a row again before what the others hold of it is too old.
 func (z *Zones) refreshRow(zoneIndex int) {
 	r := &z.zones[zoneIndex].row
-	if r.state == InService || z.now-r.heardAt < z.refreshAfter(zoneIndex) {
+	if r.state == InService || z.now-r.publishedAt < z.refreshAfter(zoneIndex) {
 		return
 	}
 	r.refreshes++
@@ -151,7 +151,7 @@
 
 // refreshAfter is the age at which this front publishes a note of a zone again, fronts of a lower rank first.
 func (z *Zones) refreshAfter(zoneIndex int) Time {
-	return z.self.NoteTTL/refreshDivisor + z.rankDelay(zoneIndex)*z.self.Period
+	return z.config.NoteTTL/refreshDivisor + z.rankDelay(zoneIndex)*z.config.Period
 }
 
 // rankDelay is this front's rank as a factor of delays, bounded.
@@ -162,7 +162,7 @@
 	zn := &z.zones[zoneIndex]
 	share := zn.row.share()
 	if zn.row.state.drains() && z.runsTrials(zoneIndex) {
-		share = max(share, z.self.ColdCapacity)
+		share = max(share, z.config.ColdCapacity)
 	}
 	if share != zn.appliedShare {
 		zn.appliedShare = share
@@ -175,12 +175,12 @@
 func (z *Zones) rank(zoneIndex int) (rank int) {
 	zn := &z.zones[zoneIndex]
 	weight := func(name string) uint64 {
-		z.hashed = append(z.hashed[:0], name...)
-		z.hashed = append(z.hashed, 0)
-		z.hashed = append(z.hashed, zn.name...)
-		return xxhash.Sum64(binary.LittleEndian.AppendUint32(z.hashed, zn.row.epoch))
+		z.hashInput = append(z.hashInput[:0], name...)
+		z.hashInput = append(z.hashInput, 0)
+		z.hashInput = append(z.hashInput, zn.name...)
+		return xxhash.Sum64(binary.LittleEndian.AppendUint32(z.hashInput, zn.row.epoch))
 	}
-	own := weight(z.self.Name)
+	own := weight(z.config.Name)
 	for k := range z.observers {
 		o := &z.observers[k]
 		if o.present && o.zone == ownZone && weight(o.name) < own {
@@ -190,16 +190,16 @@
 	return rank
 }
 
-// drain takes a zone's traffic away, as far as the other zones can take it.
-func (z *Zones) drain(zoneIndex int, reason string) {
+// drainZone takes a zone's traffic away, as far as the other zones can take it.
+func (z *Zones) drainZone(zoneIndex int, reason string) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
 	permille := 0
-	may, zonePart := z.drainable(zoneIndex)
+	spareCapacity, zoneCapacity := z.drainable(zoneIndex)
 	forced := z.drainOrdered(zoneIndex) && zn.order.force
-	if !forced && may < zonePart {
-		permille = int(math.Ceil(wholePermille * (1 - may/zonePart)))
-		reason += fmt.Sprintf("; the rest bears %.2f of %.2f", may, zonePart)
+	if !forced && spareCapacity < zoneCapacity {
+		permille = int(math.Ceil(wholePermille * (1 - spareCapacity/zoneCapacity)))
+		reason += fmt.Sprintf("; the rest bears %.2f of %.2f", spareCapacity, zoneCapacity)
 	}
 	if permille >= wholePermille {
 		if !r.suspected {
@@ -221,14 +221,14 @@
 // Danger: a zone that fails again and again would be drained and recovered for ever. Each time it is given
 // longer, until it has been in service for long.
 func (z *Zones) lengthenDwell(r *row) {
-	recovered := r.state == InService && z.now-r.inServiceSince > dwellForgetFactor*r.dwell
+	recovered := r.state == InService && z.now-r.inServiceSince > dwellResetFactor*r.dwell
 	if recovered || r.dwell == 0 {
-		r.dwell = max(z.self.OverloadTolerance, minDwellPeriods*z.self.Period)
+		r.dwell = max(z.config.OverloadTolerance, minDwellPeriods*z.config.Period)
 		return
 	}
 	z.doubleDwell(r)
 }
 
 func (z *Zones) doubleDwell(r *row) {
-	r.dwell = min(2*r.dwell, max(maxDwellColds*z.self.WarmupTime, z.self.OverloadTolerance))
+	r.dwell = min(2*r.dwell, max(maxDwellWarmups*z.config.WarmupTime, z.config.OverloadTolerance))
 }
--- a/fleet/zones/publish.go
+++ b/fleet/zones/publish.go
@@ -31,26 +31,26 @@
 // Danger: each front's note goes to all the others, so single bad stores would have all of them publish for
 // ever. The pause doubles with each note.
 func (z *Zones) publishEvidence() {
-	z.collectEvidence()
+	z.collectEvidenceRows()
 	load := uint8(z.load() * wholeLoad)
 	sincePublished := z.now - z.publishedAt
-	if sincePublished > resetPauseFactor*maxPausePeriods*z.self.Period || z.pressing() {
-		z.publishPause = z.self.Period / minPauseDivisor
+	if sincePublished > resetPauseFactor*maxPausePeriods*z.config.Period || z.evidenceUrgent() {
+		z.publishPause = z.config.Period / minPauseDivisor
 	}
 	if !z.evidenceDue(sincePublished, load) {
 		return
 	}
-	z.publishPause = min(2*z.publishPause, maxPausePeriods*z.self.Period)
+	z.publishPause = min(2*z.publishPause, maxPausePeriods*z.config.Period)
 	z.evidenceVersion++
 	z.published = append(z.published[:0], z.evidenceRows...)
 	z.publishedAt = z.now
 	z.publishedLoad = load
-	z.body = appendEvidence(z.body[:0], z.self.Zone, load, z.evidenceRows)
-	z.host.Publish(string(keyEvidence)+z.self.Name, z.evidenceVersion, z.body, spreadOf(z.evidenceRows))
+	z.noteBody = appendEvidence(z.noteBody[:0], z.config.Zone, load, z.evidenceRows)
+	z.host.Publish(string(keyEvidence)+z.config.Name, z.evidenceVersion, z.noteBody, spreadOf(z.evidenceRows))
 }
 
-// collectEvidence gathers the rows of a note, zones with failures first, as many as a note holds.
-func (z *Zones) collectEvidence() {
+// collectEvidenceRows gathers the rows of a note, zones with failures first, as many as a note holds.
+func (z *Zones) collectEvidenceRows() {
 	z.evidenceRows = z.evidenceRows[:0]
 	for _, withFailures := range [...]bool{true, false} {
 		for index := range z.zones {
@@ -58,7 +58,7 @@
 			if zn.seen == 0 || (zn.failed != 0) != withFailures || len(z.evidenceRows) >= maxEvidenceRows {
 				continue
 			}
-			if z.inQuestion(index) {
+			if z.worthReporting(index) {
 				row := zoneEvidence{zone: zn.name, baseEpoch: zn.row.baseEpoch, seen: zn.seen, failed: zn.failed}
 				z.evidenceRows = append(z.evidenceRows, row)
 			}
@@ -78,12 +78,12 @@
 	switch {
 	case changed && z.hasNewFailures() && sincePublished >= z.publishPause:
 		return true
-	case changed && sincePublished >= max(z.publishPause, z.self.Period/2):
+	case changed && sincePublished >= max(z.publishPause, z.config.Period/2):
 		return true
 	case adds && sincePublished >= max(z.window, z.publishPause):
 		return true
 	default:
-		return loadChange > loadStep && sincePublished >= z.self.NoteTTL/2 && z.rank(ownZone) < loadReporters
+		return loadChange > loadStep && sincePublished >= z.config.NoteTTL/2 && z.rank(ownZone) < loadReporters
 	}
 }
 
--- a/fleet/zones/receive.go
+++ b/fleet/zones/receive.go
@@ -78,13 +78,13 @@
 	switch {
 	case !aboutKnown || !fromKnown:
 	case from == ownZone:
-		z.adopt(about, received, version, age)
+		z.adoptRow(about, received, version, age)
 	default:
-		z.keepOtherRow(from, about, otherRow{
-			state:      received.state,
-			byOperator: received.byOperator,
-			baseEpoch:  received.baseEpoch,
-			heardAt:    z.now - age,
+		z.storeOtherRow(from, about, otherRow{
+			state:       received.state,
+			byOperator:  received.byOperator,
+			baseEpoch:   received.baseEpoch,
+			publishedAt: z.now - age,
 		})
 		if !received.state.drains() {
 			return SpreadQuietly
@@ -93,7 +93,7 @@
 	return SpreadUrgently
 }
 
-func (z *Zones) keepOtherRow(from, about int, received otherRow) {
+func (z *Zones) storeOtherRow(from, about int, received otherRow) {
 	zn := &z.zones[about]
 	for len(zn.otherRows) <= from {
 		zn.otherRows = append(zn.otherRows, otherRow{})
@@ -110,7 +110,7 @@
 		return
 	}
 	index, known := z.zoneByName[zone]
-	if known && version > z.zones[index].order.refreshVersion {
+	if known && version > z.zones[index].order.fullVersion {
 		z.applyOrder(index, received, version, age)
 	}
 }
@@ -148,6 +148,6 @@
 		}
 	}
 	if from == ownZone && z.superseded(ownZone, z.published) {
-		z.host.StopSpreading(string(keyEvidence) + z.self.Name)
+		z.host.StopSpreading(string(keyEvidence) + z.config.Name)
 	}
 }
--- a/fleet/zones/recovery.go
+++ b/fleet/zones/recovery.go
@@ -15,13 +15,13 @@
 // rampPermille is the share of a step of the ramp, in thousandths: the capacity that a store that was cold
 // when the ramp began has as that step begins.
 func (z *Zones) rampPermille(step int) int {
-	return int(wholePermille * (z.self.ColdCapacity + (1-z.self.ColdCapacity)*float64(step)/rampSteps))
+	return int(wholePermille * (z.config.ColdCapacity + (1-z.config.ColdCapacity)*float64(step)/rampSteps))
 }
 
 // runsTrials reports whether this front is one of those that send trials to a drained zone, once that is due.
 func (z *Zones) runsTrials(zoneIndex int) bool {
 	r := &z.zones[zoneIndex].row
-	return !z.drainOrdered(zoneIndex) && z.now-r.since >= r.dwell && z.rank(zoneIndex) < trialFronts
+	return !z.drainOrdered(zoneIndex) && z.now-r.epochAt >= r.dwell && z.rank(zoneIndex) < trialFronts
 }
 
 // startRecovery begins the ramp.
@@ -38,16 +38,16 @@
 		z.startRecovery(zoneIndex, "the order has ended")
 		return
 	}
-	elapsed := z.now - r.since
+	elapsed := z.now - r.epochAt
 	if elapsed < r.dwell {
 		return
 	}
 	trials := z.reportOf(ownZone, zoneIndex)
-	recoverAfter := r.dwell + z.rankDelay(zoneIndex)*z.self.Period/rankDelayDivisor
-	failAfter := r.dwell + Time(z.rank(zoneIndex))*z.self.Period/failRankDelayDivisor +
-		trialVerdictPeriods*z.self.Period
+	recoverAfter := r.dwell + z.rankDelay(zoneIndex)*z.config.Period/rankDelayDivisor
+	failAfter := r.dwell + Time(z.rank(zoneIndex))*z.config.Period/failRankDelayDivisor +
+		trialVerdictPeriods*z.config.Period
 	switch {
-	case trials.sound && trials.seen >= min(minTrialStores, trials.total) && elapsed >= recoverAfter:
+	case trials.healthy && trials.seen >= min(minTrialStores, trials.total) && elapsed >= recoverAfter:
 		z.startRecovery(zoneIndex, "trials came back: "+trials.String())
 	case trials.fails && elapsed >= failAfter:
 		z.doubleDwell(r)
@@ -59,13 +59,13 @@
 func (z *Zones) reviewRecovering(zoneIndex int) {
 	r := &z.zones[zoneIndex].row
 	seen := z.reportOf(ownZone, zoneIndex)
-	elapsed := z.now - r.since
-	stepSpan := max(z.self.WarmupTime/rampSteps, z.self.Period)
-	rankWait := z.rankDelay(zoneIndex) * z.self.Period / rankDelayDivisor
-	tooManyFail := seen.failedPart() >= stepBackShare
+	elapsed := z.now - r.epochAt
+	stepSpan := max(z.config.WarmupTime/rampSteps, z.config.Period)
+	rankWait := z.rankDelay(zoneIndex) * z.config.Period / rankDelayDivisor
+	tooManyFail := seen.failedFraction() >= stepBackShare
 	switch {
 	case seen.fails && seen.seen >= min(minTrialStores, seen.total):
-		z.drain(zoneIndex, "failed on the way back: "+seen.String())
+		z.drainZone(zoneIndex, "failed on the way back: "+seen.String())
 	case seen.failingObservers >= stepBackObservers && tooManyFail && elapsed >= stepSpan/2:
 		step := max(r.step-1, 0)
 		z.setRow(zoneIndex, Recovering, z.rampPermille(step), step, "a step back: "+seen.String())
--- a/fleet/zones/report.go
+++ b/fleet/zones/report.go
@@ -7,14 +7,14 @@
 
 // Figures of merging evidence.
 const (
-	failureVotes     = 2    // votes of an observer that saw a store fail; answers that others saw may be older
-	failingShare     = 0.75 // of the stores seen that fail where a zone does
-	soundShare       = 0.25 // of the stores seen that fail at most where a zone is sound
-	coverShare       = 0.5  // of all a zone's stores that are seen failing before it is drained
-	minCoverStores   = 3    // that are seen failing before it is drained, if it has so many
-	minFailing       = 2    // stores that fail, and observers that see it, where a zone fails
-	reportWindows    = 2    // windows for which evidence stays in a report
-	notableOneInFour = 4    // one store in so many that fails is worth telling people
+	failureVotes    = 2    // votes of an observer that saw a store fail; answers that others saw may be older
+	failingShare    = 0.75 // of the stores seen that fail where a zone does
+	healthyShare    = 0.25 // of the stores seen that fail at most where a zone is sound
+	minFailedShare  = 0.5  // of all a zone's stores that are seen failing before it is drained
+	minFailedStores = 3    // that are seen failing before it is drained, if it has so many
+	minFailing      = 2    // stores that fail, and observers that see it, where a zone fails
+	reportWindows   = 2    // windows for which evidence stays in a report
+	notableDivisor  = 4    // one store in so many that fails is worth telling people
 )
 
 // report is what the fronts of one zone see together of another zone's stores.
@@ -24,7 +24,7 @@
 	observers           int
 	failingObservers    int // those that see failures
 	fails               bool
-	sound               bool
+	healthy             bool
 }
 
 // votes is the sum of votes for each slot: more than 0 is a failure.
@@ -61,12 +61,12 @@
 	return sum
 }
 
-// covers reports whether enough of a zone's stores are seen to fail to assess the zone.
+// enoughFailed reports whether enough of a zone's stores are seen to fail to assess the zone.
 //
 // Danger: in a zone of four stores, one bad store and one that has just recovered are half.
-func (zn *zone) covers(failed uint64) bool {
+func (zn *zone) enoughFailed(failed uint64) bool {
 	total := float64(zn.storeCount())
-	return float64(bits.OnesCount64(failed)) >= max(coverShare*total, min(minCoverStores, total))
+	return float64(bits.OnesCount64(failed)) >= max(minFailedShare*total, min(minFailedStores, total))
 }
 
 // String returns a report as logs and people are shown it.
@@ -75,12 +75,12 @@
 		r.failed, r.seen, r.total, r.failingObservers, r.observers)
 }
 
-// failedPart returns the part of the stores seen that fail, from 0 to 1.
-func (r *report) failedPart() float64 { return float64(r.failed) / float64(max(r.seen, 1)) }
+// failedFraction returns the part of the stores seen that fail, from 0 to 1.
+func (r *report) failedFraction() float64 { return float64(r.failed) / float64(max(r.seen, 1)) }
 
 // notable reports whether a report has failures that people should read of.
 func (r *report) notable() bool {
-	return r.failed >= minFailing && notableOneInFour*r.failed >= r.total
+	return r.failed >= minFailing && notableDivisor*r.failed >= r.total
 }
 
 // reportOf merges the evidence of one zone's fronts about another. Old evidence, and this zone's evidence
@@ -89,16 +89,16 @@
 	zn := &z.zones[of]
 	var sum votes
 	var seen uint64
-	add := func(seenByOne, failedForOne uint64) {
-		if seenByOne == 0 {
+	add := func(observedSlots, observedFailures uint64) {
+		if observedSlots == 0 {
 			return
 		}
 		merged.observers++
-		if failedForOne != 0 {
+		if observedFailures != 0 {
 			merged.failingObservers++
 		}
-		seen |= seenByOne
-		sum.add(seenByOne, failedForOne)
+		seen |= observedSlots
+		sum.add(observedSlots, observedFailures)
 	}
 	if from == ownZone {
 		add(zn.seen, zn.failed)
@@ -111,7 +111,7 @@
 		for n := range o.rows {
 			e := &o.rows[n]
 			if e.zone == zn.name && (from != ownZone || e.baseEpoch >= zn.row.baseEpoch) {
-				add(e.seen&zn.stores, e.failed&zn.stores)
+				add(e.seen&zn.storeSlots, e.failed&zn.storeSlots)
 			}
 		}
 	}
@@ -129,8 +129,8 @@
 			r.failedSlots |= 1 << slot
 		}
 	}
-	part := r.failedPart()
+	failedFraction := r.failedFraction()
 	enoughObservers := r.failingObservers >= min(minFailing, fronts)
-	r.fails = r.failed >= minFailing && part >= failingShare && enoughObservers
-	r.sound = r.seen > 0 && part <= soundShare
+	r.fails = r.failed >= minFailing && failedFraction >= failingShare && enoughObservers
+	r.healthy = r.seen > 0 && failedFraction <= healthyShare
 }
--- a/fleet/zones/state.go
+++ b/fleet/zones/state.go
@@ -38,5 +38,5 @@
 	Refused                       // the connection was refused
 	TimedOut                      // there was no answer in time
 	ConnectionLost                // the connection ended before the answer
-	outcomes
+	numOutcomes
 )
--- a/fleet/zones/status.go
+++ b/fleet/zones/status.go
@@ -32,7 +32,7 @@
 			Part:   zn.appliedShare,
 			Fleet:  r.share(),
 			Epoch:  r.epoch,
-			AgeMS:  (now - r.since) / timePerMillisecond,
+			AgeMS:  (now - r.epochAt) / timePerMillisecond,
 			By:     r.setBy,
 			Hand:   r.byOperator,
 			Size:   zn.size,
@@ -69,8 +69,8 @@
 		why = "nothing is held against it"
 	}
 	lines = append(lines, "verdict: "+why)
-	may, zonePart := z.drainable(index)
+	spareCapacity, zoneCapacity := z.drainable(index)
 	lines = append(lines, fmt.Sprintf(
-		"load %.2f; %.2f of all stores may be left beside what is, this zone is %.2f", z.load(), may, zonePart))
+		"load %.2f; %.2f of all stores may be left beside what is, this zone is %.2f", z.load(), spareCapacity, zoneCapacity))
 	return lines, nil
 }
--- a/fleet/zones/stores.go
+++ b/fleet/zones/stores.go
@@ -36,7 +36,7 @@
 	}
 	for index := range z.zones {
 		z.zones[index].size = 0
-		z.zones[index].stores = 0
+		z.zones[index].storeSlots = 0
 	}
 	for index := range z.stores {
 		s := &z.stores[index]
@@ -48,7 +48,7 @@
 			z.freeStores = append(z.freeStores, index)
 		case s.open:
 			z.zones[s.zone].size += s.size
-			z.zones[s.zone].stores |= 1 << s.slot
+			z.zones[s.zone].storeSlots |= 1 << s.slot
 		}
 	}
 }
--- a/fleet/zones/table.go
+++ b/fleet/zones/table.go
@@ -15,16 +15,16 @@
 type zone struct {
 	name             string
 	size             float64 // of its open stores
-	stores           uint64  // slots of its open stores
+	storeSlots       uint64  // slots of its open stores
 	seen, failed     uint64  // this front's evidence, by slot
-	outcomeCounts    [outcomes]float64
+	outcomeCounts    [numOutcomes]float64
 	outcomeCountedAt Time
 	fronts           int  // members there, this one included
 	lastHeardAt      Time // last message of one of them
 	row              row  // of this front's zone
 	appliedShare     float64
 	otherRows        []otherRow // rows of other zones' fronts about this zone, by their zone
-	order            heldOrder
+	order            storedOrder
 }
 
 // zoneIndex returns a zone's index and adds the zone if need be, or returns noZone.
@@ -61,7 +61,7 @@
 func (z *Zones) reclaimZone() int {
 	for index := 1; index < len(z.zones); index++ {
 		unused := &z.zones[index]
-		if unused.stores != 0 || unused.fronts != 0 || unused.row.state != InService {
+		if unused.storeSlots != 0 || unused.fronts != 0 || unused.row.state != InService {
 			continue
 		}
 		delete(z.zoneByName, unused.name)
@@ -86,9 +86,9 @@
 // heardLately reports whether fronts of a zone have been heard lately. The span grows with the number of
 // zones, since membership probes one zone in a period.
 func (z *Zones) heardLately(zoneIndex int) bool {
-	span := Time(max(minHeardPeriods, 2*len(z.zones)+2)) * z.self.Period
+	span := Time(max(minHeardPeriods, 2*len(z.zones)+2)) * z.config.Period
 	return z.now-z.zones[zoneIndex].lastHeardAt <= span
 }
 
 // storeCount returns the number of a zone's stores, by slots.
-func (zn *zone) storeCount() int { return bits.OnesCount64(zn.stores) }
+func (zn *zone) storeCount() int { return bits.OnesCount64(zn.storeSlots) }
--- a/fleet/zones/tick.go
+++ b/fleet/zones/tick.go
@@ -14,22 +14,22 @@
 	if now < z.nextTickAt {
 		return
 	}
-	z.nextTickAt = now + max(z.self.Period/ticksPerPeriod, 1)
-	z.gatherEvidence()
+	z.nextTickAt = now + max(z.config.Period/ticksPerPeriod, 1)
+	z.updateEvidence()
 	z.publishEvidence()
 	for index := range z.zones {
-		z.review(index)
+		z.reviewZone(index)
 	}
 }
 
-// review changes a zone's row if that is due.
-func (z *Zones) review(zoneIndex int) {
+// reviewZone changes a zone's row if that is due.
+func (z *Zones) reviewZone(zoneIndex int) {
 	z.refreshOrder(zoneIndex)
 	r := &z.zones[zoneIndex].row
 	switch {
 	case z.drainOrdered(zoneIndex):
 		if !r.byOperator || !r.state.drains() {
-			z.drain(zoneIndex, "by hand")
+			z.drainZone(zoneIndex, "by hand")
 		}
 	case r.state == InService:
 		z.reviewInService(zoneIndex)
@@ -47,7 +47,7 @@
 	zn := &z.zones[zoneIndex]
 	drain, why := z.verdict(zoneIndex)
 	if drain {
-		z.drain(zoneIndex, why)
+		z.drainZone(zoneIndex, why)
 		return
 	}
 	suspected := why != ""
@@ -79,5 +79,5 @@
 // HandleOverload takes in that this front is short of processor time. For a period its failures count for
 // nothing, since a timeout may be its own.
 func (z *Zones) HandleOverload(now Time) {
-	z.ignoreFailuresUntil = max(z.ignoreFailuresUntil, now+z.self.Period)
+	z.ignoreFailuresUntil = max(z.ignoreFailuresUntil, now+z.config.Period)
 }
--- a/fleet/zones/zones.go
+++ b/fleet/zones/zones.go
@@ -45,9 +45,9 @@
 
 // Zones is the view of one front. It is not safe for concurrent use.
 type Zones struct {
-	host Host
-	self Config
-	now  Time // of the call in hand
+	host   Host
+	config Config
+	now    Time // of the call in hand
 
 	// The tables (table.go).
 	stores         []store
@@ -78,27 +78,27 @@
 
 	// Scratch space, so that steady operation allocates nothing.
 	evidenceRows []zoneEvidence
-	body         []byte
-	hashed       []byte
+	noteBody     []byte
+	hashInput    []byte
 
 	// Dropped counts notes that could not be read.
 	Dropped uint64
 }
 
 // New returns a view without stores.
-func New(now Time, self Config, host Host) *Zones {
+func New(now Time, config Config, host Host) *Zones {
 	z := &Zones{
 		host:            host,
-		self:            self,
+		config:          config,
 		now:             now,
 		storeByID:       map[string]int{},
 		zoneByName:      map[string]int{},
 		observerByName:  map[string]int{},
-		evidenceVersion: self.Incarnation << incarnationShift,
+		evidenceVersion: config.Incarnation << incarnationShift,
 		nextTickAt:      now,
 	}
-	z.Configure(self.ColdCapacity, self.WarmupTime, self.OverloadTolerance)
-	z.zoneIndex(self.Zone, true)
+	z.Configure(config.ColdCapacity, config.WarmupTime, config.OverloadTolerance)
+	z.zoneIndex(config.Zone, true)
 	z.zones[ownZone].fronts = 1
 	return z
 }
@@ -106,6 +106,6 @@
 // Configure takes over what the settings say of cold stores: the part of its capacity with which one starts, after which
 // time it has all of it, and how long it must be overloaded to fail. Orders and steps that have begun keep their times.
 func (z *Zones) Configure(startShare float64, cold, fallSpan Time) {
-	z.self.ColdCapacity, z.self.WarmupTime, z.self.OverloadTolerance = startShare, cold, fallSpan
-	z.window = max(windowFallSpans*fallSpan, windowPeriods*z.self.Period, cold/windowColdDivisor)
+	z.config.ColdCapacity, z.config.WarmupTime, z.config.OverloadTolerance = startShare, cold, fallSpan
+	z.window = max(windowFallSpans*fallSpan, windowPeriods*z.config.Period, cold/windowColdDivisor)
 }
--- a/fleet/zones/zones_test.go
+++ b/fleet/zones/zones_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// told is a host that notes what it is told.
-type told struct {
+// testHost is a host that notes what it is told.
+type testHost struct {
 	log      []string
-	parts    map[string]float64
+	shares   map[string]float64
 	versions []uint64 // of the plans told
 }
 
-func (h *told) SetShare(zone string, share float64) { h.parts[zone] = share }
-func (h *told) Publish(key string, version uint64, _ []byte, _ Spread) {
+func (h *testHost) SetShare(zone string, share float64) { h.shares[zone] = share }
+func (h *testHost) Publish(key string, version uint64, _ []byte, _ Spread) {
 	if key[0] == keyPlan {
 		h.versions = append(h.versions, version)
 	}
 }
-func (h *told) StopSpreading(string) {}
-func (h *told) Log(text string)      { h.log = append(h.log, text) }
-func (h *told) says(parts ...string) (n int) {
+func (h *testHost) StopSpreading(string) {}
+func (h *testHost) Log(text string)      { h.log = append(h.log, text) }
+func (h *testHost) countLogs(parts ...string) (n int) {
 next:
 	for _, l := range h.log {
 		for _, p := range parts {
@@ -34,9 +34,9 @@
 	return n
 }
 
-// three gives a front of zone a, with two more of its zone and two of each other, and four stores in each zone.
-func three() (*Zones, *told) {
-	h := &told{parts: map[string]float64{}}
+// newTestZones gives a front of zone a, with two more of its zone and two of each other, and four stores in each zone.
+func newTestZones() (*Zones, *testHost) {
+	h := &testHost{shares: map[string]float64{}}
 	z := New(1000, Config{Name: "a0", Zone: "a", Incarnation: 1, Period: 5000, MaxObservers: 64, ColdCapacity: 0.15, WarmupTime: 80_000, OverloadTolerance: 15_000,
 		NoteTTL: 100_000}, h)
 	var list []Store
@@ -53,37 +53,37 @@
 	return z, h
 }
 
-func (z *Zones) hears(now Time, zone string, p plan, refresh uint16) {
+func (z *Zones) receivePlanOf(now Time, zone string, p plan, refresh uint16) {
 	r := row{plan: p, refreshes: refresh}
 	z.ReceiveNote(now, []byte("pa\x00"+zone), r.version(), 0, p.append(nil))
 }
 
 // TestTwoSetOneEpoch: two fronts of a zone set a row within one moment, one a step back and one away. The graver holds, the log
 // says so, and what was seen before counts no more.
-func TestTwoSetOneEpoch(t *testing.T) {
-	z, h := three()
-	z.hears(2000, "c", plan{epoch: 3, baseEpoch: 2, state: Recovering, permille: 256, step: 1, setBy: "a1"}, 0)
+func TestConcurrentRowsOfOneEpoch(t *testing.T) {
+	z, h := newTestZones()
+	z.receivePlanOf(2000, "c", plan{epoch: 3, baseEpoch: 2, state: Recovering, permille: 256, step: 1, setBy: "a1"}, 0)
 	z.RecordOutcome(2100, "sc0", TimedOut, 0, 0)
-	z.hears(2200, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 0)
-	z.hears(2300, "c", plan{epoch: 4, baseEpoch: 4, state: Drained, dwell: 90_000, setBy: "a2"}, 0)
-	z.hears(2400, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 9)
-	if h.parts["c"] != 0 || h.says("zone c", "to away") != 1 {
-		t.Errorf("part %v, %q", h.parts["c"], h.log)
+	z.receivePlanOf(2200, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 0)
+	z.receivePlanOf(2300, "c", plan{epoch: 4, baseEpoch: 4, state: Drained, dwell: 90_000, setBy: "a2"}, 0)
+	z.receivePlanOf(2400, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 9)
+	if h.shares["c"] != 0 || h.countLogs("zone c", "to away") != 1 {
+		t.Errorf("part %v, %q", h.shares["c"], h.log)
 	}
-	if z.gatherEvidence(); z.zones[z.zoneByName["c"]].seen != 0 {
+	if z.updateEvidence(); z.zones[z.zoneByName["c"]].seen != 0 {
 		t.Error("what was seen before still counts")
 	}
 }
 
 // TestReturnBeginsAnew: failures that were seen while a zone was away do not end the return as it begins.
-func TestReturnBeginsAnew(t *testing.T) {
-	z, h := three()
-	z.hears(2000, "c", plan{epoch: 1, baseEpoch: 1, state: Drained, dwell: 90_000, setBy: "a1"}, 0)
+func TestRecoveryIgnoresEarlierFailures(t *testing.T) {
+	z, h := newTestZones()
+	z.receivePlanOf(2000, "c", plan{epoch: 1, baseEpoch: 1, state: Drained, dwell: 90_000, setBy: "a1"}, 0)
 	z.RecordOutcome(2050, "sa0", Answered, 0, 0)
 	for k := range 4 {
 		z.RecordOutcome(2100, fmt.Sprint("sc", k), TimedOut, 0, 0)
 	}
-	rows := []zoneEvidence{{"c", 1, z.zones[z.zoneByName["c"]].stores, z.zones[z.zoneByName["c"]].stores}}
+	rows := []zoneEvidence{{"c", 1, z.zones[z.zoneByName["c"]].storeSlots, z.zones[z.zoneByName["c"]].storeSlots}}
 	for _, o := range []string{"a1", "a2"} {
 		z.ReceiveNote(2200, []byte("e"+o), 1, 0, appendEvidence(nil, "a", 0, rows))
 	}
@@ -91,14 +91,14 @@
 	z.setRow(z.zoneByName["c"], Recovering, 150, 0, "trials came back")
 	z.Tick(z.Next())
 	z.Tick(z.Next())
-	if h.says("failed on the way back") > 0 || h.parts["c"] != 0.15 {
-		t.Errorf("part %v, %q", h.parts["c"], h.log)
+	if h.countLogs("failed on the way back") > 0 || h.shares["c"] != 0.15 {
+		t.Errorf("part %v, %q", h.shares["c"], h.log)
 	}
 }
 
 // TestHostileNotes: notes that are cut, long or of another shape are counted and change nothing.
-func TestHostileNotes(t *testing.T) {
-	z, h := three()
+func TestMalformedNotes(t *testing.T) {
+	z, h := newTestZones()
 	good := (&plan{epoch: 1, baseEpoch: 1, state: Drained, setBy: "a1"}).append(nil)
 	for n := range good {
 		z.ReceiveNote(2000, []byte("pa\x00c"), 1<<40, 0, good[:n])
@@ -109,8 +109,8 @@
 	z.ReceiveNote(2000, []byte("p"), 1, 0, good)
 	z.ReceiveNote(2000, []byte("oc"), 1, 0, []byte{9})
 	z.ReceiveNote(2000, []byte("ea1"), 1, 0, []byte{noteFormat, 1, 'a', 0, 200})
-	if z.Dropped == 0 || len(h.parts) > 0 || len(h.log) > 0 {
-		t.Errorf("%d dropped, %v, %q", z.Dropped, h.parts, h.log)
+	if z.Dropped == 0 || len(h.shares) > 0 || len(h.log) > 0 {
+		t.Errorf("%d dropped, %v, %q", z.Dropped, h.shares, h.log)
 	}
 	for n := range 1000 {
 		z.UpdateMember(2000, fmt.Sprint("x", n), fmt.Sprint("y", n), true)
@@ -125,11 +125,11 @@
 }
 
 // TestToldAgainIsNewer: a row that others have told again is told as a newer one, also past the last number.
-func TestToldAgainIsNewer(t *testing.T) {
+func TestRefreshedRowIsNewer(t *testing.T) {
 	for _, refresh := range []uint16{5, 65535} {
-		z, h := three()
+		z, h := newTestZones()
 		p := plan{epoch: 3, baseEpoch: 3, state: Drained, dwell: 900_000, setBy: "a1"}
-		z.hears(2000, "c", p, refresh)
+		z.receivePlanOf(2000, "c", p, refresh)
 		heard := (&row{plan: p, refreshes: refresh}).version()
 		for z.now < 200_000 && len(h.versions) == 0 {
 			z.Tick(z.Next())
