--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet joins what one front decides together with the others of its fleet: which fronts there are
-// (membership) and which share of traffic may go to each zone (zones). It carries facts from one to the
-// other, does no I/O and reads no clock.
+// Package fleet combines the decisions that a front makes together with the other fronts of its fleet: which
+// fronts exist (package membership) and which share of traffic may go to each zone (package zones). It passes
+// information between the two, does no I/O and reads no clock.
 package fleet
 
 import (
@@ -8,53 +8,60 @@
 	"micatrack/fleet/zones"
 )
 
-// Time is a moment or a span in whole tenths of a millisecond.
+// Time is a point in time or a duration in whole tenths of a millisecond.
 type Time = int64
 
-// overloadDivisor gives the part of a protocol period by which a late tick shows that the front is short of
-// processor time. A tick that is late by a whole period shows that the process stood still.
+// overloadDivisor is the divisor of the protocol period that gives the lateness of a tick from which the
+// front counts as short of processor time. A tick that is late by more than a whole period shows that the
+// process was stopped.
 const overloadDivisor = 2
 
-// Host carries out the actions of a front's fleet.
+// Host performs the actions of a front's fleet.
 type Host interface {
 	// Send sends a datagram, which may be lost. The message is valid only during the call.
 	Send(addr string, message *membership.Message)
-	// Exchange starts a full exchange with an address; Members.Open gives the message to send.
+	// StartSync starts a full sync with the front at an address. Members.SyncMessage returns the message to
+	// send.
 	StartSync(addr string)
-	// Part is told the share of ordinary traffic that may go to a zone, from 0 to 1.
+	// SetShare sets the share of ordinary traffic that may go to a zone, from 0 to 1.
 	SetShare(zone string, share float64)
-	// Log writes one line of the front's log.
+	// Log writes one line to the front's log.
 	Log(text string)
 }
 
-// Fleet is the view of one front. It is not safe for concurrent use.
+// Fleet is one front's view of its fleet. It is not safe for concurrent use.
 type Fleet struct {
+	// Members is the view of the fleet's members.
 	Members *membership.Members
-	Zones   *zones.Zones
-	// Changed is set when a member has come, gone or moved. Whoever has taken that in sets it back.
+	// Zones is the view of the zones.
+	Zones *zones.Zones
+	// MembersChanged is set when a member has joined, left or changed its state. The caller that processes
+	// this resets it.
 	MembersChanged bool
 
 	host      Host
-	now       Time // of the call in hand
-	tickDueAt Time // when Tick was due last
-	period    Time // of the membership protocol
+	now       Time // time of the current call
+	tickDueAt Time // when the last call of Tick was due
+	period    Time // protocol period of the membership protocol
 }
 
-// New returns a view. What zones needs of the front itself is taken from its configuration for membership.
-func New(now Time, self membership.Config, zonesSelf zones.Config, host Host) *Fleet {
-	f := &Fleet{host: host, now: now, tickDueAt: now, period: self.Period}
-	zonesSelf.Name = self.Name
-	zonesSelf.Zone = self.Zone
-	zonesSelf.Incarnation = self.Incarnation
-	zonesSelf.Period = self.Period
-	zonesSelf.MaxObservers = self.MaxMembers
-	zonesSelf.NoteTTL = self.NoteTTL
-	f.Zones = zones.New(now, zonesSelf, adapter{f})
-	f.Members = membership.New(now, self, adapter{f})
+// New returns a view. The fields of zonesConfig that the configuration for membership has too are taken from
+// there.
+func New(now Time, config membership.Config, zonesConfig zones.Config, host Host) *Fleet {
+	f := &Fleet{host: host, now: now, tickDueAt: now, period: config.Period}
+	zonesConfig.Name = config.Name
+	zonesConfig.Zone = config.Zone
+	zonesConfig.Incarnation = config.Incarnation
+	zonesConfig.Period = config.Period
+	zonesConfig.MaxObservers = config.MaxMembers
+	zonesConfig.NoteTTL = config.NoteTTL
+	f.Zones = zones.New(now, zonesConfig, adapter{f})
+	f.Members = membership.New(now, config, adapter{f})
 	return f
 }
 
-// adapter is the host of both packages: it passes notes and members between them, and all else on.
+// adapter is the host of both packages. It passes notes and member changes between them, and everything else
+// on to the fleet's host.
 type adapter struct{ fleet *Fleet }
 
 func (a adapter) Send(addr string, message *membership.Message) { a.fleet.host.Send(addr, message) }
@@ -76,7 +83,7 @@
 	return spreads[a.fleet.Zones.ReceiveNote(a.fleet.now, key, note.Version, age, note.Body)]
 }
 
-// spreads gives membership's word for each of zones'.
+// spreads maps a zones.Spread to the membership.Spread of the same meaning.
 var spreads = [...]membership.Spread{
 	zones.DoNotSpread:    membership.DoNotSpread,
 	zones.SpreadQuietly:  membership.SpreadQuietly,
@@ -88,8 +95,8 @@
 	a.fleet.Members.Publish(a.fleet.now, key, version, body, spreads[spread])
 }
 
-// Receive takes in a received message. It returns whether the sender expects Members.Open(membership.Answer) in
-// answer.
+// Receive handles a received message. It returns whether the sender expects
+// Members.SyncMessage(membership.SyncResponse) in return.
 func (f *Fleet) Receive(now Time, message *membership.Message) (answer bool) {
 	f.now = now
 	return f.Members.Receive(now, message)
@@ -98,7 +105,7 @@
 // Next returns when Tick must be called again.
 func (f *Fleet) Next() Time { return min(f.Members.Next(), f.Zones.Next()) }
 
-// Tick does what is due. It must be called at the time that Next returns.
+// Tick performs the periodic work. It must be called at the time that Next returns.
 func (f *Fleet) Tick(now Time) {
 	lateBy := now - f.tickDueAt
 	f.now = now
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,54 +11,55 @@
 	"micatrack/internal/random"
 )
 
-// A fleet on a virtual clock: real Fleets, stores that are a few numbers each, and fronts that choose among them as the
-// decision module does as far as this needs: a store that failed is left alone until a probe came back.
+// These tests simulate a whole fleet on a virtual clock. The Fleets are real, stores are reduced to a few
+// numbers, and fronts choose among the stores as the decision module does, as far as it matters here: a store
+// that has failed is not used until a probe to it succeeds.
 
 const (
 	millisecond       = Time(10)
 	second            = 1000 * millisecond
 	tick              = 5 * millisecond
 	period            = 500 * millisecond
-	timeout           = 250 * millisecond // until silence is told
+	timeout           = 250 * millisecond // time after which an unanswered request has failed
 	maxDelayTicks     = 128
-	coldCapacity      = 0.15 // part of its capacity that a cold store has
+	coldCapacity      = 0.15 // fraction of its capacity that a cold store has
 	warmupTime        = 8 * second
 	overloadTolerance = 1500 * millisecond
 	overloadMultiple  = 3.0
 )
 
-// storeHealth of a store.
+// storeHealth is the state of a simulated store.
 type storeHealth struct {
 	silent       bool
-	failPermille int // of 1,000 answers, which are broken off instead
+	failPermille int // answers in 1,000 that are replaced by a lost connection
 	addedLatency Time
-	coldSince    Time // when it came up cold; 0: long ago
+	coldSince    Time // when the store was started cold; 0 if it is warm
 }
 
 type world struct {
 	now            Time
 	random         random.Source
-	zoneNames      []string      // of zones
+	zoneNames      []string      // zones by index
 	storesPerZone  int           // stores of a zone
-	stores         []storeHealth // zone by zone
+	stores         []storeHealth // ordered by zone
 	fronts         []*testFront
 	byAddr         map[string]*testFront
 	deliveries     [maxDelayTicks][]func()
 	tickNo         int
-	loss           int
-	delay          Time
-	cut            func(from, to int) bool // between zones, front to store and front to front, one way
-	peerCut        func(from, to *testFront) bool
+	loss           int                            // messages lost in 1,000
+	delay          Time                           // mean delay of a message
+	cut            func(from, to int) bool        // reports whether messages between zones are lost, to stores and to fronts
+	peerCut        func(from, to *testFront) bool // reports whether messages between fronts are lost
 	fleetEnabled   bool
 	bytes          int
-	failedRequests int // jobs that failed
+	failedRequests int // number of requests that failed
 	requests       int
-	recentRequests [][]Time // of each store, when jobs ran there of late
-	peakLoad       []float64
-	rate           float64 // jobs a second of each front
+	recentRequests [][]Time  // for each store, the times of its recent requests
+	peakLoad       []float64 // highest load of each store, as a fraction of the load that overloads it
+	rate           float64   // requests a second of each front
 	logLines       []string
-	drainedAt      map[*testFront]map[string]Time // when each left a zone
-	drainCounts    map[string]int                 // of a zone's state, over all fronts
+	drainedAt      map[*testFront]map[string]Time // when each front first drained a zone
+	drainCounts    map[string]int                 // number of drains of a zone, over all fronts
 }
 
 type testFront struct {
@@ -67,11 +68,11 @@
 	name         string
 	zone         int
 	shares       []float64
-	failures     []int  // failures of each store in a row; 0: well
-	probeAt      []Time // when it is asked next
+	failures     []int  // consecutive failures of each store
+	nextProbeAt  []Time // time of the next probe of each store
 	stalled      bool
 	dead         bool
-	outsideFleet bool // it has no part in the fleet
+	outsideFleet bool // the front does not take part in the fleet
 }
 
 func newWorld(seed uint64, fronts, zoneCount, each int, rate float64) *world {
@@ -90,26 +91,26 @@
 	return w
 }
 
-// startFront starts a front, or starts it again.
+// startFront starts a front, or restarts it with a new incarnation.
 func (w *world) startFront(k int, life uint64) *testFront {
-	o := &testFront{world: w, name: fmt.Sprintf("f%d", k), zone: k % len(w.zoneNames), shares: slices.Repeat([]float64{1}, len(w.zoneNames)),
-		failures: make([]int, len(w.stores)), probeAt: make([]Time, len(w.stores))}
-	o.fleet = New(w.now, membership.Config{Name: o.name, Zone: w.zoneNames[o.zone], Addr: o.name, Incarnation: life, RandomSeed: uint64(k)<<8 + life, Period: period,
+	front := &testFront{world: w, name: fmt.Sprintf("f%d", k), zone: k % len(w.zoneNames), shares: slices.Repeat([]float64{1}, len(w.zoneNames)),
+		failures: make([]int, len(w.stores)), nextProbeAt: make([]Time, len(w.stores))}
+	front.fleet = New(w.now, membership.Config{Name: front.name, Zone: w.zoneNames[front.zone], Addr: front.name, Incarnation: life, RandomSeed: uint64(k)<<8 + life, Period: period,
 		Seeds: []string{"f0", "f1", "f2"}, MaxMembers: 4096, NoteTTL: 20 * period},
-		zones.Config{ColdCapacity: coldCapacity, WarmupTime: warmupTime, OverloadTolerance: overloadTolerance}, o)
+		zones.Config{ColdCapacity: coldCapacity, WarmupTime: warmupTime, OverloadTolerance: overloadTolerance}, front)
 	var list []zones.Store
 	for s := range w.stores {
 		list = append(list, zones.Store{ID: fmt.Sprint("s", s), Zone: w.zoneNames[s/w.storesPerZone], Size: 1, Open: true})
 	}
-	o.fleet.Zones.UpdateStores(w.now, true, list)
-	w.byAddr[o.name] = o
+	front.fleet.Zones.UpdateStores(w.now, true, list)
+	w.byAddr[front.name] = front
 	if k < len(w.fronts) {
 		w.fronts[k].dead = true
-		w.fronts[k] = o
+		w.fronts[k] = front
 	} else {
-		w.fronts = append(w.fronts, o)
+		w.fronts = append(w.fronts, front)
 	}
-	return o
+	return front
 }
 
 func (w *world) schedule(span Time, do func()) {
@@ -138,8 +139,8 @@
 	return w.cut != nil && w.cut(from.zone, to.zone) || w.peerCut != nil && w.peerCut(from, to)
 }
 
-func (o *testFront) Send(addr string, m *membership.Message) {
-	w := o.world
+func (front *testFront) Send(addr string, m *membership.Message) {
+	w := front.world
 	w.bytes += 60
 	for k := range m.Facts {
 		w.bytes += 16 + len(m.Facts[k].Name) + len(m.Facts[k].Addr)
@@ -148,66 +149,66 @@
 		w.bytes += 12 + len(m.Notes[k].Key) + len(m.Notes[k].Body)
 	}
 	to := w.byAddr[addr]
-	if to == nil || w.disconnected(o, to) || w.random.Below(1000) < int64(w.loss) {
+	if to == nil || w.disconnected(front, to) || w.random.Below(1000) < int64(w.loss) {
 		return
 	}
 	c := copyMessage(m)
 	w.schedule(w.delay/2+w.random.Below(w.delay), func() { to.receive(c, nil) })
 }
 
-// receive waits for a stopped process to go on.
-func (o *testFront) receive(c *membership.Message, answer func(*membership.Message)) {
+// receive handles a message. A stalled front receives it once it runs again.
+func (front *testFront) receive(c *membership.Message, answer func(*membership.Message)) {
 	switch {
-	case o.dead:
-	case o.stalled:
-		o.world.schedule(tick, func() { o.receive(c, answer) })
-	case o.fleet.Receive(o.world.now, c) && answer != nil:
-		answer(copyMessage(o.fleet.Members.SyncMessage(membership.SyncResponse)))
+	case front.dead:
+	case front.stalled:
+		front.world.schedule(tick, func() { front.receive(c, answer) })
+	case front.fleet.Receive(front.world.now, c) && answer != nil:
+		answer(copyMessage(front.fleet.Members.SyncMessage(membership.SyncResponse)))
 	}
 }
 
-func (o *testFront) StartSync(addr string) {
-	w := o.world
+func (front *testFront) StartSync(addr string) {
+	w := front.world
 	to := w.byAddr[addr]
-	if to == nil || w.disconnected(o, to) || w.disconnected(to, o) {
+	if to == nil || w.disconnected(front, to) || w.disconnected(to, front) {
 		return
 	}
-	c := copyMessage(o.fleet.Members.SyncMessage(membership.SyncRequest))
+	c := copyMessage(front.fleet.Members.SyncMessage(membership.SyncRequest))
 	w.schedule(2*w.delay, func() {
-		to.receive(c, func(back *membership.Message) { w.schedule(w.delay, func() { o.receive(back, nil) }) })
+		to.receive(c, func(back *membership.Message) { w.schedule(w.delay, func() { front.receive(back, nil) }) })
 	})
 }
 
-func (o *testFront) SetShare(zone string, part float64) {
-	w := o.world
+func (front *testFront) SetShare(zone string, part float64) {
+	w := front.world
 	for z, name := range w.zoneNames {
 		if name == zone {
-			if part < 1 && o.shares[z] == 1 {
-				if w.drainedAt[o] == nil {
-					w.drainedAt[o] = map[string]Time{}
+			if part < 1 && front.shares[z] == 1 {
+				if w.drainedAt[front] == nil {
+					w.drainedAt[front] = map[string]Time{}
 				}
-				if _, ok := w.drainedAt[o][zone]; !ok {
-					w.drainedAt[o][zone] = w.now
+				if _, ok := w.drainedAt[front][zone]; !ok {
+					w.drainedAt[front][zone] = w.now
 				}
 			}
-			o.shares[z] = part
+			front.shares[z] = part
 		}
 	}
 }
 
-func (o *testFront) Log(text string) {
+func (front *testFront) Log(text string) {
 	if strings.Contains(text, " to away") || strings.Contains(text, " to leaving") {
-		o.world.drainCounts[strings.Fields(text)[1]]++
+		front.world.drainCounts[strings.Fields(text)[1]]++
 	}
-	if len(o.world.logLines) < 4000 {
-		o.world.logLines = append(o.world.logLines, fmt.Sprintf("%8.3f %s %s", float64(o.world.now-1_000_000)/float64(second), o.name, text))
+	if len(front.world.logLines) < 4000 {
+		front.world.logLines = append(front.world.logLines, fmt.Sprintf("%8.3f %s %s", float64(front.world.now-1_000_000)/float64(second), front.name, text))
 	}
 }
 
-// requestOutcome tells how a store answers a front now.
-func (w *world) requestOutcome(o *testFront, s int) (end zones.Outcome, took Time) {
+// requestOutcome returns how a store answers a front's request now, and after which time.
+func (w *world) requestOutcome(front *testFront, s int) (end zones.Outcome, took Time) {
 	h, z := &w.stores[s], s/w.storesPerZone
-	if h.silent || w.cut != nil && (w.cut(o.zone, z) || w.cut(z, o.zone)) {
+	if h.silent || w.cut != nil && (w.cut(front.zone, z) || w.cut(z, front.zone)) {
 		return zones.TimedOut, timeout
 	}
 	if w.random.Below(1000) < int64(h.failPermille) {
@@ -216,7 +217,7 @@
 	return zones.Answered, 5*millisecond + h.addedLatency
 }
 
-// recordRequest notes that a job ran at a store, and how near that is to pushing it over.
+// recordRequest records a request at a store, and how close the recent requests bring the store to overload.
 func (w *world) recordRequest(s int) {
 	h := &w.stores[s]
 	if h.coldSince == 0 {
@@ -227,14 +228,14 @@
 		q = q[1:]
 	}
 	w.recentRequests[s] = q
-	capacity := w.rate * float64(len(w.fronts)) / float64(len(w.stores)) * 1.3 // warm it has a little more than its fair share
+	capacity := w.rate * float64(len(w.fronts)) / float64(len(w.stores)) * 1.3 // a warm store has somewhat more capacity than its fair share
 	warm := coldCapacity + (1-coldCapacity)*min(float64(max(q[0]-h.coldSince, 0))/float64(warmupTime), 1)
 	w.peakLoad[s] = max(w.peakLoad[s], float64(len(q))/(capacity*warm*overloadMultiple*float64(overloadTolerance)/float64(second)))
 }
 
-func (o *testFront) sendRequest(s int, probe bool) {
-	w := o.world
-	end, took := w.requestOutcome(o, s)
+func (front *testFront) sendRequest(s int, probe bool) {
+	w := front.world
+	end, took := w.requestOutcome(front, s)
 	if end == zones.Answered && !probe {
 		w.recordRequest(s)
 	}
@@ -244,45 +245,45 @@
 		}
 	}
 	w.schedule(took, func() {
-		if o.dead || o.stalled {
+		if front.dead || front.stalled {
 			return
 		}
 		if end == zones.Answered {
-			o.failures[s] = 0
+			front.failures[s] = 0
 		} else {
-			o.failures[s]++
-			o.probeAt[s] = w.now + min(period<<min(o.failures[s], 5), warmupTime)
+			front.failures[s]++
+			front.nextProbeAt[s] = w.now + min(period<<min(front.failures[s], 5), warmupTime)
 		}
-		if !o.outsideFleet && w.fleetEnabled {
-			o.fleet.Zones.RecordOutcome(w.now, fmt.Sprint("s", s), end, took, 300*millisecond)
+		if !front.outsideFleet && w.fleetEnabled {
+			front.fleet.Zones.RecordOutcome(w.now, fmt.Sprint("s", s), end, took, 300*millisecond)
 		}
 	})
 }
 
-// step is one tick of a front: jobs, probes, the fleet.
-func (o *testFront) step() {
-	w := o.world
-	if o.dead || o.stalled {
+// step performs one tick of a front: requests, probes and the fleet's timer.
+func (front *testFront) step() {
+	w := front.world
+	if front.dead || front.stalled {
 		return
 	}
 	if w.random.Below(1_000_000) < int64(w.rate*float64(tick)/float64(second)*1_000_000) {
-		for range 8 { // the least busy is by chance here
+		for range 8 { // the test chooses a random store instead of the least busy one
 			s := int(w.random.Below(int64(len(w.stores))))
-			if z := s / w.storesPerZone; o.failures[s] > 0 || o.shares[z] < 1 && float64(w.random.Below(1<<20)) >= o.shares[z]*(1<<20) {
+			if z := s / w.storesPerZone; front.failures[s] > 0 || front.shares[z] < 1 && float64(w.random.Below(1<<20)) >= front.shares[z]*(1<<20) {
 				continue
 			}
-			o.sendRequest(s, false)
+			front.sendRequest(s, false)
 			break
 		}
 	}
-	for s := range o.failures {
-		if o.failures[s] > 0 && w.now >= o.probeAt[s] && o.shares[s/w.storesPerZone] > 0 {
-			o.probeAt[s] = w.now + period
-			o.sendRequest(s, true)
+	for s := range front.failures {
+		if front.failures[s] > 0 && w.now >= front.nextProbeAt[s] && front.shares[s/w.storesPerZone] > 0 {
+			front.nextProbeAt[s] = w.now + period
+			front.sendRequest(s, true)
 		}
 	}
-	if w.fleetEnabled && !o.outsideFleet && o.fleet.Next() <= w.now {
-		o.fleet.Tick(w.now)
+	if w.fleetEnabled && !front.outsideFleet && front.fleet.Next() <= w.now {
+		front.fleet.Tick(w.now)
 	}
 }
 
@@ -295,13 +296,13 @@
 		for _, do := range due {
 			do()
 		}
-		for _, o := range w.fronts {
-			o.step()
+		for _, front := range w.fronts {
+			front.step()
 		}
 	}
 }
 
-// failZone has a zone's stores fall silent; gain brings them back cold.
+// failZone makes a zone's stores stop answering; recoverZone restarts them cold.
 func (w *world) failZone(z int) { w.forEachStore(z, func(h *storeHealth) { h.silent = true }) }
 func (w *world) recoverZone(z int) {
 	w.forEachStore(z, func(h *storeHealth) { *h = storeHealth{coldSince: w.now} })
@@ -312,14 +313,15 @@
 	}
 }
 
-// worstLoad gives the largest part of its budget that any store was sent.
+// worstLoad returns the highest load of any store as a fraction of the load that overloads it.
 func (w *world) worstLoad() float64 { return slices.Max(w.peakLoad) }
 
-// drainTimes tells after which spans since then the first, half and 99 of 100 of the fronts had left a zone.
+// drainTimes returns the times from since until the first, half and 99 % of the fronts had drained a zone,
+// and the number of fronts that drained it.
 func (w *world) drainTimes(zone string, since Time) (first, half, most Time, n int) {
 	var at []Time
-	for _, o := range w.fronts {
-		if m, ok := w.drainedAt[o][zone]; ok {
+	for _, front := range w.fronts {
+		if m, ok := w.drainedAt[front][zone]; ok {
 			at = append(at, m-since)
 		}
 	}
@@ -329,16 +331,16 @@
 	return at[0], at[len(at)/2], at[max(len(at)*99/100-1, 0)], len(at)
 }
 
-func (w *world) wantShare(t *testing.T, zone int, want float64, who func(o *testFront) bool) {
+func (w *world) wantShare(t *testing.T, zone int, want float64, who func(front *testFront) bool) {
 	t.Helper()
 	wrong := 0
-	for _, o := range w.fronts {
-		if (who == nil || who(o)) && !o.dead && o.shares[zone] != want {
+	for _, front := range w.fronts {
+		if (who == nil || who(front)) && !front.dead && front.shares[zone] != want {
 			wrong++
 		}
 	}
 	if wrong > 0 {
-		t.Errorf("%d fronts do not have part %v of zone %s", wrong, want, w.zoneNames[zone])
+		t.Errorf("%d fronts do not have share %v of zone %s", wrong, want, w.zoneNames[zone])
 		w.showLog(t)
 	}
 }
@@ -352,13 +354,14 @@
 	}
 }
 
-// TestManyLeaveTogether: 300 fronts, 5 % loss and 30 ms of delay: 99 % are away within 500 ms of the first, jobs that pay for
-// finding out are a fifth or less of those without the fleet, and no returning store is pushed over.
+// TestZoneLossDrainsAllFronts guards the speed and the cost of draining a failed zone with 300 fronts, 5 %
+// message loss and 30 ms of delay: 99 % of the fronts have drained it within 500 ms of the first, at most a
+// fifth as many requests fail as without the fleet, and no store is overloaded while the zone recovers.
 func TestZoneLossDrainsAllFronts(t *testing.T) {
 	if raceDetector {
-		t.Skip("played without the race detector")
+		t.Skip("runs without the race detector only")
 	}
-	play := func(on bool) *world {
+	simulate := func(on bool) *world {
 		w := newWorld(1, 300, 3, 40, 10)
 		w.fleetEnabled, w.loss, w.delay = on, 50, 30*millisecond
 		w.run(20 * second)
@@ -367,19 +370,19 @@
 		w.failZone(2)
 		w.run(5 * second)
 		first, half, most, n := w.drainTimes("c", at)
-		t.Logf("on %v: first %d ms, half %d ms, 99%% %d ms after the loss, %d fronts; %d jobs paid; %.0f bytes a second", on, first/10,
+		t.Logf("fleet %v: drained by the first front %d ms, by half %d ms, by 99%% %d ms after the loss, by %d fronts; %d requests failed; %.0f bytes a second", on, first/10,
 			half/10, most/10, n, w.failedRequests, float64(w.bytes)/300/5)
 		if on && (n < 300 || most-first > 500*millisecond) {
-			t.Errorf("%d fronts left, 99%% %d ms after the first", n, (most-first)/10)
+			t.Errorf("%d fronts drained the zone, 99%% of them %d ms after the first", n, (most-first)/10)
 		}
-		if sent := w.bytes / 300 / 5; sent > 8000 { // 31,800 where each told what others had told, and went on after all had left
-			t.Errorf("%d bytes a second for each front while the zone was lost", sent)
+		if sent := w.bytes / 300 / 5; sent > 8000 { // 31,800 when each front repeated what others had published, and went on after all had drained the zone
+			t.Errorf("%d bytes a second for each front after the loss of the zone", sent)
 		}
 		w.recoverZone(2)
 		back := w.now
 		for w.now < back+4*warmupTime && !func() bool {
-			for _, o := range w.fronts {
-				if o.shares[2] < 1 {
+			for _, front := range w.fronts {
+				if front.shares[2] < 1 {
 					return false
 				}
 			}
@@ -387,20 +390,21 @@
 		}() {
 			w.run(100 * millisecond)
 		}
-		t.Logf("on %v: all back %d ms after the return, %d jobs paid in all, peak %.2f of the budget", on, (w.now-back)/10, w.failedRequests, w.worstLoad())
+		t.Logf("fleet %v: in service everywhere %d ms after the stores came back, %d requests failed in all, peak load %.2f of the limit", on, (w.now-back)/10, w.failedRequests, w.worstLoad())
 		if on && w.worstLoad() > 1 {
-			t.Errorf("a store was pushed over: %.2f", w.worstLoad())
+			t.Errorf("a store was overloaded: peak load %.2f of its limit", w.worstLoad())
 		}
 		return w
 	}
-	off, on := play(false), play(true)
+	off, on := simulate(false), simulate(true)
 	if on.failedRequests*5 > off.failedRequests {
-		t.Errorf("%d jobs paid, %d without the fleet", on.failedRequests, off.failedRequests)
+		t.Errorf("%d requests failed, %d without the fleet", on.failedRequests, off.failedRequests)
 		on.showLog(t)
 	}
 }
 
-// TestSoundZonesAreKept: histories of sound zones with single bad stores, drawn from seeds: no zone is ever left.
+// TestHealthyZonesStayInService checks that single bad stores in healthy zones, chosen at random from many
+// seeds, never lead to a zone being drained.
 func TestHealthyZonesStayInService(t *testing.T) {
 	seeds := 1000
 	if raceDetector {
@@ -425,26 +429,26 @@
 			w.run(second)
 		}
 		if len(w.drainCounts) > 0 {
-			t.Errorf("seed %d: left: %v", seed, w.drainCounts)
+			t.Errorf("seed %d: zones drained: %v", seed, w.drainCounts)
 			w.showLog(t)
 			return
 		}
 	}
 }
 
-// TestCutOffZone: a zone cut off from the others but sound inside: both sides go on with what they reach, and find
-// together after.
+// TestPartitionedZone checks a zone that is partitioned from the others but healthy inside: the fronts on
+// both sides keep using the zones that they reach, and the fleet recovers after the partition ends.
 func TestPartitionedZone(t *testing.T) {
 	w := newWorld(3, 30, 3, 10, 20)
 	w.run(15 * second)
 	w.cut = func(from, to int) bool { return (from == 0) != (to == 0) }
 	w.run(15 * second)
-	inside := func(o *testFront) bool { return o.zone == 0 }
-	outside := func(o *testFront) bool { return o.zone != 0 }
+	inside := func(front *testFront) bool { return front.zone == 0 }
+	outside := func(front *testFront) bool { return front.zone != 0 }
 	w.wantShare(t, 0, 1, inside)
-	for _, o := range w.fronts {
-		if !inside(o) && o.shares[0] > coldCapacity || inside(o) && (o.shares[1] > coldCapacity || o.shares[2] > coldCapacity) {
-			t.Errorf("%s still goes where it cannot: %v", o.name, o.shares)
+	for _, front := range w.fronts {
+		if !inside(front) && front.shares[0] > coldCapacity || inside(front) && (front.shares[1] > coldCapacity || front.shares[2] > coldCapacity) {
+			t.Errorf("%s still sends requests to zones that it cannot reach: shares %v", front.name, front.shares)
 		}
 	}
 	w.wantShare(t, 1, 1, outside)
@@ -461,7 +465,8 @@
 	}
 }
 
-// TestOneLink: a one-way cut, and one between two zones that the third does not see: no zone is left.
+// TestSingleLinkFailure checks that no zone is drained when a link fails in one direction only, or when the
+// link between two zones fails and the third zone does not see it.
 func TestSingleLinkFailure(t *testing.T) {
 	for name, cut := range map[string]func(from, to int) bool{
 		"one way":  func(from, to int) bool { return from == 0 && to == 1 },
@@ -472,13 +477,14 @@
 		w.cut = cut
 		w.run(20 * second)
 		if len(w.drainCounts) > 0 {
-			t.Errorf("%s: left: %v", name, w.drainCounts)
+			t.Errorf("%s: zones drained: %v", name, w.drainCounts)
 			w.showLog(t)
 		}
 	}
 }
 
-// TestFlappingZone: a zone that comes and goes each second is left and tried a bounded number of times a minute.
+// TestFlappingZone checks that a zone that fails and recovers every second is drained a limited number of
+// times a minute.
 func TestFlappingZone(t *testing.T) {
 	w := newWorld(5, 30, 3, 10, 20)
 	w.run(15 * second)
@@ -489,16 +495,17 @@
 		w.run(second)
 	}
 	worst := w.drainCounts["b:"]
-	t.Logf("zone b was left %d times by 30 fronts in a minute", worst)
+	t.Logf("30 fronts drained zone b %d times in a minute", worst)
 	if worst > 30*6 || worst < 30 {
-		t.Errorf("%d times", worst)
+		t.Errorf("30 fronts drained zone b %d times in a minute, want 30 to 180", worst)
 		w.showLog(t)
 	}
 	w.run(60 * second)
 	w.wantShare(t, 1, 1, nil)
 }
 
-// TestNotAllAreLeft: two zones that fail within a second of each other, and then the last: one always stays whole.
+// TestLastZoneStaysInService lets two zones fail within a second of each other, and then the last one: one
+// zone always stays fully in service.
 func TestLastZoneStaysInService(t *testing.T) {
 	w := newWorld(6, 30, 3, 10, 20)
 	w.run(15 * second)
@@ -506,9 +513,9 @@
 	w.run(700 * millisecond)
 	w.failZone(2)
 	w.run(5 * second)
-	for _, o := range w.fronts {
-		if o.shares[0] != 1 || o.shares[1] > coldCapacity || o.shares[2] > coldCapacity {
-			t.Errorf("%s: %v", o.name, o.shares)
+	for _, front := range w.fronts {
+		if front.shares[0] != 1 || front.shares[1] > coldCapacity || front.shares[2] > coldCapacity {
+			t.Errorf("%s has wrong shares: %v", front.name, front.shares)
 		}
 	}
 	w.failZone(0)
@@ -523,8 +530,9 @@
 	}
 }
 
-// TestLossDuringTheReturn: the zone fails again in the middle of its return, when what told of its first loss has used up what
-// may be told at once. Three seconds later hardly any front goes on with the return, after six none does.
+// TestZoneLossDuringRecovery lets a zone fail again in the middle of its recovery, when the messages about
+// its first failure have used up the traffic budgets. Three seconds later at most a tenth of the fronts
+// continue the recovery, and after six seconds none does.
 func TestZoneLossDuringRecovery(t *testing.T) {
 	const fronts = 60
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -538,20 +546,21 @@
 		for _, most := range []int{fronts / 10, 0} {
 			w.run(3 * second)
 			going := 0
-			for _, o := range w.fronts {
-				if o.shares[2] > coldCapacity {
+			for _, front := range w.fronts {
+				if front.shares[2] > coldCapacity {
 					going++
 				}
 			}
 			if going > most {
-				t.Errorf("seed %d: %d of %d fronts go on with the return, %d at most expected", seed, going, fronts, most)
+				t.Errorf("seed %d: %d of %d fronts continue the recovery, want at most %d", seed, going, fronts, most)
 			}
 		}
 	}
 }
 
-// TestReturnUnderTrouble: the zone returns cold, a tenth of the fronts start again during the ramp, it fails again at a
-// third of the way, and the fleet is cut in two during the second return: no store is pushed over.
+// TestRecoveryUnderFaults recovers a cold zone while a tenth of the fronts restart during the ramp, the zone
+// fails again at a third of the ramp, and the fleet is partitioned during the second recovery. No store may
+// be overloaded.
 func TestRecoveryUnderFaults(t *testing.T) {
 	w := newWorld(7, 60, 3, 10, 20)
 	w.run(15 * second)
@@ -565,9 +574,9 @@
 	w.run(second)
 	w.failZone(2)
 	w.run(6 * second)
-	for _, o := range w.fronts {
-		if o.shares[2] > coldCapacity {
-			t.Errorf("%s goes on with the return: %v", o.name, o.shares)
+	for _, front := range w.fronts {
+		if front.shares[2] > coldCapacity {
+			t.Errorf("%s continues the recovery: shares %v", front.name, front.shares)
 		}
 	}
 	w.recoverZone(2)
@@ -577,14 +586,14 @@
 	w.peerCut = nil
 	w.run(30 * second)
 	w.wantShare(t, 2, 1, nil)
-	if t.Logf("peak %.2f of the budget", w.worstLoad()); w.worstLoad() > 1 {
-		t.Errorf("a store was pushed over: %.2f of its budget", w.worstLoad())
+	if t.Logf("peak load %.2f of the limit", w.worstLoad()); w.worstLoad() > 1 {
+		t.Errorf("a store was overloaded: peak load %.2f of its limit", w.worstLoad())
 		w.showLog(t)
 	}
 }
 
-// TestAllStartAgain: all fronts are killed and started again while a zone is away: they leave it again at once, and when
-// it comes back cold no store is pushed over.
+// TestWholeFleetRestart restarts all fronts while a zone is drained: they drain it again at once, and when it
+// comes back cold no store is overloaded.
 func TestWholeFleetRestart(t *testing.T) {
 	w := newWorld(8, 30, 3, 10, 20)
 	w.run(15 * second)
@@ -597,62 +606,64 @@
 	at := w.now
 	w.run(5 * second)
 	_, _, most, n := w.drainTimes("c", at)
-	if t.Logf("%d fronts left again, 99%% after %d ms", n, most/10); n < 30 || most > 3*second {
-		t.Errorf("%d fronts, %d ms", n, most/10)
+	if t.Logf("%d fronts drained the zone again, 99%% after %d ms", n, most/10); n < 30 || most > 3*second {
+		t.Errorf("%d fronts drained the zone again, 99%% after %d ms", n, most/10)
 		w.showLog(t)
 	}
 	w.recoverZone(2)
 	w.run(40 * second)
 	w.wantShare(t, 2, 1, nil)
 	if w.worstLoad() > 1 {
-		t.Errorf("a store was pushed over: %.2f", w.worstLoad())
+		t.Errorf("a store was overloaded: peak load %.2f of its limit", w.worstLoad())
 	}
 }
 
-// TestSickObserver: a front stopped for 3 s, or without its own network, has no zone left and acts on no plan of before.
+// TestStalledAndIsolatedFront checks that a front that is stopped for 3 s, or has lost its own network,
+// causes no zone to be drained and follows no plan from before.
 func TestStalledAndIsolatedFront(t *testing.T) {
 	w := newWorld(9, 30, 3, 10, 20)
 	w.run(15 * second)
-	sick := w.fronts[4]
+	faulty := w.fronts[4]
 	for range 3 {
-		sick.stalled = true
+		faulty.stalled = true
 		w.run(3 * second)
-		sick.stalled = false
+		faulty.stalled = false
 		w.run(3 * second)
 	}
 	w.cut = nil
-	for s := range sick.failures { // it reaches no store and no front
-		sick.failures[s] = 0
+	for s := range faulty.failures { // it tries all stores again, and reaches no store and no front
+		faulty.failures[s] = 0
 	}
-	w.peerCut = func(from, to *testFront) bool { return from == sick || to == sick }
+	w.peerCut = func(from, to *testFront) bool { return from == faulty || to == faulty }
 	w.cut = func(from, to int) bool { return false }
-	blind := sick
-	old := blind.zone
-	w.zoneNames = append(w.zoneNames, "nowhere") // a zone of its own for the reach of stores
-	blind.zone = 3
+	isolated := faulty
+	ownZone := isolated.zone
+	w.zoneNames = append(w.zoneNames, "nowhere") // a zone of its own, which reaches no stores
+	isolated.zone = 3
 	w.cut = func(from, to int) bool { return from == 3 || to == 3 }
 	w.run(10 * second)
-	blind.zone = old
+	isolated.zone = ownZone
 	w.cut, w.peerCut, w.zoneNames = nil, nil, w.zoneNames[:3]
 	w.run(10 * second)
 	if len(w.drainCounts) > 0 {
-		t.Errorf("left: %v", w.drainCounts)
+		t.Errorf("zones drained: %v", w.drainCounts)
 		w.showLog(t)
 	}
 }
 
-// TestHalfWithoutFleet: during a rollout half of the fronts have no part in the fleet; the others leave and return.
+// TestPartialRollout checks that zones are drained and recovered when only half of the fronts take part in
+// the fleet, as during a rollout.
 func TestPartialRollout(t *testing.T) {
 	w := newWorld(10, 30, 3, 10, 20)
-	for k, o := range w.fronts {
-		o.outsideFleet = k >= 15
+	for k, front := range w.fronts {
+		front.outsideFleet = k >= 15
 	}
 	w.run(15 * second)
 	at := w.now
 	w.failZone(2)
 	w.run(5 * second)
 	if _, _, _, n := w.drainTimes("c", at); n != 15 {
-		t.Errorf("%d fronts left", n)
+		t.Errorf("%d fronts drained the zone, want 15", n)
 		w.showLog(t)
 	}
 	w.recoverZone(2)
@@ -660,22 +671,22 @@
 	w.wantShare(t, 2, 1, nil)
 }
 
-// TestByHand: an order moves a zone away on all fronts, ends by itself, can be ended, and keeps to what the rest bears
-// unless told outright.
+// TestOperatorOrders checks that an order drains a zone at all fronts, expires by itself, can be ended early,
+// and is limited by the capacity of the other zones unless it is forced.
 func TestOperatorOrders(t *testing.T) {
 	w := newWorld(11, 30, 3, 10, 20)
 	w.run(15 * second)
 	if err := w.fronts[7].fleet.Zones.IssueOrder(w.now, "nowhere", true, false, second, 1); err == nil {
-		t.Error("a zone that nobody knows is left")
+		t.Error("an order for an unknown zone was accepted")
 	}
 	if err := w.fronts[7].fleet.Zones.IssueOrder(w.now, "b", true, false, 20*second, uint64(w.now)); err != nil {
 		t.Fatal(err)
 	}
 	w.run(second)
 	w.wantShare(t, 1, 0, nil)
-	lateBy := w.startFront(9, 2) // it has to hear of an order from before its life
+	late := w.startFront(9, 2) // it has to learn of an order that is older than its process
 	w.run(12 * second)
-	w.wantShare(t, 1, 0, func(o *testFront) bool { return o == lateBy })
+	w.wantShare(t, 1, 0, func(front *testFront) bool { return front == late })
 	w.run(8*second + 2*warmupTime)
 	w.wantShare(t, 1, 1, nil)
 	w.fronts[3].fleet.Zones.IssueOrder(w.now, "b", true, false, 600*second, uint64(w.now))
@@ -683,9 +694,9 @@
 	w.wantShare(t, 1, 0, nil)
 	w.fronts[8].fleet.Zones.IssueOrder(w.now, "b", false, false, 0, uint64(w.now))
 	w.run(2 * second)
-	for _, o := range w.fronts {
-		if o.shares[1] == 0 {
-			t.Errorf("%s has not begun to return", o.name)
+	for _, front := range w.fronts {
+		if front.shares[1] == 0 {
+			t.Errorf("%s has not started the recovery", front.name)
 		}
 	}
 	w.run(2 * warmupTime)
@@ -694,13 +705,13 @@
 	w.fronts[0].fleet.Zones.IssueOrder(w.now, "b", true, true, 60*second, uint64(w.now))
 	w.run(2 * second)
 	if err := w.fronts[1].fleet.Zones.IssueOrder(w.now, "c", true, false, 60*second, uint64(w.now)); err == nil {
-		t.Error("the last zone is left without being told outright")
+		t.Error("an order to drain the last zone was accepted without force")
 	}
 }
 
-// TestSameCallsSameActions: two plays of one seed are the same.
+// TestDeterminism checks that two runs with one seed are identical.
 func TestDeterminism(t *testing.T) {
-	play := func() string {
+	simulate := func() string {
 		w := newWorld(12, 20, 3, 5, 20)
 		w.loss = 50
 		w.run(10 * second)
@@ -710,7 +721,7 @@
 		w.run(20 * second)
 		return strings.Join(w.logLines, "\n")
 	}
-	if a, b := play(), play(); a != b {
-		t.Error("two plays of one seed differ")
+	if a, b := simulate(), simulate(); a != b {
+		t.Error("two runs with one seed differ")
 	}
 }
--- a/fleet/membership/budget.go
+++ b/fleet/membership/budget.go
@@ -1,44 +1,47 @@
 package membership
 
-// Figures of the budget. A fleet's control has 3,000 bytes a second for each front in the worst ten seconds; probes,
-// positions, leases and the configuration take their parts of it. Notes have more than their part: with less, fronts that hear
-// late what others see go on sending to a zone that is lost once more (TestLossDuringTheReturn).
+// Traffic budgets. All control traffic of a fleet together may take 3,000 bytes a second for each front in
+// the worst ten seconds; probes, positions, leases and the configuration take their shares of it. Notes have
+// more than their share: with less, fronts that learn late what others see keep sending requests to a zone
+// that has failed again (TestZoneLossDuringRecovery).
 const (
-	urgentRate  = 700    // bytes a second of what is urgent
-	urgentBurst = 10_000 // bytes of it that may go at once after a quiet time
-	factRate    = 300    // bytes a second of facts of other members
-	factBurst   = 3_000  // bytes of them that may go at once after a quiet time
-	soonRate    = 2_000  // the same of notes that are spread soon,
-	soonBurst   = 16_000
-	quietRate   = 2_000 // and quietly
-	quietBurst  = 16_000
+	urgentRate  = 700    // bytes a second of urgent facts and notes
+	urgentBurst = 10_000 // bytes of them that may be sent at once after an idle time
+	factRate    = 300    // bytes a second of facts about other members
+	factBurst   = 3_000  // bytes of them that may be sent at once after an idle time
+	soonRate    = 2_000  // bytes a second of notes that are spread soon
+	soonBurst   = 16_000 // bytes of them that may be sent at once after an idle time
+	quietRate   = 2_000  // bytes a second of notes that are spread quietly
+	quietBurst  = 16_000 // bytes of them that may be sent at once after an idle time
 
-	gossipHeaderBytes = 60  // of a message of gossip, besides facts and notes
-	minUrgentBytes    = 150 // of what is urgent for which a round of gossip is worth its message
-	minGossipBytes    = 400 // the same of facts, or of quiet notes
+	gossipHeaderBytes = 60  // bytes of a gossip message besides its facts and notes
+	minUrgentBytes    = 150 // bytes of urgent facts and notes, or of soon notes, that make a message worthwhile
+	minGossipBytes    = 400 // bytes of quiet notes, or of facts about other members, that make a message worthwhile
 
-	responseRate     = 400   // bytes a second of answers to full exchanges
-	responseBurst    = 6_000 // bytes of them at once
-	minResponseBytes = 1_000 // of one answer in any case
-	startupRate      = 4_000 // the same of answers to fronts that have just started
-	startupBurst     = 64_000
-	minStartupBytes  = 4_000
-	unitsPerByte     = 10_000 // units of a bucket in a byte: a Time at a rate of one byte a second is one unit
+	responseRate     = 400    // bytes a second of responses to full syncs
+	responseBurst    = 6_000  // bytes of them that may be sent at once after an idle time
+	minResponseBytes = 1_000  // bytes that every response may have, whatever the budget
+	startupRate      = 4_000  // bytes a second of responses to fronts that have just started
+	startupBurst     = 64_000 // bytes of them that may be sent at once after an idle time
+	minStartupBytes  = 4_000  // bytes that each of them may have, whatever the budget
+	unitsPerByte     = 10_000 // units of a tokenBucket in a byte; at one byte a second, one unit is added per Time unit
 )
 
-// tokenBucket is a token bucket (RFC 2697) in bytes. It may be overdrawn, by its burst at most: whoever asks for much in a row must
-// not shut all others out for long.
+// tokenBucket is a token bucket (RFC 2697) that counts bytes. It may be overdrawn, but at most by its burst,
+// so that one large request does not block all others for long.
 type tokenBucket struct {
-	rate, burst int64 // bytes a second, bytes
-	units       int64
-	filledAt    Time
+	rate     int64 // bytes a second
+	burst    int64 // capacity in bytes
+	units    int64 // current content in units, see unitsPerByte; negative if overdrawn
+	filledAt Time  // when the bucket was last refilled
 }
 
 func newTokenBucket(now Time, rate, burst int64) tokenBucket {
 	return tokenBucket{rate: rate, burst: burst, units: burst * unitsPerByte, filledAt: now}
 }
 
-// available fills the bucket up to a moment and returns the bytes that it holds.
+// available refills the bucket up to now and returns the number of bytes that it holds, which is negative if
+// the bucket is overdrawn.
 func (b *tokenBucket) available(now Time) int64 {
 	elapsed := max(now-b.filledAt, 0)
 	b.filledAt = now
@@ -50,13 +53,12 @@
 	b.units = max(b.units-int64(bytes)*unitsPerByte, -b.burst*unitsPerByte)
 }
 
-// room returns how many bytes a bucket allows in one datagram.
+// room returns how many bytes the bucket allows in one datagram.
 func (b *tokenBucket) room(now Time) int { return int(min(max(b.available(now), 0), datagramBytes)) }
 
-// mayGossip reports whether a round of gossip is worth a message now, and charges what asks for it with the message's head.
-//
-// Danger: where a zone or a region is lost, hundreds of members change at once, and each front would tell all others of each
-// of them, many times what the network is given for it.
+// mayGossip reports whether a gossip message is worth sending now, and charges its header to the budget that
+// asks for it. Without budgets, when a zone or a region fails, hundreds of members change state at once, and
+// each front would tell all others about each of them, which exceeds many times the traffic allowed for it.
 func (m *Members) mayGossip() bool {
 	switch {
 	case m.urgentQueue.length > 0 && m.urgentBudget.room(m.now) >= minUrgentBytes:
--- a/fleet/membership/digest.go
+++ b/fleet/membership/digest.go
@@ -6,42 +6,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A digest tells what a view holds without its contents, so that a full exchange carries only what differs, as in the
-// anti-entropy of Demers et al. ("Epidemic algorithms for replicated database maintenance", PODC 1987). Members and notes are
-// spread over buckets by the hash of their names, and each bucket is the sum of the hashes of what it holds.
+// A digest summarizes what a view holds without its contents, so that a full sync carries only the
+// differences, as in the anti-entropy protocol of Demers et al. ("Epidemic algorithms for replicated database
+// maintenance", PODC 1987). Members and notes are assigned to buckets by the hash of their names, and the
+// value of a bucket is the sum of the hashes of its contents.
 const (
 	memberBuckets = 64
 	noteBuckets   = 16
-	// DigestBytes is the length of a digest.
+	// DigestBytes is the length of a digest on the wire.
 	DigestBytes = 4 * (memberBuckets + noteBuckets)
 )
 
-// startingBuckets is how many buckets of members are filled at most where a front has just started.
+// maxStartingBuckets is the largest number of non-empty member buckets in the digest of a front that has just
+// started.
 const maxStartingBuckets = 3
 
-// maxContested bounds the facts that a front tells again because another one holds older ones.
+// maxContested limits the number of facts to be sent again because another front holds older ones.
 const maxContested = 128
 
-// digest is the sums of all buckets, those of members first.
+// digest holds the sums of all buckets, those of members first.
 type digest [memberBuckets + noteBuckets]uint32
 
 func memberBucket(name []byte) int { return int(xxhash.Sum64(name) % memberBuckets) }
 
 func noteBucket(key []byte) int { return memberBuckets + int(xxhash.Sum64(key)%noteBuckets) }
 
-// currentDigest returns the digest of what this front holds. Those that are dead or have left do not count: some fronts have
-// forgotten them already.
+// currentDigest returns the digest of what this front holds. Members that are dead or have left are omitted,
+// since some fronts have already removed them.
 func (m *Members) currentDigest() (sums digest) {
 	hash := &m.hash
 	for index := range m.members {
-		e := &m.members[index]
-		if !e.used || e.state >= Dead {
+		entry := &m.members[index]
+		if !entry.used || entry.state >= Dead {
 			continue
 		}
 		hash.Reset()
-		hash.WriteString(e.name)
-		hash.Write(binary.LittleEndian.AppendUint64(m.hashed[:0], e.incarnation<<1|uint64(e.state)))
-		sums[memberBucket(bytesOf(e.name))] += uint32(hash.Sum64())
+		hash.WriteString(entry.name)
+		hash.Write(binary.LittleEndian.AppendUint64(m.hashed[:0], entry.incarnation<<1|uint64(entry.state)))
+		sums[memberBucket(bytesOf(entry.name))] += uint32(hash.Sum64())
 	}
 	for index := range m.notes {
 		n := &m.notes[index]
@@ -56,7 +58,7 @@
 	return sums
 }
 
-// appendDigest writes a digest as messages carry it.
+// appendDigest appends a digest in its wire format.
 func appendDigest(dst []byte, sums *digest) []byte {
 	for _, sum := range sums {
 		dst = binary.LittleEndian.AppendUint32(dst, sum)
@@ -64,7 +66,7 @@
 	return dst
 }
 
-// readDigest reads a digest of DigestBytes.
+// readDigest decodes a digest of DigestBytes bytes.
 func readDigest(data []byte) (sums digest) {
 	for k := range sums {
 		sums[k] = binary.LittleEndian.Uint32(data[4*k:])
@@ -72,7 +74,7 @@
 	return sums
 }
 
-// rememberDigest keeps what the sender of a Whole holds for the Answer to it.
+// rememberDigest keeps the digest of a SyncRequest until the SyncResponse is built.
 func (m *Members) rememberDigest(in *Message) {
 	m.requesterSentDigest = len(in.Digest) == DigestBytes
 	if m.requesterSentDigest {
@@ -80,26 +82,26 @@
 	}
 }
 
-// fillSyncRequest fills the scratch message that begins an exchange: what this front holds as a digest, and the facts that the
-// last one that answered held older ones of.
+// fillSyncRequest fills the reused message of a SyncRequest with the digest of what this front holds, and
+// with the contested facts: those for which the last responder held older ones.
 func (m *Members) fillSyncRequest() {
 	sums := m.currentDigest()
 	m.digestBytes = appendDigest(m.digestBytes[:0], &sums)
 	m.message.Digest = m.digestBytes
 	for _, index := range m.contested {
-		e := &m.members[index]
-		if e.used {
-			e.contested = false
+		entry := &m.members[index]
+		if entry.used {
+			entry.contested = false
 			m.messageFacts = append(m.messageFacts, m.factOf(index))
 		}
 	}
 	m.contested = m.contested[:0]
 }
 
-// fillDifference fills the scratch message with what is in the buckets that differ from those of the asker, from another
-// place on each time, as far as the budget reaches, and the least in any case.
-//
-// Danger: behind a cut each of hundreds of fronts asks the few on the other side for all that they hold.
+// fillDifference fills the reused message with the contents of the buckets in which this front differs from
+// the requester, starting at a random position, up to what the budget allows, but at least minBytes. Without
+// the budget, after a partition, each of hundreds of fronts would ask the few on the other side for
+// everything that they hold.
 func (m *Members) fillDifference(budget *tokenBucket, minBytes int64) {
 	sums := m.currentDigest()
 	room := int(max(budget.available(m.now), minBytes))
@@ -116,8 +118,8 @@
 	first := int(m.random.Below(int64(len(m.members))))
 	for k := range m.members {
 		index := int32((first + k) % len(m.members))
-		e := &m.members[index]
-		if index == selfIndex || !e.used || sent >= room || !differs(memberBucket(bytesOf(e.name))) {
+		entry := &m.members[index]
+		if index == selfIndex || !entry.used || sent >= room || !differs(memberBucket(bytesOf(entry.name))) {
 			continue
 		}
 		fact := m.factOf(index)
@@ -127,19 +129,20 @@
 	budget.spend(sent)
 }
 
-// markContested has a fact told to whoever is asked next, if its sender holds an older one than this front.
-//
-// Danger: a member that one half holds for dead and the other for alive learns of it in no other way, and both go on.
+// markContested marks a member's fact to be sent with the next SyncRequest if the sender of the given fact
+// holds an older one than this front. Only facts of dead members are marked: a member that one half of the
+// fleet holds for dead and the other for alive would not learn of it otherwise, and both halves would keep
+// their views.
 func (m *Members) markContested(index int32, fact *Fact) {
-	e := &m.members[index]
-	newer := e.incarnation > fact.Incarnation || e.incarnation == fact.Incarnation && e.state > fact.State
-	if newer && e.state == Dead && !e.contested && len(m.contested) < maxContested {
-		e.contested = true
+	entry := &m.members[index]
+	newer := entry.incarnation > fact.Incarnation || entry.incarnation == fact.Incarnation && entry.state > fact.State
+	if newer && entry.state == Dead && !entry.contested && len(m.contested) < maxContested {
+		entry.contested = true
 		m.contested = append(m.contested, index)
 	}
 }
 
-// compareResponse looks at what an Answer tells of a member.
+// compareResponse checks a fact from a SyncResponse against the table.
 func (m *Members) compareResponse(fact *Fact) {
 	index, known := m.byName[string(fact.Name)]
 	if known && index != selfIndex {
@@ -147,9 +150,9 @@
 	}
 }
 
-// syncContested begins another exchange with whoever told something older, soon but not in a row.
-//
-// Danger: of a member that is dead in truth the other has to find that out first, and both would exchange all the while.
+// syncContested starts another sync with a front that holds older facts, soon but not repeatedly: if a
+// contested member is really dead, the other front first has to detect that itself, and without the delay
+// both would sync over and over until then.
 func (m *Members) syncContested(from int32) {
 	if len(m.contested) == 0 || m.now < m.nextContestedSyncAt {
 		return
@@ -158,7 +161,8 @@
 	m.host.StartSync(m.members[from].addr)
 }
 
-// nearlyEmpty reports whether a digest is that of a front that has just started and knows itself and few others.
+// nearlyEmpty reports whether the digest is that of a front that has just started and knows only itself and a
+// few others.
 func (d *digest) nearlyEmpty() bool {
 	filled := 0
 	for _, sum := range d[:memberBuckets] {
--- a/fleet/membership/digest_test.go
+++ b/fleet/membership/digest_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// playDigest is the FNV-1a hash of every action of the play below: datagrams with all that is in them,
-// exchanges, changes of members, notes handed on, log lines and final tables. It was recorded before the
-// package was split into files by job, and anew when gossip got its budgets and exchanges their digests. A change that
-// is meant to change actions records it anew and says so.
+// playDigest is the FNV-1a hash of every action in the simulation below: datagrams with their complete
+// contents, syncs, member changes, notes passed to the host, log lines and final tables. It was recorded
+// before the package was split into files by purpose, and again when gossip got traffic budgets and syncs got
+// digests. A change that is meant to alter actions must record it again and say so.
 const playDigest = "9948ac9b4bc33b7d"
 
-// TestActionDigest plays one seeded fleet through loss, a kill, a leave, a cut, a stopped process, a second
-// process of one name, unknown members and notes, and compares the hash of all actions.
+// TestActionDigest runs a seeded fleet through message loss, a killed front, a leaving one, a partition, a
+// stopped process, two processes with one name, unknown members and notes, and compares the hash of all
+// actions.
 func TestActionDigest(t *testing.T) {
 	hash := fnv.New64a()
 	network := newTestNetwork(20)
@@ -60,7 +61,7 @@
 
 	network.start("a4", "a", "twin", 5)
 	network.run(20 * period)
-	network.nodes["a1"].view.config.MaxMembers = 60 // so that the dead make room
+	network.nodes["a1"].view.config.MaxMembers = 60 // so that entries of dead members are reused
 	for k := range 300 {
 		sender := Fact{Name: fmt.Appendf(nil, "x%d", k), Zone: fmt.Appendf(nil, "z%d", k), Addr: []byte("nowhere"),
 			Incarnation: 1}
@@ -78,7 +79,7 @@
 		network.kill(zone + "4")
 		network.kill(zone + "5")
 	}
-	network.run(1300 * period) // past the time for which the dead are kept
+	network.run(1300 * period) // longer than dead members are kept
 
 	for _, node := range network.order {
 		view := node.view
@@ -86,6 +87,6 @@
 			view.ZoneLastHeard("b"), view.Next(), view.Dropped)
 	}
 	if got := fmt.Sprintf("%016x", hash.Sum64()); got != playDigest {
-		t.Errorf("the actions hash to %s, recorded is %s", got, playDigest)
+		t.Errorf("the actions hash to %s, want %s", got, playDigest)
 	}
 }
--- a/fleet/membership/facts.go
+++ b/fleet/membership/facts.go
@@ -1,19 +1,19 @@
 package membership
 
-// factOf returns what this front holds of a member. Its bytes are those of the table's strings.
+// factOf returns this front's fact about a member. Its byte slices alias the strings of the table.
 func (m *Members) factOf(index int32) Fact {
-	e := &m.members[index]
+	entry := &m.members[index]
 	return Fact{
-		Name:        bytesOf(e.name),
-		Zone:        bytesOf(e.zone),
-		Addr:        bytesOf(e.addr),
-		By:          bytesOf(e.suspectedBy),
-		Incarnation: e.incarnation,
-		State:       e.state,
+		Name:        bytesOf(entry.name),
+		Zone:        bytesOf(entry.zone),
+		Addr:        bytesOf(entry.addr),
+		By:          bytesOf(entry.suspectedBy),
+		Incarnation: entry.incarnation,
+		State:       entry.state,
 	}
 }
 
-// applyFact takes in one statement about a member, by SWIM's order of precedence.
+// applyFact applies one fact about a member according to SWIM's order of precedence.
 func (m *Members) applyFact(fact *Fact) {
 	if !fact.valid() {
 		m.Dropped++
@@ -30,7 +30,7 @@
 	}
 }
 
-// addMember takes in a member that is not in the table. One that is dead or has left is not added.
+// addMember adds a member that is not in the table. A member that is dead or has left is not added.
 func (m *Members) addMember(fact *Fact) {
 	if fact.State == Dead || fact.State == Left {
 		return
@@ -40,58 +40,58 @@
 		m.Dropped++
 		return
 	}
-	e := &m.members[index]
-	*e = member{
+	entry := &m.members[index]
+	*entry = member{
 		name:        string(fact.Name),
 		zone:        string(fact.Zone),
 		addr:        string(fact.Addr),
 		incarnation: fact.Incarnation,
 		state:       Dead,
 		stateSince:  m.now,
-		queued:      e.queued,
+		queued:      entry.queued,
 		used:        true,
 	}
-	m.byName[e.name] = index
-	m.addToRing(e.zone, index)
+	m.byName[entry.name] = index
+	m.addToRing(entry.zone, index)
 	m.setState(index, fact)
 }
 
-// updateMember takes in a statement about a known member. An older incarnation changes nothing; within one
-// incarnation the larger state holds.
+// updateMember applies a fact about a known member. A fact of an older incarnation changes nothing; within
+// one incarnation the larger state wins.
 func (m *Members) updateMember(index int32, fact *Fact) {
-	e := &m.members[index]
-	newer := fact.Incarnation > e.incarnation
+	entry := &m.members[index]
+	newer := fact.Incarnation > entry.incarnation
 	switch {
-	case fact.Incarnation < e.incarnation:
+	case fact.Incarnation < entry.incarnation:
 	case newer && fact.State <= Suspect:
-		if e.zone != string(fact.Zone) || e.addr != string(fact.Addr) {
+		if entry.zone != string(fact.Zone) || entry.addr != string(fact.Addr) {
 			m.moveMember(index, fact)
 		}
 		m.setState(index, fact)
-	case fact.State == Suspect && e.state == Suspect:
+	case fact.State == Suspect && entry.state == Suspect:
 		m.confirmSuspicion(index, fact.By)
-	case fact.State > e.state && (fact.State != Left || e.state != Dead):
+	case fact.State > entry.state && (fact.State != Left || entry.state != Dead):
 		m.setState(index, fact)
 	}
 }
 
-// setState changes a member's state and incarnation, spreads that, and tells the host if the state is another
-// one.
+// setState sets a member's state and incarnation, queues the fact for spreading, and notifies the host if the
+// state has changed.
 func (m *Members) setState(index int32, fact *Fact) {
-	e := &m.members[index]
-	previous := e.state
-	e.incarnation = fact.Incarnation
-	e.state = fact.State
-	e.stateSince = m.now
-	e.suspectedBy = ""
-	e.confirmations = 0
+	entry := &m.members[index]
+	previous := entry.state
+	entry.incarnation = fact.Incarnation
+	entry.state = fact.State
+	entry.stateSince = m.now
+	entry.suspectedBy = ""
+	entry.confirmations = 0
 	if fact.State == Suspect {
-		e.suspectedBy = string(fact.By)
-		e.suspectUntil = m.now + m.suspicionTimeout(0)
+		entry.suspectedBy = string(fact.By)
+		entry.suspectUntil = m.now + m.suspicionTimeout(0)
 	}
 	m.spreadMember(index)
 	m.learned++
-	if previous != e.state || previous == Dead {
-		m.host.MemberChanged(e.name, e.zone, e.state)
+	if previous != entry.state || previous == Dead {
+		m.host.MemberChanged(entry.name, entry.zone, entry.state)
 	}
 }
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -1,19 +1,20 @@
 package membership
 
-// Figures of gossip.
+// Constants for gossip.
 const (
-	retransmitFactor = 4  // times that a fact is sent for each decimal digit of the fleet's size, and once more
-	gossipFanout     = 3  // members that a round goes to
+	retransmitFactor = 4  // times that a fact is sent per decimal digit of the fleet's size; one more is added
+	gossipFanout     = 3  // members that a round is sent to
 	roundsPerPeriod  = 10 // rounds of gossip in a protocol period
-	bulkFactCount    = 32 // facts of other members in the queue past which each is sent fewer times
+	bulkFactCount    = 32 // queued facts about other members above which each is sent fewer times
 	bulkSends        = 4  // times that it is sent then
 )
 
 // maxSends returns how many times a fact is sent.
 func (m *Members) maxSends() int { return retransmitFactor*m.fleetDigits() + 1 }
 
-// factSends returns how many times a member's fact is sent. Where many have changed at once it is sent fewer times: of
-// random messages that go to each member four times on average one in fifty misses it, and full exchanges tell it those.
+// factSends returns how many times a member's fact is sent. If many members have changed at once, each fact
+// is sent fewer times: with random messages that reach each member four times on average, one member in fifty
+// misses a fact and learns of it from a full sync.
 func (m *Members) factSends() int {
 	if m.factQueue.length > bulkFactCount {
 		return bulkSends
@@ -21,15 +22,15 @@
 	return m.maxSends()
 }
 
-// spreadMember queues a member's fact, to be sent its full number of times: this front's own is urgent, and another's
-// goes before those that have been sent already.
+// spreadMember queues a member's fact to be sent the full number of times. This front's own fact is urgent; a
+// fact about another member is queued before those that have been sent already.
 func (m *Members) spreadMember(index int32) {
-	e := &m.members[index]
-	e.timesSent = 0
-	if e.queued {
+	entry := &m.members[index]
+	entry.timesSent = 0
+	if entry.queued {
 		return
 	}
-	e.queued = true
+	entry.queued = true
 	if index == selfIndex {
 		m.urgentQueue.pushFront(index)
 	} else {
@@ -37,7 +38,7 @@
 	}
 }
 
-// spreadNote queues a note: an urgent one for its full number of times, another one for half of that.
+// spreadNote queues a note: an urgent one to be sent the full number of times, another one half as often.
 func (m *Members) spreadNote(index int32, spread Spread) {
 	n := &m.notes[index]
 	n.timesSent = 0
@@ -59,9 +60,9 @@
 	}
 }
 
-// fillMessage fills the scratch message with what is queued, as far as a datagram and the budgets have room: what is urgent
-// first, then notes, then facts. A suspect that it goes to is told of its suspicion in any case, so that it may refute
-// it.
+// fillMessage fills the reused message with queued facts and notes, up to the limits of a datagram and of the
+// budgets: urgent ones first, then notes, then facts. If the receiver is suspected, the message always tells
+// it so, to let it refute the suspicion.
 func (m *Members) fillMessage(to int32) {
 	m.messageFacts = m.messageFacts[:0]
 	m.messageNotes = m.messageNotes[:0]
@@ -79,8 +80,8 @@
 	m.message.Notes = m.messageNotes
 }
 
-// fillFromQueue moves the subjects of a queue into the scratch message, each once, as far as the room and the budget reach, and
-// returns the bytes that they take. A subject that is to be sent again goes to the queue's end.
+// fillFromQueue moves queued subjects into the reused message, each at most once, up to the given room and
+// the budget, and returns the bytes used. A subject that is to be sent again is put at the end of the queue.
 func (m *Members) fillFromQueue(queue *broadcastQueue, budget *tokenBucket, room int) (used int) {
 	room = min(room, budget.room(m.now))
 	for subjects := queue.length; subjects > 0; subjects-- {
@@ -104,12 +105,12 @@
 	return used
 }
 
-// addFact adds a member's fact to the scratch message if it fits, and returns its size and whether it is to
-// be sent again. A member that has been forgotten takes no room and leaves the queue.
+// addFact adds a member's fact to the reused message if it fits. It returns the fact's size and whether it is
+// to be sent again. A member that has been removed takes no room and leaves the queue.
 func (m *Members) addFact(index int32, room int) (size int, fits, again bool) {
-	e := &m.members[index]
-	if !e.used {
-		e.queued = false
+	entry := &m.members[index]
+	if !entry.used {
+		entry.queued = false
 		return 0, true, false
 	}
 	fact := m.factOf(index)
@@ -118,12 +119,12 @@
 		return size, false, true
 	}
 	m.messageFacts = append(m.messageFacts, fact)
-	e.timesSent++
-	e.queued = e.timesSent < m.factSends()
-	return size, true, e.queued
+	entry.timesSent++
+	entry.queued = entry.timesSent < m.factSends()
+	return size, true, entry.queued
 }
 
-// addNote does the same for a note. One that is too old or no longer to be spread leaves the queue.
+// addNote does the same for a note. A note that has expired or is no longer spread leaves the queue.
 func (m *Members) addNote(index int32, room int) (size int, fits, again bool) {
 	n := &m.notes[index]
 	if !n.used || n.maxSends == 0 || m.noteExpired(n) {
@@ -141,8 +142,8 @@
 	return size, true, n.queued
 }
 
-// send sends a datagram with as much of the queue as it has room for. `to` is the index of the member that it
-// goes to, or noMember, and name is the member that it is meant for.
+// send sends a datagram with as much from the queues as fits. The parameter to is the index of the receiving
+// member, or noMember, and name is the name of the intended receiver.
 func (m *Members) send(addr string, kind Kind, sequence uint64, to int32, name string) {
 	if m.replaced || addr == "" {
 		return
@@ -160,11 +161,12 @@
 
 // sendTo sends a datagram to a member of the table.
 func (m *Members) sendTo(index int32, kind Kind, sequence uint64) {
-	e := &m.members[index]
-	m.send(e.addr, kind, sequence, index, e.name)
+	entry := &m.members[index]
+	m.send(entry.addr, kind, sequence, index, entry.name)
 }
 
-// gossip plays one round: what is queued goes to random members of random zones, and last to any member.
+// gossip sends one round: queued facts and notes go to random members of random zones, and the last message
+// of the round to any random member.
 func (m *Members) gossip() {
 	for k := 0; k < gossipFanout && m.mayGossip(); k++ {
 		to := m.pickAnyZone()
@@ -177,17 +179,16 @@
 	}
 }
 
-// pickUnverified draws any member, verified or not, and returns the given one if the drawn one cannot be
-// told.
-//
-// Danger: a front that is new to most of its fleet has answered few of them, and would be told last of all.
+// pickUnverified picks any random member, verified or not. It returns the fallback if the picked entry is
+// free or its member is dead or has left. Without it, a front that is new to most of its fleet, and so is
+// verified by few members, would be the last to be told anything.
 func (m *Members) pickUnverified(fallback int32) int32 {
 	if len(m.members) <= 1 {
 		return fallback
 	}
 	drawn := int32(1 + m.random.Below(int64(len(m.members)-1)))
-	e := &m.members[drawn]
-	if e.used && e.state <= Suspect {
+	entry := &m.members[drawn]
+	if entry.used && entry.state <= Suspect {
 		return drawn
 	}
 	return fallback
--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/membership_test.go
@@ -14,7 +14,7 @@
 
 const period = Time(5000)
 
-// testNetwork is a network of views on one virtual clock.
+// testNetwork connects views on one virtual clock.
 type testNetwork struct {
 	now        Time
 	random     random.Source
@@ -22,12 +22,12 @@
 	order      []*testNode
 	deliveries deliveryQueue
 	sequence   int
-	loss       int                        // of 1,000 datagrams
-	delay      Time                       // of each, from half of it to one and a half
-	cut        func(from, to string) bool // by address; whole exchanges need both ways
+	loss       int                        // datagrams lost in 1,000
+	delay      Time                       // mean delay of a datagram; the actual one is between a half and one and a half of it
+	cut        func(from, to string) bool // reports whether datagrams between addresses are lost; syncs need both directions
 	bytes      int
 	logLines   []string
-	trace      io.Writer // where every action is written, for a digest; nil: nowhere
+	trace      io.Writer // receives every action, for a hash; may be nil
 }
 
 // traceAction writes one action of a node to the trace.
@@ -44,7 +44,7 @@
 	addr         string
 	stopped      bool
 	noteVersions map[string]uint64
-	deathCounts  map[string]int // times that each was declared dead here
+	deathCounts  map[string]int // number of times that each member was declared dead here
 }
 
 type delivery struct {
@@ -72,7 +72,7 @@
 	return &testNetwork{now: 1_000_000, random: random.New(seed), nodes: map[string]*testNode{}, delay: 50}
 }
 
-// copyMessage keeps a message beyond the call.
+// copyMessage returns a deep copy, which may be kept beyond the call.
 func copyMessage(in *Message) *Message {
 	dup := func(b []byte) []byte { return append([]byte(nil), b...) }
 	fact := func(f Fact) Fact {
@@ -152,7 +152,7 @@
 	return node
 }
 
-// startFleet starts so many in each of three zones.
+// startFleet starts the given number of fronts in each of three zones.
 func startFleet(seed uint64, each int) *testNetwork {
 	network := newTestNetwork(seed)
 	for k := range each {
@@ -180,7 +180,7 @@
 		for len(network.deliveries) > 0 && network.deliveries[0].at <= network.now {
 			l := heap.Pop(&network.deliveries).(delivery)
 			if node := network.nodes[l.to]; node != nil && node.stopped {
-				network.schedule(l.to, 100, l.deliver) // a stopped process has its datagrams wait for it
+				network.schedule(l.to, 100, l.deliver) // datagrams to a stopped process wait for it
 			} else if node != nil {
 				l.deliver(node)
 			}
@@ -212,12 +212,12 @@
 	}
 }
 
-// wantState wants the same held of a member everywhere.
+// wantState checks that all nodes hold a member in the same state.
 func (network *testNetwork) wantState(t *testing.T, name, want string) {
 	t.Helper()
 	for _, node := range network.order {
 		if got := node.stateOf(name); got != want && node.view.config.Name != name {
-			t.Errorf("%s holds %s for %s, not %s", node.view.config.Name, name, got, want)
+			t.Errorf("for %s, %s is %s, want %s", node.view.config.Name, name, got, want)
 		}
 	}
 }
@@ -231,20 +231,22 @@
 	}
 }
 
-// TestAllFindEachOther: through seeds, with loss, and nobody is given up.
+// TestAllMembersJoin checks that all fronts find each other through the seeds despite message loss, and that
+// none is declared dead.
 func TestAllMembersJoin(t *testing.T) {
 	network := startFleet(1, 20)
 	network.loss, network.delay = 50, 300
 	network.run(60 * period)
 	for _, node := range network.order {
 		if got := len(node.view.List()); got != 60 || !node.view.Joined() {
-			t.Errorf("%s holds %d, joined %v", node.view.config.Name, got, node.view.Joined())
+			t.Errorf("%s holds %d members, joined %v", node.view.config.Name, got, node.view.Joined())
 		}
 	}
 	network.wantNoDeaths(t)
 }
 
-// TestDeadAndBack: one that is killed is dead everywhere; a new life under its name is alive everywhere at once.
+// TestRestartAfterDeath checks that a killed front is declared dead by all, and that a new process of its
+// name is alive for all soon after its start.
 func TestRestartAfterDeath(t *testing.T) {
 	network := startFleet(2, 6)
 	network.run(20 * period)
@@ -255,19 +257,20 @@
 	network.run(6 * period)
 	network.wantState(t, "c3", "alive")
 	network.kill("c3")
-	network.start("c3", "b", "elsewhere", 1) // its clock was set back, and it moved
+	network.start("c3", "b", "elsewhere", 1) // its clock was set back, and its address and zone have changed
 	network.run(90 * period)
 	network.wantState(t, "c3", "alive")
 	for _, node := range network.order {
 		for _, e := range node.view.List() {
 			if e.Name == "c3" && (e.Addr != "elsewhere" || e.Zone != "b") {
-				t.Errorf("%s has it at %s in %s", node.view.config.Name, e.Addr, e.Zone)
+				t.Errorf("for %s, c3 has address %s and zone %s", node.view.config.Name, e.Addr, e.Zone)
 			}
 		}
 	}
 }
 
-// TestLeave: a planned end is known everywhere within two periods, and is no death.
+// TestLeave checks that all members know of a front's announced leaving within two periods and do not declare
+// it dead.
 func TestLeave(t *testing.T) {
 	network := startFleet(3, 10)
 	network.run(20 * period)
@@ -279,27 +282,29 @@
 	network.wantNoDeaths(t)
 }
 
-// TestHalvesFindEachOther: a fleet cut in two buries the other half, and is whole again soon after the cut ends.
+// TestPartitionHeals checks that the halves of a partitioned fleet declare each other dead, and find each
+// other soon after the partition ends.
 func TestPartitionHeals(t *testing.T) {
 	network := startFleet(4, 8)
 	network.run(20 * period)
 	network.cut = func(from, to string) bool { return (from[0] == 'a') != (to[0] == 'a') }
 	network.run(120 * period)
 	if got := network.nodes["a1"].stateOf("b1"); got != "dead" {
-		t.Errorf("b1 is %s for a1 during the cut", got)
+		t.Errorf("for a1, b1 is %s during the partition, want dead", got)
 	}
 	network.cut = nil
 	network.run(40 * period)
 	for _, node := range network.order {
 		for _, e := range node.view.List() {
 			if e.State != Alive {
-				t.Errorf("%s holds %s for %v", node.view.config.Name, e.Name, e.State)
+				t.Errorf("for %s, %s is %v", node.view.config.Name, e.Name, e.State)
 			}
 		}
 	}
 }
 
-// TestOneWayCut: one that hears all and is not heard by one zone is vouched for by the others.
+// TestOneWayCut checks that a front whose messages do not reach one zone is kept alive by the other members,
+// which still hear it.
 func TestOneWayCut(t *testing.T) {
 	network := startFleet(5, 6)
 	network.run(20 * period)
@@ -308,7 +313,8 @@
 	network.wantNoDeaths(t)
 }
 
-// TestStoppedFrontEvictsNobody: one that stood still for 3 s, or has no network of its own, judges nobody.
+// TestStalledFrontDeclaresNobodyDead checks that a front that was stopped for 3 s, or has lost its own
+// network, declares no other member dead.
 func TestStalledFrontDeclaresNobodyDead(t *testing.T) {
 	network := startFleet(6, 6)
 	network.run(20 * period)
@@ -320,7 +326,7 @@
 		network.run(3 * period)
 	}
 	if node.view.Health() == 0 {
-		t.Error("it does not doubt itself")
+		t.Error("local health is not raised after stalls")
 	}
 	network.cut = func(from, to string) bool { return from == "a1" || to == "a1" }
 	network.run(200 * period)
@@ -336,21 +342,23 @@
 	network.wantState(t, "a1", "alive")
 }
 
-// TestNameUsedTwice: the newer life holds and the older falls out, instead of refuting each other for ever.
+// TestNameConflict checks that of two processes with one name the newer one stays and the older one leaves
+// the protocol, instead of both refuting each other forever.
 func TestNameConflict(t *testing.T) {
 	network := startFleet(7, 4)
 	network.run(20 * period)
 	twin := network.start("a1", "a", "twin", 5)
 	network.run(20 * period)
 	if !network.nodes["a1"].view.Replaced() || twin.view.Replaced() {
-		t.Error("the older one goes on, or the newer one does not")
+		t.Error("the older process was not replaced, or the newer one was")
 	}
 	if !strings.Contains(strings.Join(network.logLines, "\n"), "another front goes by this name") {
-		t.Error("the log does not say so")
+		t.Error("the name conflict was not logged")
 	}
 }
 
-// TestUnknownMembers: 200 made-up members a second fill no table, push no living one out and are forgotten.
+// TestMadeUpMembers checks that 200 made-up members a second do not grow the table beyond its limit, do not
+// replace live members and are not held for alive in the end.
 func TestMadeUpMembers(t *testing.T) {
 	network := startFleet(8, 4)
 	for _, node := range network.order {
@@ -363,10 +371,10 @@
 		network.run(50)
 	}
 	if got := len(node.view.members); got > 100 {
-		t.Errorf("%d members are held", got)
+		t.Errorf("the table holds %d members, want at most 100", got)
 	}
 	if len(node.view.zones) > maxZones {
-		t.Errorf("%d zones are held", len(node.view.zones))
+		t.Errorf("the view holds %d zones", len(node.view.zones))
 	}
 	network.run(400 * period)
 	for k := range 4 {
@@ -379,38 +387,39 @@
 		}
 	}
 	if ghosts > 0 {
-		t.Errorf("%d made-up members are still held for alive, health %d", ghosts, node.view.Health())
+		t.Errorf("%d made-up members are not dead, health %d", ghosts, node.view.Health())
 	}
 }
 
-// TestNotesSpread: a note reaches all within a period, newer ones replace it, and an old one is dropped.
+// TestNotesSpread checks that a note reaches all fronts within a period, and that older versions and expired
+// notes are rejected.
 func TestNotesSpread(t *testing.T) {
 	network := startFleet(9, 30)
 	network.loss, network.delay = 50, 300
 	network.run(30 * period)
 	network.nodes["a3"].view.Publish(network.now, "pz", 3, []byte("body"), SpreadUrgently)
 	network.run(period)
-	lateBy := 0
+	missing := 0
 	for _, node := range network.order {
 		if node.noteVersions["pz"] != 3 && node.addr != "a3" {
-			lateBy++
+			missing++
 		}
 	}
-	if lateBy > 1 {
-		t.Errorf("%d of %d have not heard it after a period", lateBy, len(network.order))
+	if missing > 1 {
+		t.Errorf("%d of %d have not received the note after a period", missing, len(network.order))
 	}
 	network.nodes["b3"].view.Receive(network.now, &Message{Kind: Gossip, Sender: Fact{Name: []byte("a1"), Addr: []byte("a1"), Zone: []byte("a"), Incarnation: 1},
 		Notes: []Note{{Key: []byte("pz"), Version: 2}, {Key: []byte("old"), Version: 1, Age: 21 * period}}})
 	if node := network.nodes["b3"]; node.noteVersions["pz"] != 3 || node.noteVersions["old"] != 0 {
-		t.Error("an older version, or an old note, was taken")
+		t.Error("an older version or an expired note was accepted")
 	}
 	network.run(30 * period)
 	if node := network.nodes["c3"]; len(node.view.noteByKey) != 0 {
-		t.Errorf("%d notes are kept past their life", len(node.view.noteByKey))
+		t.Errorf("%d expired notes are kept", len(node.view.noteByKey))
 	}
 }
 
-// TestSameCallsSameActions: two runs of one seed lead to the same bytes.
+// TestDeterminism checks that two runs with one seed send the same number of bytes and messages.
 func TestDeterminism(t *testing.T) {
 	run := func() (int, int) {
 		network := startFleet(10, 10)
@@ -422,11 +431,11 @@
 	}
 	b1, s1 := run()
 	if b2, s2 := run(); b1 != b2 || s1 != s2 {
-		t.Errorf("%d bytes and %d messages, then %d and %d", b1, s1, b2, s2)
+		t.Errorf("the first run sent %d bytes and %d messages, the second %d and %d", b1, s1, b2, s2)
 	}
 }
 
-// TestTraffic: what a front sends while all is well does not grow with the fleet.
+// TestTraffic checks that the traffic of a front in steady operation does not grow with the fleet.
 func TestTraffic(t *testing.T) {
 	for _, each := range []int{33, 100} {
 		network := startFleet(11, each)
@@ -441,7 +450,8 @@
 	}
 }
 
-// TestHostileMessages: whatever is taken in, bounds hold and the front itself stays alive.
+// TestHostileMessages checks that arbitrary messages neither exceed the limits of a view nor change the state
+// of the front itself.
 func TestHostileMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := startFleet(12, 2)
@@ -463,15 +473,15 @@
 			network.run(period / 2)
 		}
 		if e := node.view.List()[0]; e.Name != "a1" || e.State != Alive {
-			t.Errorf("it holds itself for %+v", e)
+			t.Errorf("the front's own entry is %+v", e)
 		}
 		if len(node.view.members) > 16 || len(node.view.zones) > 16 {
-			t.Errorf("%d members, %d zones", len(node.view.members), len(node.view.zones))
+			t.Errorf("%d members and %d zones, want at most 16 of each", len(node.view.members), len(node.view.zones))
 		}
 	})
 }
 
-// BenchmarkTake: a ping with three facts in which nothing is new, in a fleet of 1,000.
+// BenchmarkReceive measures a ping with three facts that contain nothing new, in a fleet of 1,000 members.
 func BenchmarkReceive(b *testing.B) {
 	network := newTestNetwork(13)
 	node := network.start("a1", "a", "a1", 1)
--- a/fleet/membership/notes.go
+++ b/fleet/membership/notes.go
@@ -1,40 +1,40 @@
 package membership
 
-// Spread is whether a note that was received goes on to other fronts.
+// Spread says whether and with which priority a received note is forwarded to other fronts.
 type Spread uint8
 
 // The ways to spread a note.
 const (
 	DoNotSpread    Spread = iota
-	SpreadQuietly         // half as often as what is urgent, and as far as its budget reaches
-	SpreadSoon            // the same, from a budget of its own
-	SpreadUrgently        // before all else, whatever the budget
+	SpreadQuietly         // half as often as an urgent note, as far as the budget for quiet notes allows
+	SpreadSoon            // the same, from a separate budget
+	SpreadUrgently        // before everything else, from the urgent budget
 )
 
-// notesPerMember bounds the notes of a view, for each place of the table.
+// notesPerMember is the number of notes that a view may hold per member that the table may hold.
 const notesPerMember = 2
 
-// note is one place for a note.
+// note is one entry for a note.
 type note struct {
 	key       string
 	version   uint64
 	madeAt    Time
 	body      []byte
 	timesSent int
-	maxSends  int // 0: it is not spread
+	maxSends  int // 0 if the note is not spread
 	queued    bool
 	used      bool
 }
 
-// noteMessage returns a note as a message carries it.
+// noteMessage returns a note as it is put into a message.
 func (m *Members) noteMessage(n *note) Note {
 	return Note{Key: bytesOf(n.key), Version: n.version, Age: m.now - n.madeAt, Body: n.body}
 }
 
 func (m *Members) noteExpired(n *note) bool { return m.now-n.madeAt > m.config.NoteTTL }
 
-// Publish spreads a note of this front's own. Its version must be larger than any known of its key. Without a free place the
-// note is counted in Dropped.
+// Publish spreads a note of this front. Its version must be larger than any known for its key. If there is no
+// free entry, the note is counted in Dropped instead.
 func (m *Members) Publish(now Time, key string, version uint64, body []byte, spread Spread) {
 	m.now = now
 	index, known := m.noteByKey[key]
@@ -52,7 +52,7 @@
 	m.spreadNote(index, spread)
 }
 
-// StopSpreading ends the sending of a note. Full exchanges carry it all the same.
+// StopSpreading stops sending a note, except that full syncs still carry it.
 func (m *Members) StopSpreading(key string) {
 	index, known := m.noteByKey[key]
 	if !known {
@@ -62,7 +62,7 @@
 	m.notes[index].maxSends = 0
 }
 
-// allocateNote returns the index of a place for a note of a new key, or -1 if there is none.
+// allocateNote returns the index of an entry for a note with a new key, or -1 if there is none.
 func (m *Members) allocateNote(key string) int32 {
 	if len(m.freeNotes) == 0 {
 		if len(m.notes) >= notesPerMember*m.config.MaxMembers {
@@ -79,7 +79,7 @@
 	return index
 }
 
-// applyNote takes in a received note, if it is newer than what is known of its key.
+// applyNote stores a received note if it is newer than the one known under its key.
 func (m *Members) applyNote(in *Note) {
 	if !in.valid() || in.Age > m.config.NoteTTL {
 		m.Dropped++
@@ -104,11 +104,13 @@
 	if spread := m.host.NoteReceived(in.Key, received, in.Age); spread != DoNotSpread {
 		m.spreadNote(index, spread)
 	} else {
-		m.StopSpreading(m.notes[index].key) // not through n: the host may have published, which moves the places
+		// Not through n: the host may have published notes, which can reallocate m.notes.
+		m.StopSpreading(m.notes[index].key)
 	}
 }
 
-// replayNotes gives the host all notes once more, as after a stall the host acts on none from before.
+// replayNotes passes all notes to the host again. After a stall the host has discarded the decisions based on
+// them.
 func (m *Members) replayNotes() {
 	for index := 0; index < len(m.notes); index++ { // the host may publish, which adds notes
 		n := &m.notes[index]
@@ -120,7 +122,7 @@
 	}
 }
 
-// expireNotes frees the places of notes that are too old.
+// expireNotes frees the entries of expired notes.
 func (m *Members) expireNotes() {
 	for index := range m.notes {
 		n := &m.notes[index]
--- a/fleet/membership/probe.go
+++ b/fleet/membership/probe.go
@@ -1,35 +1,35 @@
 package membership
 
-// Figures of the probe.
+// Constants for probes.
 const (
-	probeHelpers = 3 // members asked to ping a target in this front's place
-	maxHealth    = 8 // bound of the local health multiplier: a period then takes nine times as long
+	probeHelpers = 3 // members asked to ping a target on this front's behalf
+	maxHealth    = 8 // limit of the local health multiplier, at which a period takes nine times as long
 )
 
-// Parts of a probe's period, which local health lengthens: after the first the helpers are asked, after the
+// Fractions of the period, as lengthened by local health: after the first one helpers are asked, after the
 // second the probe has failed.
 const (
 	indirectNumerator, indirectDenominator = 2, 5
 	failureNumerator, failureDenominator   = 9, 10
 )
 
-// probe is the ping of this period. There is one at a time.
+// probe is the probe of the current period. There is only one at a time.
 type probe struct {
-	target       int32 // noMember: there is none
+	target       int32 // noMember if no probe is in progress
 	sequence     uint64
 	sentAt       Time
 	indirect     bool // helpers have been asked
-	missingNacks int  // of helpers that have not said yet that they are well
+	missingNacks int  // helpers asked that have not sent a Nack
 }
 
-// periodNow returns the protocol period as local health lengthens it.
+// periodNow returns the protocol period as lengthened by local health.
 func (m *Members) periodNow() Time { return m.config.Period * Time(1+m.health) }
 
-// raiseHealth makes the local health multiplier worse.
+// raiseHealth raises the local health multiplier, which means worse health.
 func (m *Members) raiseHealth(by int) { m.health = min(m.health+by, maxHealth) }
 
-// startProbe pings the next member of the next zone: within as many periods as there are zones each zone is
-// probed.
+// startProbe pings the next member of the next zone. Each zone is probed once in as many periods as there are
+// zones.
 func (m *Members) startProbe() {
 	if m.probe.target >= 0 {
 		return
@@ -57,15 +57,15 @@
 			m.shuffle(z.ring)
 		}
 		index := z.ring[z.cursor]
-		e := &m.members[index]
-		if e.verified && e.state <= Suspect {
+		entry := &m.members[index]
+		if entry.verified && entry.state <= Suspect {
 			return index
 		}
 	}
 	return noMember
 }
 
-// shuffle puts a ring into a random order (Fisher and Yates): SWIM probes in another order in each round.
+// shuffle puts a ring into a random order (Fisher–Yates), since SWIM probes in a new order in each round.
 func (m *Members) shuffle(ring []int32) {
 	for last := len(ring) - 1; last > 0; last-- {
 		other := m.random.Below(int64(last + 1))
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkProbe asks helpers once the target is late, and ends the probe once it has failed.
+// checkProbe asks helpers if the target is late, and ends the probe once it has failed.
 func (m *Members) checkProbe() {
 	if m.probe.target < 0 {
 		return
@@ -88,37 +88,37 @@
 	}
 }
 
-// failProbe suspects the target of a probe that nobody has answered. If helpers did not even send a Nack the
-// fault may be this front's, so its local health gets worse.
+// failProbe suspects the target of a probe that has not been answered. If helpers did not even send a Nack,
+// the problem may be at this front, so its local health gets worse.
 func (m *Members) failProbe() {
 	target := m.probe.target
-	e := &m.members[target]
-	if e.verified && (m.probe.missingNacks > 0 || m.Isolated()) {
+	entry := &m.members[target]
+	if entry.verified && (m.probe.missingNacks > 0 || m.Isolated()) {
 		m.raiseHealth(1)
 	}
-	if e.state == Alive {
+	if entry.state == Alive {
 		m.suspect(target)
 	}
 	m.probe.target = noMember
 }
 
-// askHelpers asks members of different zones to ping a target, and returns how many were asked.
+// askHelpers asks members of different zones to ping a target, and returns how many it has asked.
 func (m *Members) askHelpers(target int32, sequence uint64) (asked int) {
-	e := &m.members[target]
+	entry := &m.members[target]
 	for k := range probeHelpers {
 		helper := m.pickMember((m.nextZone+k)%len(m.zones), target)
 		if helper == noMember {
 			continue
 		}
 		asked++
-		m.message.Target = bytesOf(e.name)
-		m.message.TargetAddr = bytesOf(e.addr)
+		m.message.Target = bytesOf(entry.name)
+		m.message.TargetAddr = bytesOf(entry.addr)
 		m.sendTo(helper, PingRequest, sequence)
 	}
 	return asked
 }
 
-// receiveAck takes in an Ack: of a first ping, of the probe, or of a ping on another front's behalf.
+// receiveAck handles an Ack for a first ping, for the probe, or for a ping on another front's behalf.
 func (m *Members) receiveAck(from int32, sequence uint64) {
 	m.finishFirstPing(sequence)
 	if m.probe.target == from && m.probe.sequence == sequence {
@@ -131,11 +131,11 @@
 	}
 	m.finishRelay(sequence)
 	if m.probe.target >= 0 && m.probe.indirect && m.probe.sequence == sequence {
-		m.probe.target = noMember // a helper has sent it: the target has answered the helper
+		m.probe.target = noMember // sent by a helper, which the target has answered
 	}
 }
 
-// receiveNack takes in that a helper is well.
+// receiveNack handles a Nack, which shows that a helper is healthy.
 func (m *Members) receiveNack(sequence uint64) {
 	if m.probe.target >= 0 && sequence == m.probe.sequence && m.probe.missingNacks > 0 {
 		m.probe.missingNacks--
--- a/fleet/membership/queue.go
+++ b/fleet/membership/queue.go
@@ -1,15 +1,16 @@
 package membership
 
-// minQueueLength is the queue's first capacity.
+// minQueueLength is the initial capacity of a queue.
 const minQueueLength = 64
 
-// subject is what a queued broadcast is about: a member by its index from 0 on, or a note from -1 down.
+// subject identifies what a queued broadcast is about: a member by its index, from 0 up, or a note, from -1
+// down.
 type subject = int32
 
-// subjectOfNote returns the subject of a note's index. It is its own inverse.
+// subjectOfNote converts a note's index to a subject, and back: it is its own inverse.
 func subjectOfNote(index int32) subject { return -1 - index }
 
-// broadcastQueue holds what is still to be sent to others, each subject once: a double-ended ring buffer.
+// broadcastQueue holds the subjects that remain to be sent, each once, in a double-ended ring buffer.
 type broadcastQueue struct {
 	ring   []subject
 	first  int
@@ -41,7 +42,7 @@
 	q.length++
 }
 
-// pop removes the first subject. The queue must not be empty.
+// pop removes and returns the first subject. The queue must not be empty.
 func (q *broadcastQueue) pop() subject {
 	s := q.ring[q.first]
 	q.first = (q.first + 1) % len(q.ring)
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -1,8 +1,8 @@
 package membership
 
-// Receive takes in a received message. It returns whether the sender expects a full exchange in answer:
-// Open(Answer) gives that message. Messages that are malformed, out of bounds, meant for another member or of
-// an earlier life of their sender are counted in Dropped.
+// Receive handles a received message. It returns whether the sender expects a SyncResponse, which
+// SyncMessage(SyncResponse) returns. Messages that are malformed, exceed a limit, are meant for another
+// member or come from an earlier incarnation of their sender are counted in Dropped.
 func (m *Members) Receive(now Time, in *Message) (respond bool) {
 	m.now = now
 	if m.replaced || !m.acceptable(in) {
@@ -30,8 +30,8 @@
 	return m.dispatch(from, in)
 }
 
-// acceptable reports whether a message keeps to the bounds and is meant for this front; one that names
-// another member was meant for a front that had this address before.
+// acceptable reports whether a message is within the limits and meant for this front. A message that names
+// another member was meant for a front that used this address before.
 func (m *Members) acceptable(in *Message) bool {
 	if !in.Sender.valid() || len(in.Facts) > MaxFacts || len(in.Notes) > MaxNotes {
 		return false
@@ -39,8 +39,8 @@
 	return len(in.To) == 0 || string(in.To) == m.config.Name
 }
 
-// correctStaleSender answers a message of an earlier life of a member, or of a life whose clock was set back.
-// If it was a ping the sender is told what is held of it.
+// correctStaleSender handles a message of an earlier incarnation of a member, or of a restarted member whose
+// clock was set back. If it is a ping, the sender is told the fact that this front holds about it.
 func (m *Members) correctStaleSender(from int32, in *Message) {
 	m.Dropped++
 	if in.Kind != Ping {
@@ -51,22 +51,21 @@
 	m.host.Send(string(in.Sender.Addr), &m.message)
 }
 
-// recordDirectMessage records that a member has sent a message itself. If it is suspected and does not know so,
-// the suspicion is queued again: the member reads it in the answer, and refutes it for all.
+// recordDirectMessage records that a member has sent a message itself. If the member is suspected and does
+// not know it, the suspicion is queued again: the member finds it in the answer and refutes it for all.
 func (m *Members) recordDirectMessage(from int32, sender *Fact) {
-	e := &m.members[from]
-	e.lastDirectAt = m.now
+	entry := &m.members[from]
+	entry.lastDirectAt = m.now
 	m.lastHeardAt = m.now
-	m.zones[m.zoneIndex(e.zone)].lastHeardAt = m.now
-	if sender.State == Alive && e.state == Suspect && sender.Incarnation == e.incarnation {
+	m.zones[m.zoneIndex(entry.zone)].lastHeardAt = m.now
+	if sender.State == Alive && entry.state == Suspect && sender.Incarnation == entry.incarnation {
 		m.spreadMember(from)
 	}
 }
 
-// applyContents takes in the facts and notes of a message.
-//
-// Danger: two halves of a cut fleet would declare each other's members dead when they meet. In a full
-// exchange a dead member counts as suspected by the sender, so that it may refute that.
+// applyContents applies the facts and notes of a message. In a full sync a member that the sender holds for
+// dead is only treated as suspected by the sender, so that it may refute that. Without this, the two halves
+// of a partitioned fleet would declare each other's members dead when they meet again.
 func (m *Members) applyContents(in *Message) {
 	m.learned = 0
 	for k := range in.Facts {
@@ -85,7 +84,7 @@
 	}
 }
 
-// dispatch acts on the kind of a message, and returns whether a full exchange is expected in answer.
+// dispatch handles a message according to its kind, and returns whether a SyncResponse is expected.
 func (m *Members) dispatch(from int32, in *Message) (respond bool) {
 	switch in.Kind {
 	case Ping:
--- a/fleet/membership/relay.go
+++ b/fleet/membership/relay.go
@@ -1,25 +1,23 @@
 package membership
 
-// maxRelays bounds the pings on behalf of others whose answer is awaited.
+// maxRelays is the maximum number of unanswered pings on behalf of others.
 const maxRelays = 16
 
-// nackDivisor gives the part of a period after which a helper sends a Nack.
+// nackDivisor is the divisor of the protocol period that gives the time after which a helper sends a Nack.
 const nackDivisor = 4
 
 // relay is a ping on behalf of another front.
 type relay struct {
-	sequence          uint64 // of this front's ping
-	requesterSequence uint64 // that the requester awaits
-	requesterAddr     string // empty: the place is free
+	sequence          uint64 // sequence number of this front's ping
+	requesterSequence uint64 // sequence number that the requester waits for
+	requesterAddr     string // empty if the entry is free
 	requesterName     string
 	sentAt            Time
 	nackSent          bool
 }
 
-// startRelay pings the target of a PingRequest.
-//
-// Danger: a front that pings whatever address it is told can be used to flood others. It pings members that
-// it holds itself, at the address that it holds.
+// startRelay pings the target of a PingRequest. It pings only members of its table, at the address in the
+// table: a front that pings any address that it is given could be used to flood others.
 func (m *Members) startRelay(from int32, request *Message) {
 	addrLength := len(request.TargetAddr)
 	if addrLength == 0 || addrLength > MaxAddrBytes || len(request.Target) > MaxNameBytes {
@@ -42,7 +40,7 @@
 	m.sendTo(target, Ping, m.sequence)
 }
 
-// finishRelay passes an Ack on to the front that asked for the ping.
+// finishRelay forwards an Ack to the front that requested the ping.
 func (m *Members) finishRelay(sequence uint64) {
 	r := &m.relays[sequence%maxRelays]
 	if r.sequence != sequence || r.requesterAddr == "" {
@@ -52,7 +50,7 @@
 	*r = relay{}
 }
 
-// sendNacks tells requesters whose target has not answered in time that this front is well.
+// sendNacks tells requesters whose target has not answered in time that this front itself is healthy.
 func (m *Members) sendNacks() {
 	for k := range m.relays {
 		r := &m.relays[k]
--- a/fleet/membership/self.go
+++ b/fleet/membership/self.go
@@ -1,20 +1,21 @@
 package membership
 
-// claimPeriods is how long a process that is said to use this front's name has to answer, in periods.
+// claimPeriods is the number of periods within which a process that reportedly uses this front's name has to
+// answer.
 const claimPeriods = 2
 
-// claimant is another process that is said to use this front's name under a higher incarnation.
+// claimant is another process that reportedly uses this front's name with a higher incarnation.
 type claimant struct {
-	addr        string // empty: there is none
+	addr        string // empty if there is none
 	since       Time
 	incarnation uint64
 }
 
-// applyFactOfSelf takes in what others say of this front: it refutes suspicions and deaths, and asks after
-// another process of its name.
+// applyFactOfSelf handles a fact that others hold about this front. It refutes suspicions and deaths, and
+// pings another process that may use its name.
 func (m *Members) applyFactOfSelf(fact *Fact) {
-	e := &m.members[selfIndex]
-	if fact.Incarnation < e.incarnation || m.leaving {
+	entry := &m.members[selfIndex]
+	if fact.Incarnation < entry.incarnation || m.leaving {
 		return
 	}
 	if fact.State != Alive {
@@ -22,27 +23,27 @@
 		m.raiseHealth(1)
 		return
 	}
-	if fact.Incarnation == e.incarnation {
+	if fact.Incarnation == entry.incarnation {
 		return
 	}
-	if string(fact.Addr) == e.addr {
-		m.refute(fact.Incarnation) // it is of an earlier life of this front, from before its clock was set back
+	if string(fact.Addr) == entry.addr {
+		m.refute(fact.Incarnation) // from an earlier run of this front, before its clock was set back
 		return
 	}
 	if m.claimant.addr == "" {
 		m.claimant = claimant{addr: string(fact.Addr), since: m.now, incarnation: fact.Incarnation}
-		// If that process lives it answers; else it was an earlier life of this front.
-		m.send(m.claimant.addr, Ping, 0, noMember, e.name)
+		// If that process is running, it answers; otherwise it was an earlier run of this front.
+		m.send(m.claimant.addr, Ping, 0, noMember, entry.name)
 	}
 }
 
-// refute makes this front alive under a higher incarnation than the given one, and spreads that.
+// refute raises this front's incarnation above the given one and spreads the new fact.
 func (m *Members) refute(incarnation uint64) {
 	m.members[selfIndex].incarnation = incarnation + 1
 	m.spreadMember(selfIndex)
 }
 
-// dismissClaimant takes the name back from a claimant that has not answered.
+// dismissClaimant gives up a claimant that has not answered and takes an incarnation above the claimant's.
 func (m *Members) dismissClaimant() {
 	if m.claimant.addr == "" || m.now-m.claimant.since <= claimPeriods*m.config.Period {
 		return
@@ -52,19 +53,18 @@
 	m.refute(highest)
 }
 
-// resolveNameConflict takes in a message from another process that uses this front's name. The newer life
-// keeps the name, and the older one takes no further part.
-//
-// Danger: otherwise the two would refute each other for ever.
+// resolveNameConflict handles a message from another process that uses this front's name. The newer process
+// keeps the name, and the older one leaves the protocol. Without this, the two would refute each other
+// forever.
 func (m *Members) resolveNameConflict(sender *Fact) {
-	e := &m.members[selfIndex]
+	entry := &m.members[selfIndex]
 	addr := string(sender.Addr)
-	if addr == e.addr {
-		return // of this front's own, or of its previous life
+	if addr == entry.addr {
+		return // sent by this front, or by its previous run
 	}
 	m.claimant = claimant{}
-	if sender.Incarnation < e.incarnation || sender.Incarnation == e.incarnation && addr < e.addr {
-		m.send(addr, Ack, 0, noMember, e.name)
+	if sender.Incarnation < entry.incarnation || sender.Incarnation == entry.incarnation && addr < entry.addr {
+		m.send(addr, Ack, 0, noMember, entry.name)
 		return
 	}
 	m.replaced = true
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -1,27 +1,27 @@
 package membership
 
-// Figures of Lifeguard's dynamic suspicion timeout.
+// Constants for Lifeguard's dynamic suspicion timeout.
 const (
-	minSuspicionPeriods = 4 // shortest timeout in periods, for each decimal digit of the fleet's size
-	maxSuspicionFactor  = 4 // times the shortest that it is without confirmations
-	maxConfirmations    = 3 // confirmations after which the timeout is the shortest
+	minSuspicionPeriods = 4 // shortest timeout in periods, per decimal digit of the fleet's size
+	maxSuspicionFactor  = 4 // timeout without confirmations, as a multiple of the shortest one
+	maxConfirmations    = 3 // confirmations from which the timeout is the shortest
 )
 
-// Lives of dead members in the table, in periods.
+// Times in periods after which dead members are removed from the table.
 const (
 	deadRetentionPeriods       = 1200
-	unverifiedRetentionPeriods = 8 // of a member that has never sent a message itself
+	unverifiedRetentionPeriods = 8 // for a member that has never sent a message itself
 )
 
-// suspicionTimeout returns how long a suspicion lasts that has so many confirmations. Local health lengthens
-// it.
+// suspicionTimeout returns how long a suspicion with the given number of confirmations lasts. Local health
+// lengthens it.
 func (m *Members) suspicionTimeout(confirmations int) Time {
 	shortest := minSuspicionPeriods * Time(m.fleetDigits()) * m.config.Period * Time(1+m.health)
 	confirmed := min(confirmations, maxConfirmations)
 	return shortest * Time(maxSuspicionFactor-(maxSuspicionFactor-1)*confirmed/maxConfirmations)
 }
 
-// suspect has this front suspect a member that does not answer it.
+// suspect makes this front suspect a member that does not answer.
 func (m *Members) suspect(index int32) {
 	fact := m.factOf(index)
 	fact.By = bytesOf(m.config.Name)
@@ -29,42 +29,41 @@
 	m.applyFact(&fact)
 }
 
-// confirmSuspicion counts a further member that suspects a suspect, and shortens the timeout.
+// confirmSuspicion counts another member that suspects a suspected member, and shortens the timeout.
 func (m *Members) confirmSuspicion(index int32, by []byte) {
-	e := &m.members[index]
-	if e.confirmations >= maxConfirmations || string(by) == e.suspectedBy {
+	entry := &m.members[index]
+	if entry.confirmations >= maxConfirmations || string(by) == entry.suspectedBy {
 		return
 	}
-	e.confirmations++
-	e.suspectedBy = string(by)
-	e.suspectUntil = min(e.suspectUntil, e.stateSince+m.suspicionTimeout(e.confirmations))
+	entry.confirmations++
+	entry.suspectedBy = string(by)
+	entry.suspectUntil = min(entry.suspectUntil, entry.stateSince+m.suspicionTimeout(entry.confirmations))
 	m.spreadMember(index)
 }
 
-// expireMembers declares suspects dead whose suspicion has timed out, and forgets those that have been dead
-// for long.
+// expireMembers declares suspects dead whose suspicion has timed out, and removes members that have been dead
+// long enough.
 func (m *Members) expireMembers() {
 	for k := 1; k < len(m.members); k++ {
 		index := int32(k)
-		e := &m.members[index]
+		entry := &m.members[index]
 		switch {
-		case !e.used:
-		case e.state == Suspect && m.now >= e.suspectUntil:
+		case !entry.used:
+		case entry.state == Suspect && m.now >= entry.suspectUntil:
 			m.expireSuspicion(index)
-		case e.state >= Dead && m.now-e.stateSince > m.deadRetention(e):
+		case entry.state >= Dead && m.now-entry.stateSince > m.deadRetention(entry):
 			m.removeMember(index)
 		}
 	}
 }
 
-// expireSuspicion declares a suspect dead.
-//
-// Danger: a front without its own network would declare all others dead, and spread that once it is back.
-// While no other member is heard the suspicion is extended.
+// expireSuspicion declares a suspect dead. While no other member is heard the suspicion is extended instead:
+// otherwise a front that has lost its own network would declare all others dead, and spread that once its
+// network is back.
 func (m *Members) expireSuspicion(index int32) {
-	e := &m.members[index]
+	entry := &m.members[index]
 	if m.Isolated() {
-		e.suspectUntil = m.now + m.config.Period
+		entry.suspectUntil = m.now + m.config.Period
 		return
 	}
 	fact := m.factOf(index)
@@ -74,8 +73,8 @@
 }
 
 // deadRetention returns how long a dead member stays in the table.
-func (m *Members) deadRetention(e *member) Time {
-	if e.lastDirectAt == 0 {
+func (m *Members) deadRetention(entry *member) Time {
+	if entry.lastDirectAt == 0 {
 		return unverifiedRetentionPeriods * m.config.Period
 	}
 	return deadRetentionPeriods * m.config.Period
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -1,18 +1,19 @@
 package membership
 
-// Mean times between full exchanges, in periods.
+// Mean times between full syncs, in periods.
 const (
 	syncPeriods    = 60 // with any member
-	rejoinPeriods  = 8  // with a member that is dead, or with a seed
-	joinPeriods    = 1  // with the seeds in turn, until one has answered
-	catchUpPeriods = 4  // with any member, after an answer that told much
+	rejoinPeriods  = 8  // with a dead member or a seed
+	joinPeriods    = 1  // with one seed after the other, until one has answered
+	catchUpPeriods = 4  // with any member, after a response with much that was new
 )
 
-// minLearned is of how many members an answer has to tell something new to count as much.
+// minLearned is the number of members about which a response must contain something new to trigger another
+// sync soon.
 const minLearned = 8
 
-// SyncMessage returns the message that begins a full exchange (Whole) or answers the one that was taken in last (Answer). It is
-// valid until the next call.
+// SyncMessage returns the message that begins a full sync (SyncRequest), or the one that answers the
+// SyncRequest received last (SyncResponse). It is valid until the next call.
 func (m *Members) SyncMessage(kind Kind) *Message {
 	m.messageFacts = m.messageFacts[:0]
 	m.messageNotes = m.messageNotes[:0]
@@ -32,7 +33,8 @@
 	return &m.message
 }
 
-// fillEverything fills the scratch message with all that this front holds: the asker's program sends no digest.
+// fillEverything fills the reused message with all that this front holds, for a requester whose version sends
+// no digest.
 func (m *Members) fillEverything() {
 	for index := 1; index < len(m.members); index++ {
 		if m.members[index].used {
@@ -47,7 +49,7 @@
 	}
 }
 
-// startExchanges asks for the full exchanges that are due.
+// startExchanges starts the full syncs that are due.
 func (m *Members) startExchanges() {
 	if m.now >= m.nextRejoinAt {
 		m.nextRejoinAt = m.now + m.jitter(rejoinPeriods)
@@ -62,10 +64,9 @@
 	}
 }
 
-// rejoin contacts one seed after the other until one has answered, and after that one address at a time that may belong to
-// another half of a cut fleet.
-//
-// Danger: where a whole fleet starts, each seed is asked by all at once.
+// rejoin contacts one seed after the other until one has answered. After that it contacts one address at a
+// time that may belong to another half of a partitioned fleet. Only one seed is contacted at a time because
+// when a whole fleet starts, every front contacts the seeds at once.
 func (m *Members) rejoin() {
 	if m.joined {
 		addr := m.unreachedAddr()
@@ -85,15 +86,16 @@
 	}
 }
 
-// catchUp has the next exchange follow soon where the last answer told of many members: there is more to be told then.
+// catchUp schedules the next sync soon if the last response was about many members, since there is probably
+// more to learn then.
 func (m *Members) catchUp() {
 	if m.learned >= minLearned {
 		m.nextSyncAt = min(m.nextSyncAt, m.now+m.jitter(catchUpPeriods))
 	}
 }
 
-// unreachedAddr returns the address of a member that is dead, or of a seed that no living member has, from a
-// random position on; or "".
+// unreachedAddr returns the address of a dead member, or of a seed that is not the address of any living
+// member, starting at a random position. It returns "" if there is none.
 func (m *Members) unreachedAddr() string {
 	count := len(m.members) + len(m.config.Seeds)
 	start := int(m.random.Below(int64(count)))
@@ -106,22 +108,22 @@
 			}
 			continue
 		}
-		e := &m.members[position]
-		if e.used && e.state == Dead && e.lastDirectAt > 0 {
-			return e.addr
+		entry := &m.members[position]
+		if entry.used && entry.state == Dead && entry.lastDirectAt > 0 {
+			return entry.addr
 		}
 	}
 	return ""
 }
 
-// holdsAddr reports whether an address is this front's or that of a member that is not known to be dead.
+// holdsAddr reports whether an address is this front's own or that of a member that is not known to be dead.
 func (m *Members) holdsAddr(addr string) bool {
 	if addr == m.config.Addr {
 		return true
 	}
 	for index := range m.members {
-		e := &m.members[index]
-		if e.addr == addr && e.state <= Suspect {
+		entry := &m.members[index]
+		if entry.addr == addr && entry.state <= Suspect {
 			return true
 		}
 	}
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// maxZones bounds the zones of a view.
+// maxZones limits the number of zones in a view.
 const maxZones = 64
 
-// member is one place of the table.
+// member is one entry of the table.
 type member struct {
 	name, zone, addr string
 	incarnation      uint64
 	state            State
 	stateSince       Time
 	suspectUntil     Time   // when its suspicion times out
-	suspectedBy      string // the last member counted for its suspicion
-	confirmations    int    // further members that suspect it, up to maxConfirmations
-	lastDirectAt     Time   // last message of its own; 0: none
-	verified         bool   // it has answered a ping, so it is where it says
-	firstPings       int    // sent to it while it is not verified
-	firstPingAt      Time   // of the last one
+	suspectedBy      string // the last member counted as suspecting it
+	confirmations    int    // other members that suspect it, up to maxConfirmations
+	lastDirectAt     Time   // time of the last message that it sent itself, or 0
+	verified         bool   // has answered a ping, so its address is correct
+	firstPings       int    // pings sent to it while it was not verified
+	firstPingAt      Time   // time of the last of them
 	timesSent        int    // times that its newest fact has been sent
 	queued           bool
-	contested        bool // it is in Members.contested
+	contested        bool // is listed in Members.contested
 	used             bool
 }
 
-// zone is the ring of the members of one zone, in the order in which they are probed.
+// zone holds the members of one zone in the order in which they are probed.
 type zone struct {
 	name        string
 	ring        []int32
 	cursor      int  // position in the ring that was probed last
-	lastHeardAt Time // last message of one of its members; 0: never
+	lastHeardAt Time // time of the last message of one of its members, or 0
 }
 
-// zoneIndex returns a zone's index and adds the zone if need be. Past maxZones it reuses a zone without
-// members; if there is none, the last zone is shared.
+// zoneIndex returns a zone's index, or adds the zone if it is unknown. If there are maxZones zones it reuses
+// the entry of a zone without members. If there is none, the zone shares the last entry.
 func (m *Members) zoneIndex(name string) int {
 	if index, known := m.zoneByName[name]; known {
 		return index
@@ -55,7 +55,8 @@
 	return maxZones - 1
 }
 
-// addToRing puts a member into its zone's ring at a random position: fronts must not all probe in one order.
+// addToRing inserts a member into its zone's ring at a random position, so that fronts do not all probe in
+// the same order.
 func (m *Members) addToRing(zoneName string, index int32) {
 	z := &m.zones[m.zoneIndex(zoneName)]
 	z.ring = append(z.ring, index)
@@ -69,21 +70,21 @@
 	z.ring = slices.DeleteFunc(z.ring, func(other int32) bool { return other == index })
 }
 
-// moveMember takes over a member's new zone and address.
+// moveMember updates a member's zone and address.
 func (m *Members) moveMember(index int32, fact *Fact) {
-	e := &m.members[index]
-	if e.zone != string(fact.Zone) {
-		m.removeFromRing(e.zone, index)
-		e.zone = string(fact.Zone)
-		m.addToRing(e.zone, index)
+	entry := &m.members[index]
+	if entry.zone != string(fact.Zone) {
+		m.removeFromRing(entry.zone, index)
+		entry.zone = string(fact.Zone)
+		m.addToRing(entry.zone, index)
 	}
-	e.addr = string(fact.Addr)
-	e.verified = false
-	e.firstPings = 0
+	entry.addr = string(fact.Addr)
+	entry.verified = false
+	entry.firstPings = 0
 }
 
-// allocateMember returns the index of a place for a new member: a free one, else that of the member that has
-// been dead longest, else noMember.
+// allocateMember returns the index of an entry for a new member: a free one, or else that of the member that
+// has been dead for the longest time. It returns noMember if there is neither.
 func (m *Members) allocateMember() int32 {
 	if len(m.freeMembers) == 0 && len(m.members) < m.config.MaxMembers {
 		m.members = append(m.members, member{})
@@ -101,23 +102,23 @@
 	return index
 }
 
-// longestDead returns the index of the member that has been dead or gone longest, or noMember.
+// longestDead returns the index of the member that has been dead or gone for the longest time, or noMember.
 func (m *Members) longestDead() int32 {
 	oldest := noMember
 	for index := 1; index < len(m.members); index++ {
-		e := &m.members[index]
-		if e.state >= Dead && (oldest == noMember || e.stateSince < m.members[oldest].stateSince) {
+		entry := &m.members[index]
+		if entry.state >= Dead && (oldest == noMember || entry.stateSince < m.members[oldest].stateSince) {
 			oldest = int32(index)
 		}
 	}
 	return oldest
 }
 
-// removeMember frees a member's place, and is the only function that does.
+// removeMember frees a member's entry. No other function frees entries.
 func (m *Members) removeMember(index int32) {
-	e := &m.members[index]
-	m.removeFromRing(e.zone, index)
-	delete(m.byName, e.name)
+	entry := &m.members[index]
+	m.removeFromRing(entry.zone, index)
+	delete(m.byName, entry.name)
 	if m.probe.target == index {
 		m.probe.target = noMember
 	}
@@ -126,13 +127,13 @@
 			m.firstPings[k].target = selfIndex
 		}
 	}
-	*e = member{queued: e.queued}
+	*entry = member{queued: entry.queued}
 	m.freeMembers = append(m.freeMembers, index)
 }
 
-// pickMember returns a random member of a zone that is not known to be dead, other than `except`: a verified
-// one if there is any, and of the zones that follow where this one has none. It returns noMember if there is
-// none at all.
+// pickMember returns a random member, other than except, that is not known to be dead. It prefers verified
+// members to others, and members of the given zone to those of the zones that follow it. It returns noMember
+// if there is none.
 func (m *Members) pickMember(zoneIndex int, except int32) int32 {
 	if index := m.pickByVerified(zoneIndex, except, true); index >= 0 {
 		return index
@@ -149,8 +150,8 @@
 		start := int(m.random.Below(int64(len(ring))))
 		for k := range ring {
 			index := ring[(start+k)%len(ring)]
-			e := &m.members[index]
-			if index != except && e.state <= Suspect && e.verified == verified {
+			entry := &m.members[index]
+			if index != except && entry.state <= Suspect && entry.verified == verified {
 				return index
 			}
 		}
@@ -158,7 +159,7 @@
 	return noMember
 }
 
-// pickAnyZone returns a random member of a random zone, as pickMember does.
+// pickAnyZone returns a random member of a random zone, like pickMember.
 func (m *Members) pickAnyZone() int32 {
 	return m.pickMember(int(m.random.Below(int64(len(m.zones)))), selfIndex)
 }
--- a/fleet/membership/tick.go
+++ b/fleet/membership/tick.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// stallHealth is by how much a stall worsens local health.
+// stallHealthPenalty is the amount by which a stall raises the local health multiplier.
 const stallHealthPenalty = 2
 
-// leaveFanout is how many members a leaving front tells at once.
+// leaveFanout is the number of members that a leaving front notifies at once.
 const leaveFanout = 2 * gossipFanout
 
-// Tick does what is due. It must be called at the time that Next returns; a call before that does nothing.
+// Tick performs the periodic work. It must be called at the time that Next returns; a call before that does
+// nothing.
 func (m *Members) Tick(now Time) {
 	lateBy := now - m.nextTickAt
 	m.now = now
@@ -43,18 +44,17 @@
 	m.startExchanges()
 }
 
-// resumeAfterStall drops what would be judged by a time in which this process stood still.
-//
-// Danger: whoever did not answer meanwhile may have; it was this front that did not listen.
+// resumeAfterStall discards or extends all deadlines that ran while this process was stopped. Members that
+// seem not to have answered meanwhile may have done so; it was this front that did not receive anything.
 func (m *Members) resumeAfterStall(lateBy Time) {
 	m.probe.target = noMember
 	m.raiseHealth(stallHealthPenalty)
 	m.lastHeardAt = max(m.lastHeardAt, m.now-m.config.Period)
 	m.nextProbeAt = m.now
 	for index := range m.members {
-		e := &m.members[index]
-		if e.state == Suspect {
-			e.suspectUntil += lateBy
+		entry := &m.members[index]
+		if entry.state == Suspect {
+			entry.suspectUntil += lateBy
 		}
 	}
 	m.nextRejoinAt = m.now
@@ -63,7 +63,8 @@
 	m.host.Log(fmt.Sprintf("stood still for %d ms; nobody is judged by that", lateBy/timePerMillisecond))
 }
 
-// Leave announces this front's end to some members at once. Tick spreads it further until the front ends.
+// Leave announces to some members at once that this front is leaving. Tick keeps spreading the announcement
+// until the process ends.
 func (m *Members) Leave(now Time) {
 	m.now = now
 	if m.leaving || m.replaced {
--- a/fleet/membership/verify.go
+++ b/fleet/membership/verify.go
@@ -1,26 +1,25 @@
 package membership
 
-// Figures of verification.
+// Constants for verification.
 const (
-	maxVerifications = 4  // members looked at in one period
-	firstPingTries   = 4  // first pings to one member; helpers send the last
+	maxVerifications = 4  // members pinged in one period
+	firstPingTries   = 4  // first pings to one member; the last is sent through helpers
 	maxFirstPings    = 64 // first pings whose answer is awaited
 )
 
-// firstPing is a ping to a member that has not answered any yet.
+// firstPing is a ping to a member that has never answered one.
 type firstPing struct {
 	sequence uint64
-	target   int32 // selfIndex: none is awaited
+	target   int32 // selfIndex if no answer is awaited
 }
 
-// verifyMembers pings some of the members that have never answered, besides the ordinary probe, and suspects
-// those that have let all tries pass.
-//
-// Danger: hundreds of made-up members would take the probes of those that live, and look like a network that
-// is down.
+// verifyMembers pings some of the members that have never answered, in addition to the ordinary probe, and
+// suspects those that have not answered any of their first pings. Without this separation, hundreds of
+// made-up members would use up the probes that belong to live members, and look like a network failure.
 func (m *Members) verifyMembers() {
 	remaining := maxVerifications
-	// All fronts have the table in much the same order, and would leave the same members for last.
+	// All fronts have the table in much the same order; without a random start, all of them would verify the
+	// same members last.
 	m.verifyCursor = int32(m.random.Below(int64(len(m.members))))
 	for range m.members {
 		m.verifyCursor++
@@ -41,32 +40,33 @@
 	}
 }
 
-func (m *Members) needsVerification(e *member) bool {
-	return e.used && !e.verified && e.state <= Suspect && m.now-e.firstPingAt >= m.config.Period
+func (m *Members) needsVerification(entry *member) bool {
+	return entry.used && !entry.verified && entry.state <= Suspect && m.now-entry.firstPingAt >= m.config.Period
 }
 
-// verifyMember sends the next first ping, the last one through helpers; after that it suspects the member.
+// verifyMember sends the next first ping, the last one through helpers. After that it suspects the member.
 func (m *Members) verifyMember(index int32) {
-	e := &m.members[index]
-	e.firstPingAt = m.now
-	if e.firstPings >= firstPingTries {
-		e.firstPings = 0
-		if e.state == Alive && !m.Isolated() {
+	entry := &m.members[index]
+	entry.firstPingAt = m.now
+	if entry.firstPings >= firstPingTries {
+		entry.firstPings = 0
+		if entry.state == Alive && !m.Isolated() {
 			m.suspect(index)
 		}
 		return
 	}
-	e.firstPings++
+	entry.firstPings++
 	m.sequence++
 	m.firstPings[m.sequence%maxFirstPings] = firstPing{m.sequence, index}
-	if e.firstPings == firstPingTries {
+	if entry.firstPings == firstPingTries {
 		m.askHelpers(index, m.sequence)
 	} else {
 		m.sendTo(index, Ping, m.sequence)
 	}
 }
 
-// finishFirstPing marks a member verified that has answered a first ping, to this front or to a helper.
+// finishFirstPing marks a member as verified that has answered a first ping, either to this front or to a
+// helper.
 func (m *Members) finishFirstPing(sequence uint64) {
 	ping := &m.firstPings[sequence%maxFirstPings]
 	if ping.sequence != sequence || ping.target == selfIndex {
--- a/fleet/summary/summary.go
+++ b/fleet/summary/summary.go
@@ -1,67 +1,74 @@
-// Package summary has one front tell a summary of the fleet, once a span, for all of them. It does no I/O, reads no clock
-// and draws nothing by chance.
+// Package summary lets one front send a periodic summary of the fleet on behalf of all fronts. It does no
+// I/O, reads no clock and uses no randomness.
 //
-// Who tells it holds a lease (fleet/lease). A summary is begun only where the lease says that it will be over in time; it
-// goes with the lease's token, and whoever takes summaries refuses a token that is older than one that it has seen. That
-// second guard carries the proof, for a process can be stopped between its look at the clock and its act; the first one
-// keeps such refusals rare.
+// The front that sends it holds a lease (package fleet/lease). A summary is begun only if the lease
+// guarantees that it will be finished before the lease ends. It carries the lease's token, and the receiver
+// refuses a token that is older than one that it has seen. Correctness rests on this second check, since a
+// process can be stopped between checking the clock and acting. The first check keeps such refusals rare.
 package summary
 
-// Time is a moment or a span in whole tenths of a millisecond.
+// Time is a point in time or a duration in whole tenths of a millisecond.
 type Time = int64
 
-// Name of the lease.
+// LeaseName is the name of the lease.
 const LeaseName = "summary"
 
-// Host is what a front does for this package.
+// Host performs the actions of this package.
 type Host interface {
-	LeaseToken(name string, longest Time) (token uint64, ok bool) // whether an act of at most so long may begin now
-	SendSummary(token uint64, number uint64, within Time)         // the summary; Told follows
+	// LeaseToken reports whether an action that takes at most maxDuration may begin now under the named lease,
+	// and returns the lease's token.
+	LeaseToken(name string, maxDuration Time) (token uint64, ok bool)
+	// SendSummary sends a summary under the lease's token, within the timeout. Summary.SendFinished must be
+	// called with the result.
+	SendSummary(token uint64, sequence uint64, timeout Time)
+	// Log writes one line to the front's log.
 	Log(text string)
 }
 
-// Summary is one front's part.
+// Summary decides when this front sends summaries. It is not safe for concurrent use.
 type Summary struct {
 	host        Host
 	interval    Time
-	maxDuration Time // that telling may take
+	maxDuration Time // longest time that sending may take
 	nextAt      Time
 	sequence    uint64
-	sending     bool // one is being told
+	sending     bool // a summary is being sent
 }
 
-// New starts with nothing told. Telling takes longest at most.
+// New returns a Summary that has sent nothing. Sending takes at most maxDuration.
 func New(now, interval, maxDuration Time, host Host) *Summary {
 	return &Summary{host: host, interval: max(interval, 1), maxDuration: maxDuration, nextAt: now}
 }
 
-// LeaseAcquired is told when the lease is this front's: the one before may have told its last one long ago.
+// LeaseAcquired must be called when this front has acquired the lease. It makes a summary due at once, since
+// the previous holder may have sent its last one long ago.
 func (s *Summary) LeaseAcquired(now Time) { s.nextAt = now }
 
-// SendFinished takes in how it went.
+// SendFinished records the result of sending: whether the receiver refused the summary, or why sending
+// failed.
 func (s *Summary) SendFinished(now Time, refused bool, failure string) {
 	s.sending = false
 	switch {
 	case refused:
-		s.host.Log("the summary was refused: another front has a newer lease")
+		s.host.Log("summary refused: another front holds a newer lease")
 	case failure != "":
-		s.host.Log("the summary was not told: " + failure)
+		s.host.Log("sending the summary failed: " + failure)
 	}
 }
 
-// Sending tells whether one is being told.
+// Sending reports whether a summary is being sent.
 func (s *Summary) Sending() bool { return s.sending }
 
-// Next is when Beat must be called again.
+// Next returns when Tick must be called again.
 func (s *Summary) Next() Time { return s.nextAt }
 
-// Tick tells a summary if one is due and this front may.
+// Tick sends a summary if one is due and the lease permits it.
 func (s *Summary) Tick(now Time) {
 	if now < s.nextAt {
 		return
 	}
 	s.nextAt = now + s.interval
-	if s.sending { // Danger: of two that are under way the older may arrive last.
+	if s.sending { // If two were in progress, the older one could arrive last.
 		return
 	}
 	if token, ok := s.host.LeaseToken(LeaseName, s.maxDuration); ok {
--- a/fleet/zones/capacity.go
+++ b/fleet/zones/capacity.go
@@ -1,12 +1,14 @@
 package zones
 
-// maxUtilization is the part of their capacity that the remaining stores may be asked for.
+// maxUtilization is the highest utilization, as a fraction of capacity, that draining a zone may cause at the
+// remaining stores.
 const maxUtilization = 0.85
 
-// load returns the part of the stores' capacity that is in use, from 0 to 1, as far as answer times tell. The
-// best times are taken for those without load. Where requests of one length queue, the time spent is 1 +
-// load/(2(1-load)) of that (Pollaczek and Khinchine); requests of many lengths wait longer at the same load,
-// so this errs to the careful side.
+// load returns the fraction of the stores' capacity that is in use, from 0 to 1, estimated from latencies.
+// The best average latency is taken as the latency without load. In a queue whose requests all take equally
+// long to serve, the latency is 1 + load/(2(1-load)) times the one without load (the Pollaczek–Khinchine
+// formula). Requests of varying length wait longer at the same load, so the estimate is too high rather than
+// too low.
 func (z *Zones) load() float64 {
 	if z.bestLatencyRatio <= 0 {
 		return 0
@@ -15,7 +17,8 @@
 	return min(2*(slowdown-1)/(2*slowdown-1), 1)
 }
 
-// fleetLoad returns the mean of the loads that this front and the others see.
+// fleetLoad returns the mean of the load that this front estimates and the loads that other fronts have
+// published.
 func (z *Zones) fleetLoad() float64 {
 	sum, count := z.load(), 1.0
 	for k := range z.observers {
@@ -28,10 +31,11 @@
 	return sum / count
 }
 
-// drainable returns which part of all stores, by size, may be drained besides those that are, and which part
-// a zone is.
+// drainable returns the fraction of all stores, weighted by size, that may be drained in addition to those
+// that already are, and the fraction that the given zone makes up.
 //
-// Danger: with all zones drained there is nowhere to go. The last zone in full service is never drained.
+// The last zone that is fully in service is never drained: with all zones drained there would be nowhere to
+// send requests.
 func (z *Zones) drainable(zoneIndex int) (spareCapacity, zoneCapacity float64) {
 	all, drained, inService := 0.0, 0.0, 0
 	for k := range z.zones {
--- a/fleet/zones/digest_test.go
+++ b/fleet/zones/digest_test.go
@@ -11,19 +11,19 @@
 	"micatrack/internal/random"
 )
 
-// playDigest is the FNV-1a hash of every action of the play below: parts, notes with their bodies, log lines
-// and what people are shown. It was recorded before the package was split into files by job. A change that is
-// meant to change actions records it anew and says so. Shares are hashed with six digits.
+// playDigest is the FNV-1a hash of every action in the simulation below: shares, notes with their bodies, log
+// lines and the status for operators. It was recorded before the package was split into files by purpose. A
+// change that is meant to alter actions must record it again and say so. Shares are hashed with six digits.
 const playDigest = "cf3761ec947358b7"
 
 const (
 	digestPeriod = zones.Time(5000)
 	zoneCount    = 4
-	frontCount   = 4 // a zone
-	storeCount   = 6 // a zone
+	frontCount   = 4 // in each zone
+	storeCount   = 6 // in each zone
 )
 
-// front is one view in the play, and what others have published to it.
+// front is one view in the simulation.
 type front struct {
 	sim     *simulation
 	name    string
@@ -32,7 +32,7 @@
 	stopped bool
 }
 
-// delivery is a note on its way.
+// delivery is a note in transit.
 type delivery struct {
 	at, publishedAt zones.Time
 	to              *front
@@ -47,9 +47,9 @@
 	fronts       []*front
 	deliveries   []delivery
 	actions      hash.Hash64
-	cut          func(from, to int) bool // by zone, for notes and for requests
-	failingShare [zoneCount]float64      // part of a zone's stores that fail
-	slowdown     float64                 // answer times over the expected
+	cut          func(from, to int) bool // reports whether notes and requests between two zones are lost
+	failingShare [zoneCount]float64      // fraction of a zone's stores that fail
+	slowdown     float64                 // ratio of actual to expected latency
 }
 
 func (f *front) traceAction(format string, values ...any) {
@@ -61,7 +61,7 @@
 func (f *front) StopSpreading(key string)            { f.traceAction("hush %s", key) }
 func (f *front) Log(text string)                     { f.traceAction("log %s", text) }
 
-// Publish sends the note to every other front that the sender's zone reaches, one in ten is lost.
+// Publish sends the note to every other front that the sender's zone reaches. One note in ten is lost.
 func (f *front) Publish(key string, version uint64, body []byte, spread zones.Spread) {
 	f.traceAction("publish %q %d %x %v", key, version, body, spread == zones.SpreadUrgently)
 	for _, to := range f.sim.fronts {
@@ -96,7 +96,7 @@
 	return p
 }
 
-// storeList is the list with so many stores in each zone.
+// storeList returns a list with the given number of stores in each zone.
 func storeList(each int) (stores []zones.Store) {
 	for zone := range zoneCount {
 		for k := range each {
@@ -107,7 +107,7 @@
 	return stores
 }
 
-// run plays a span: requests, notes, heartbeats.
+// run simulates a time span: requests, notes and membership messages.
 func (p *simulation) run(span zones.Time) {
 	const step = digestPeriod / 10
 	for end := p.now + span; p.now < end; p.now += step {
@@ -136,7 +136,7 @@
 	}
 }
 
-// requests ends a few requests of one front.
+// requests records the outcomes of a few requests of one front.
 func (p *simulation) requests(f *front) {
 	for range 4 {
 		zone, k := int(p.random.Below(zoneCount)), int(p.random.Below(storeCount))
@@ -154,7 +154,7 @@
 	}
 }
 
-// traceStatus hashes what people are shown.
+// traceStatus adds the status for operators to the hash.
 func (p *simulation) traceStatus() {
 	for _, f := range p.fronts {
 		if f.stopped {
@@ -172,15 +172,15 @@
 	}
 }
 
-// order gives an operator's order to one front.
+// order issues an operator's order at one front.
 func (p *simulation) order(front int, zone string, leave, force bool, span zones.Time, version uint64) {
 	f := p.fronts[front]
 	f.traceAction("order %v", f.view.IssueOrder(p.now, zone, leave, force, span, version))
 }
 
-// TestActionDigest plays one seeded fleet through single bad stores, the loss of a zone and its way back, a
-// cut, orders by hand, stopped and busy fronts, malformed notes and changes of the list, and compares the
-// hash of all actions.
+// TestActionDigest runs a seeded fleet through single bad stores, the loss and recovery of a zone,
+// partitions, operators' orders, stalled and overloaded fronts, malformed notes and changes of the store
+// list, and compares the hash of all actions.
 func TestActionDigest(t *testing.T) {
 	actions := fnv.New64a()
 	p := newSimulation(actions)
@@ -192,14 +192,14 @@
 	p.failingShare[1] = 0.5
 	p.run(10 * digestPeriod)
 	p.traceStatus()
-	p.failingShare[1] = 1 // the whole zone
+	p.failingShare[1] = 1 // all stores of the zone
 	p.run(15 * digestPeriod)
 	p.fronts[2].view.HandleStall(p.now)
 	p.traceStatus()
 	p.run(45 * digestPeriod)
 	p.failingShare[1] = 0
 	p.run(10 * digestPeriod)
-	p.failingShare[1] = 1 // again on its way back
+	p.failingShare[1] = 1 // fails again during its recovery
 	p.run(30 * digestPeriod)
 	p.failingShare[1] = 0.6
 	p.run(30 * digestPeriod)
@@ -207,18 +207,18 @@
 	p.run(120 * digestPeriod)
 	p.traceStatus()
 
-	p.cut = func(from, to int) bool { return (from < 2) != (to < 2) } // two halves
+	p.cut = func(from, to int) bool { return (from < 2) != (to < 2) } // partition into halves
 	p.run(30 * digestPeriod)
 	p.traceStatus()
 	p.cut = func(int, int) bool { return false }
 	p.run(120 * digestPeriod)
-	p.cut = func(from, to int) bool { return from != to && (from == 3 || to == 3) } // one alone
+	p.cut = func(from, to int) bool { return from != to && (from == 3 || to == 3) } // one isolated zone
 	p.run(30 * digestPeriod)
 	p.traceStatus()
 	p.cut = func(int, int) bool { return false }
 	p.run(120 * digestPeriod)
 
-	p.slowdown = 6 // the rest cannot bear a whole zone
+	p.slowdown = 6 // the other zones cannot take a whole zone's traffic
 	p.run(40 * digestPeriod)
 	p.failingShare[2] = 1
 	p.run(30 * digestPeriod)
@@ -234,14 +234,14 @@
 	p.traceStatus()
 	p.order(5, "d", false, false, 0, 2)
 	p.run(60 * digestPeriod)
-	p.order(2, "a", true, true, 25*digestPeriod, 3) // and left to end by itself
+	p.order(2, "a", true, true, 25*digestPeriod, 3) // and left to expire
 	p.run(100 * digestPeriod)
 	p.traceStatus()
 
 	p.fronts[3].view.HandleStall(p.now)
 	p.fronts[7].view.HandleOverload(p.now)
 	p.fronts[9].stopped = true
-	for k := range 200 { // made-up members of made-up zones, which find no place
+	for k := range 200 { // made-up members of made-up zones, for which there is no entry
 		p.fronts[0].view.UpdateMember(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), true)
 		if k%3 == 0 {
 			p.fronts[0].view.UpdateMember(p.now, fmt.Sprint("ghost", k), fmt.Sprint("nowhere", k), false)
@@ -260,6 +260,6 @@
 	p.traceStatus()
 
 	if got := fmt.Sprintf("%016x", actions.Sum64()); got != playDigest {
-		t.Errorf("the actions hash to %s, recorded is %s", got, playDigest)
+		t.Errorf("the actions hash to %s, want %s", got, playDigest)
 	}
 }
--- a/fleet/zones/encoding.go
+++ b/fleet/zones/encoding.go
@@ -6,43 +6,44 @@
 	"math"
 )
 
-// Three kinds of notes are published, told apart by the first byte of their keys. Numbers are varints; the
-// slots of evidence are 8 bytes, little-endian.
+// Kinds of notes, encoded as the first byte of a note's key. Integers in note bodies are varints; bitmaps of
+// slots are 8 bytes, little-endian.
 const (
 	keyEvidence = 'e' // followed by the observer's name
-	keyPlan     = 'p' // followed by the zone it is for, a zero byte, and the zone it is about
+	keyPlan     = 'p' // followed by the zone whose fronts set the row, a zero byte, and the zone it is about
 	keyOrder    = 'o' // followed by the zone
 )
 
-// noteFormat is the first byte of each note's body.
+// noteFormat is the format version, the first byte of every note's body.
 const noteFormat = 1
 
-// Bounds of what is read.
+// Limits on what is decoded.
 const (
 	maxZoneName     = 32 // bytes
-	maxEvidenceRows = 6  // zones in one note of evidence, those with failures first
+	maxEvidenceRows = 6  // zones in one evidence note; zones with failures come first
 	maxDuration     = 1 << 40
 )
 
-// Bits of an order's flags.
+// Bits of the flags byte of an order.
 const (
 	orderFlagDrain byte = 1 << iota
 	orderFlagForce
 )
 
-var errNoteFormat = errors.New("a note of an unknown shape")
+var errNoteFormat = errors.New("malformed note or unknown note format")
 
-// zoneEvidence is what one observer has seen of one zone's stores: a bit for each slot.
+// zoneEvidence is what one observer has seen of one zone's stores, with one bit for each slot.
 type zoneEvidence struct {
-	zone         string
-	baseEpoch    uint32 // of the row that it was gathered under
-	seen, failed uint64
+	zone      string
+	baseEpoch uint32 // base epoch of the plan row under which the evidence was collected
+	seen      uint64 // slots of stores used within the window
+	failed    uint64 // those of them whose last outcome was a failure
 }
 
-// evidence is what one observer publishes.
+// evidence is the content of one observer's evidence note.
 type evidence struct {
-	zone string // the observer's
-	load uint8  // that it sees, in 255ths
+	zone string // zone that the observer runs in
+	load uint8  // load that the observer estimates, in units of 1/255
 	rows []zoneEvidence
 }
 
@@ -60,13 +61,13 @@
 	return dst
 }
 
-// appendName appends a name of at most 255 bytes behind its length.
+// appendName appends a name of at most 255 bytes, preceded by its length.
 func appendName(dst []byte, name string) []byte {
 	dst = append(dst, byte(len(name)))
 	return append(dst, name...)
 }
 
-// reader reads the parts of a note. After the first fault it returns zero values.
+// reader decodes the fields of a note. After the first decoding failure it returns zero values.
 type reader struct {
 	rest   []byte
 	failed bool
@@ -117,7 +118,7 @@
 	return r.bytes(length)
 }
 
-// finish returns an error if there was a fault, or bytes are left.
+// finish returns errNoteFormat if decoding has failed or bytes are left over.
 func (r *reader) finish() error {
 	if r.failed || len(r.rest) > 0 {
 		return errNoteFormat
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// reuse returns the string that is held if it is the same, so that nothing is allocated.
+// reuse returns the existing string if it equals name, which avoids an allocation.
 func reuse(existing string, name []byte) string {
 	if existing == string(name) {
 		return existing
@@ -133,7 +134,7 @@
 	return string(name)
 }
 
-// read replaces the evidence that is held. On an error no rows are held.
+// read replaces the evidence with the decoded body. If it returns an error, the evidence has no rows.
 func (e *evidence) read(body []byte) error {
 	r := reader{rest: body}
 	e.rows = e.rows[:0]
@@ -159,7 +160,8 @@
 	return nil
 }
 
-// readRow adds a row, in the place of a former one if there is any, whose string it may keep.
+// readRow appends a decoded row. It reuses the slice element that an earlier row left behind, with its string
+// if that is equal.
 func (e *evidence) readRow(r *reader) {
 	if cap(e.rows) > len(e.rows) {
 		e.rows = e.rows[:len(e.rows)+1]
@@ -178,14 +180,15 @@
 
 // plan is the published part of a row.
 type plan struct {
-	epoch, baseEpoch uint32 // of the last change; since which evidence counts
-	state            State
-	permille         int  // share of ordinary traffic, in thousandths
-	step             int  // of the ramp
-	byOperator       bool // set for an operator's order
-	epochAge         Time // of the epoch
-	dwell            Time // for which the zone stays drained before trials
-	setBy            string
+	epoch      uint32 // number of the last change of the row
+	baseEpoch  uint32 // epoch since which evidence counts
+	state      State
+	permille   int  // share of ordinary traffic, in thousandths
+	step       int  // step of the recovery ramp
+	byOperator bool // the row was set because of an operator's order
+	epochAge   Time // time since the epoch began
+	dwell      Time // how long the zone stays drained before trials begin
+	setBy      string
 }
 
 func (p *plan) append(dst []byte) []byte {
@@ -223,11 +226,11 @@
 	return p, r.finish()
 }
 
-// order is an operator's order.
+// order is an operator's order for one zone.
 type order struct {
-	drain    bool // to drain the zone; else to return to it
-	force    bool // even if the other zones cannot take its traffic
-	duration Time // for which it stands
+	drain    bool // drains the zone; otherwise the order returns the zone to service
+	force    bool // drains even if the other zones lack the capacity for its traffic
+	duration Time // how long the order is in force
 }
 
 func (o order) append(dst []byte) []byte {
--- a/fleet/zones/evidence.go
+++ b/fleet/zones/evidence.go
@@ -2,17 +2,18 @@
 
 import "math/bits"
 
-// quietAnswerDivisor gives the part of a period after which an answer of a zone in service no longer counts.
+// answerMaxAgeDivisor is the divisor of the protocol period that gives the age after which an answer from a
+// zone in service no longer counts as evidence.
 const answerMaxAgeDivisor = 2
 
-// Figures of what evidence is worth publishing.
+// Thresholds that decide which evidence is worth publishing.
 const (
-	sufficientReports = 2 // fronts that have reported the same, after which one more changes nothing
+	sufficientReports = 2 // matching reports after which one more report changes no decision
 	reportersPerZone  = 4 * sufficientReports
-	minUrgentFailures = 2 // failures of stores that make evidence urgent
+	minUrgentFailures = 2 // failed stores at which evidence becomes urgent
 )
 
-// updateEvidence takes this front's bits from the outcomes of its requests.
+// updateEvidence sets this front's evidence bits from the last outcome of each store.
 func (z *Zones) updateEvidence() {
 	for index := range z.zones {
 		z.zones[index].seen = 0
@@ -34,12 +35,13 @@
 	}
 }
 
-// isEvidence reports whether a store's last outcome is evidence.
+// isEvidence reports whether a store's last outcome counts as evidence.
 //
-// Danger: a front that reaches nothing at all has lost its own network, and would blame all others. A failure
-// counts once any store has answered after it.
+// A failure counts only once any store has answered after it. A front that reaches nothing at all has lost
+// its own network connection; without this rule it would report all stores as failed.
 //
-// Danger: an answer from before a zone failed is no sign that it works.
+// In a zone in service an answer counts only for part of a period, since an answer from before the zone
+// failed does not show that the zone works. Elsewhere every answer within the window counts.
 func (z *Zones) isEvidence(s *store) bool {
 	if s.id == "" || s.outcomeAt < 0 {
 		return false
@@ -54,8 +56,8 @@
 	return age <= z.config.Period/answerMaxAgeDivisor || z.zones[s.zone].row.state != InService
 }
 
-// worthReporting reports whether anybody sees failures in a zone or it is not in service, so that answers are
-// worth publishing too.
+// worthReporting reports whether answers from a zone are worth publishing, besides failures: the zone is not
+// in service, or some front sees failures there.
 func (z *Zones) worthReporting(zoneIndex int) bool {
 	zn := &z.zones[zoneIndex]
 	if zn.failed != 0 || zn.row.state != InService {
@@ -75,12 +77,12 @@
 	return false
 }
 
-// evidenceUrgent reports whether evidence may lead to a decision now: a row is not in service, half of what would
-// have to fail before a zone is drained does fail for somebody, or this front has more than one failure to
-// report.
+// evidenceUrgent reports whether new evidence may lead to a decision now: some row is not in service, or some
+// front sees failures at half of the stores that have to fail before a zone is drained, or this front has at
+// least minUrgentFailures failures that it has not published.
 //
-// Danger: of hundreds of fronts that each see little, some always see two failures and no answer in a sound
-// zone.
+// Two failures that some fronts report are not enough by themselves: among hundreds of fronts that each see
+// few requests, some always see two failures and no answer in a healthy zone.
 func (z *Zones) evidenceUrgent() bool {
 	for index := range z.zones {
 		zn := &z.zones[index]
@@ -99,7 +101,7 @@
 	return false
 }
 
-// failedForAnyFront returns the slots of a zone's stores that any front sees fail.
+// failedForAnyFront returns the slots of a zone's stores that at least one front sees fail.
 func (z *Zones) failedForAnyFront(zoneIndex int) uint64 {
 	zn := &z.zones[zoneIndex]
 	failed := zn.failed
@@ -118,12 +120,13 @@
 	return failed
 }
 
-// addsEvidence reports whether what this front sees adds to what its zone's fronts have published: a failure
-// that too few have reported, an answer where the others report failures, what this front has reported
-// otherwise before, or, from some of the zone's fronts alone, an answer where too few answers are reported to
-// assess the zone.
+// addsEvidence reports whether this front's evidence adds to what the fronts of its zone have published: a
+// failure that too few have reported, an answer where the others report failures, a change from what this
+// front reported before, or an answer where too few answers have been reported to assess the zone. Only
+// fronts of low rank add answers of the last kind.
 //
-// Danger: a hundred fronts that find out the same thing at once would each send it to all the others.
+// Without this check, a hundred fronts that discover the same failure at once would each send it to all
+// others.
 func (z *Zones) addsEvidence() bool {
 	for k := range z.evidenceRows {
 		if z.rowAddsEvidence(&z.evidenceRows[k]) {
--- a/fleet/zones/observers.go
+++ b/fleet/zones/observers.go
@@ -1,16 +1,17 @@
 package zones
 
-// observer is another front.
+// observer is what this front holds of one other front.
 type observer struct {
 	name        string
 	zone        int
 	present     bool
 	hasEvidence bool
-	evidenceAt  Time // when its evidence was made
+	evidenceAt  Time // when the observer published its evidence
 	evidence
 }
 
-// UpdateMember takes in whether another front is a member. Fronts past the bound of Observers are left out.
+// UpdateMember records whether another front is a member of the fleet. Fronts beyond Config.MaxObservers are
+// ignored.
 func (z *Zones) UpdateMember(now Time, name, zone string, present bool) {
 	z.now = now
 	zoneIndex := z.zoneIndex(zone, false)
@@ -51,7 +52,7 @@
 	return index
 }
 
-// hasCurrentEvidence reports whether an observer is a member with evidence that is not older than a span.
+// hasCurrentEvidence reports whether an observer is a member and its evidence is at most span old.
 func (z *Zones) hasCurrentEvidence(o *observer, span Time) bool {
 	return o.present && o.hasEvidence && z.now-o.evidenceAt <= span
 }
--- a/fleet/zones/orders.go
+++ b/fleet/zones/orders.go
@@ -10,22 +10,22 @@
 
 var errOrderDuration = errors.New("an order lasts from a moment to a day")
 
-// storedOrder is the newest order for a zone.
+// storedOrder is the newest order known for a zone.
 type storedOrder struct {
 	order
 	expiresAt   Time
 	publishedAt Time
-	number      uint64 // its version without the refreshes
-	fullVersion uint64 // its version with them
+	number      uint64 // version without the refresh count
+	fullVersion uint64 // version with the refresh count
 }
 
-// drainOrdered reports whether an operator's order to drain a zone stands.
+// drainOrdered reports whether an operator's order to drain the zone is in force.
 func (z *Zones) drainOrdered(zoneIndex int) bool {
 	o := &z.zones[zoneIndex].order
 	return o.drain && z.now < o.expiresAt
 }
 
-// applyOrder takes in an order, this front's own or a received one.
+// applyOrder stores an order, whether issued at this front or received from another.
 func (z *Zones) applyOrder(zoneIndex int, received order, version uint64, age Time) {
 	zn := &z.zones[zoneIndex]
 	number := version >> orderRefreshBits
@@ -42,9 +42,9 @@
 	}
 }
 
-// refreshOrder publishes an order again for fronts that start later, for as long as it stands.
-//
-// Danger: a front that was cut off when an order to return was given would spread the older order again.
+// refreshOrder republishes an order that is in force, so that fronts that start later learn of it. Orders
+// that return a zone to service are refreshed too: otherwise a front that was partitioned when one was issued
+// would spread the older drain order again.
 func (z *Zones) refreshOrder(zoneIndex int) {
 	zn := &z.zones[zoneIndex]
 	stored := &zn.order
@@ -59,9 +59,10 @@
 	z.host.Publish(string(keyOrder)+zn.name, stored.fullVersion, z.noteBody, SpreadQuietly)
 }
 
-// IssueOrder takes in an operator's order: to drain a zone for a span, or to return to it. The version must grow
-// with each order. It returns an error if the zone has no stores, if the span is not within LongestOrder, or
-// if the other zones cannot take any of the zone's traffic and force is not given.
+// IssueOrder applies and publishes an operator's order to drain a zone for the given duration, or to return
+// it to service. The version must grow with each order. IssueOrder returns an error if the zone has no
+// stores, if the duration of a drain order is not positive or exceeds MaxOrderDuration, or if the other zones
+// have no spare capacity for the zone's traffic and force is not set.
 func (z *Zones) IssueOrder(now Time, zone string, drain, force bool, duration Time, version uint64) error {
 	z.now = now
 	index, known := z.zoneByName[zone]
@@ -77,7 +78,7 @@
 		return fmt.Errorf("the rest does not bear it (it bears %.2f of all stores, zone %s is %.2f): "+
 			"--force tells it outright", spareCapacity, zone, zoneCapacity)
 	}
-	if !drain { // it has to outlive the order that it ends
+	if !drain { // It has to outlive the drain order that it ends.
 		duration = max(zn.order.expiresAt-now, z.config.NoteTTL)
 	}
 	issued := order{drain: drain, force: force, duration: duration}
--- a/fleet/zones/outcomes.go
+++ b/fleet/zones/outcomes.go
@@ -1,14 +1,14 @@
 package zones
 
-// Figures of outcomes.
+// Constants for evaluating outcomes.
 const (
-	averageWeight    = 1.0 / 64           // of a new value in running averages
-	bestLatencyRise  = averageWeight / 64 // by which the best latency ratio rises with each answer
-	isolatedFailures = 3                  // failures in a row that may be this front's own network
+	averageWeight    = 1.0 / 64           // weight of a new value in running averages
+	bestLatencyRise  = averageWeight / 64 // relative rise of the best latency ratio with each answer
+	isolatedFailures = 3                  // consecutive failures that may be caused by this front's own network
 )
 
-// RecordOutcome takes in the outcome of a request, a probe or a connect to a store, and how long after its start it
-// came. Expected is the answer time that its class has without load, or 0 if it has none.
+// RecordOutcome records the outcome of a request, a probe or a connection attempt to a store, and the time
+// that it took. The expected time is the unloaded latency of the request's class, or 0 if the class has none.
 func (z *Zones) RecordOutcome(now Time, id string, outcome Outcome, took, expected Time) {
 	z.now = now
 	index, known := z.storeByID[id]
@@ -19,7 +19,9 @@
 	zn := &z.zones[s.zone]
 	r := &zn.row
 	if r.state != InService && r.baseEpoch == r.epoch && now-took < r.epochAt {
-		return // it began before the zone was drained: all fronts would report it once more, as if it were new
+		// The request began before the zone was drained. If it counted, all fronts would report it again as a
+		// new failure.
+		return
 	}
 	if outcome == Answered {
 		z.recordAnswer()
@@ -34,10 +36,9 @@
 	}
 }
 
-// recordAnswer ends a row of failures.
-//
-// Danger: a front whose own network is back would report all that failed meanwhile as if others had failed.
-// Failures since the last answer are discarded.
+// recordAnswer ends a series of failures. If this front has had no answer for more than a period and several
+// failures meanwhile, those failures are discarded: its own network was probably down, and it would otherwise
+// report all of them as failures of the stores.
 func (z *Zones) recordAnswer() {
 	if z.failuresSinceAnswer >= isolatedFailures && z.now-z.lastAnswerAt > z.config.Period {
 		for k := range z.stores {
@@ -51,7 +52,7 @@
 	z.failuresSinceAnswer = 0
 }
 
-// countOutcome keeps fading counts of a zone's outcomes, for people who ask why.
+// countOutcome updates the exponentially decaying counts of a zone's outcomes, which Explain shows.
 func (z *Zones) countOutcome(zn *zone, outcome Outcome) {
 	if z.now-zn.outcomeCountedAt > z.window {
 		zn.outcomeCounts = [numOutcomes]float64{}
@@ -72,7 +73,7 @@
 	z.bestLatencyRatio = min(z.bestLatencyRatio*(1+bestLatencyRise), z.latencyRatio)
 }
 
-// discardOutcomes has all outcomes of one zone's stores count for nothing.
+// discardOutcomes removes the outcomes of one zone's stores from the evidence.
 func (z *Zones) discardOutcomes(zoneIndex int) {
 	for k := range z.stores {
 		if z.stores[k].zone == zoneIndex {
--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -11,33 +11,34 @@
 // wholePermille is all of the traffic, in thousandths.
 const wholePermille = 1000
 
-// Figures of rows.
+// Constants for rows.
 const (
-	dwellResetFactor = 8 // dwell times in service after which the dwell time is the shortest again
+	dwellResetFactor = 8 // dwell times in service after which the dwell time is reset to the shortest
 	minDwellPeriods  = 2
-	maxDwellWarmups  = 4 // times Cold, the longest dwell time
-	refreshDivisor   = 3 // a row is published again after this part of a note's life
-	maxRankDelay     = 8 // fronts of a higher rank wait no longer than one of this
+	maxDwellWarmups  = 4 // longest dwell time, as a multiple of Config.WarmupTime
+	refreshDivisor   = 3 // a row is republished after Config.NoteTTL divided by this
+	maxRankDelay     = 8 // rank from which fronts wait no longer than the front of this rank
 )
 
-// Shifts in the version of a row's note: the epoch, the part drained, the number of refreshes.
+// Bit positions in the version of a row's note. From high to low the version holds the epoch, the drained
+// share and the number of refreshes.
 const (
 	versionEpochShift = 32
 	versionShareShift = 16
 )
 
-// row is what this front's zone sends to another zone.
+// row is the plan for the traffic that fronts of this front's zone send to another zone.
 type row struct {
 	plan
-	epochAt        Time // of the epoch
-	publishedAt    Time // when any front published it last
+	epochAt        Time // when the epoch began
+	publishedAt    Time // when any front last published the row
 	refreshes      uint16
 	inServiceSince Time
 	reason         string
 	suspected      bool
 }
 
-// otherRow is a row of another zone's fronts.
+// otherRow is what another zone's fronts have published about their traffic to a zone.
 type otherRow struct {
 	state       State
 	byOperator  bool
@@ -45,22 +46,26 @@
 	publishedAt Time
 }
 
-// drains reports whether a zone in this state gets no ordinary traffic, or less than it could take, so that
-// what is seen there is of trials.
+// drains reports whether a zone in this state gets no ordinary traffic, or less than it could handle, so that
+// outcomes there are mostly those of trials.
 func (s State) drains() bool { return s == Drained || s == Draining }
 
 // share returns the share of ordinary traffic that the zone's fronts send there, from 0 to 1.
 func (r *row) share() float64 { return float64(r.permille) / wholePermille }
 
-// version orders the notes of a row: by epoch, then by how much is drained, then by refreshes.
+// version returns the version of the row's note. It orders notes by epoch, then by the drained share, then by
+// refreshes.
 func (r *row) version() uint64 {
 	drained := uint64(wholePermille - r.permille)
 	return uint64(r.epoch)<<versionEpochShift | drained<<versionShareShift | uint64(r.refreshes)
 }
 
-// adoptRow takes over a row that another front of this zone has set.
+// adoptRow replaces a row with one that another front of this zone has published, if that is neither older
+// nor expired.
 //
-// Danger: a front with faulty evidence must not drain a zone that its neighbours reach well.
+// A new epoch that drains more is not adopted if at least two fronts of this zone reach the other zone's
+// stores without failures, unless it is an operator's order. Without this, one front with faulty evidence
+// could drain a zone that its neighbours reach.
 func (z *Zones) adoptRow(zoneIndex int, p plan, version uint64, age Time) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
@@ -79,15 +84,15 @@
 	r.epochAt = z.now - age - p.epochAge
 	r.publishedAt = z.now - age
 	r.refreshes = uint16(version)
-	// Also within an epoch, where two fronts have set the row at once.
+	// Needed within one epoch too: two fronts may have set the row at the same time.
 	z.rowChanged(zoneIndex, &previous, "as "+p.setBy+" has it")
 	z.applyShare(zoneIndex)
 }
 
 // setRow changes a row and publishes it.
 //
-// Danger: failures from before the trials would end a recovery as it begins. They count for nothing from the
-// new base epoch on.
+// A new base epoch begins when a zone is drained and when its recovery starts, and evidence from before it
+// does not count. Otherwise failures from before the trials would end a recovery as soon as it starts.
 func (z *Zones) setRow(zoneIndex int, state State, permille, step int, reason string) {
 	r := &z.zones[zoneIndex].row
 	previous := *r
@@ -136,28 +141,29 @@
 	z.host.Publish(string(keyPlan)+z.config.Zone+"\x00"+zn.name, r.version(), z.noteBody, spread)
 }
 
-// refreshRow publishes a row again before what the others hold of it is too old.
+// refreshRow republishes a row before the copies that other fronts hold expire.
 func (z *Zones) refreshRow(zoneIndex int) {
 	r := &z.zones[zoneIndex].row
 	if r.state == InService || z.now-r.publishedAt < z.refreshAfter(zoneIndex) {
 		return
 	}
 	r.refreshes++
-	if r.refreshes == 0 { // it has overflowed, and only a new epoch is newer
+	if r.refreshes == 0 { // the counter has overflowed, and only a new epoch counts as newer
 		r.epoch++
 	}
 	z.publishRow(zoneIndex, SpreadQuietly)
 }
 
-// refreshAfter is the age at which this front publishes a note of a zone again, fronts of a lower rank first.
+// refreshAfter returns the age at which this front republishes a note about a zone. Fronts of a lower rank do
+// so earlier.
 func (z *Zones) refreshAfter(zoneIndex int) Time {
 	return z.config.NoteTTL/refreshDivisor + z.rankDelay(zoneIndex)*z.config.Period
 }
 
-// rankDelay is this front's rank as a factor of delays, bounded.
+// rankDelay returns this front's rank as a multiplier for delays, at most maxRankDelay.
 func (z *Zones) rankDelay(zoneIndex int) Time { return Time(min(z.rank(zoneIndex), maxRankDelay)) }
 
-// applyShare gives the host the share that this front may send.
+// applyShare tells the host the share of ordinary traffic that this front may send to the zone.
 func (z *Zones) applyShare(zoneIndex int) {
 	zn := &z.zones[zoneIndex]
 	share := zn.row.share()
@@ -170,8 +176,9 @@
 	}
 }
 
-// rank is this front's place among those of its zone for one epoch of one row, from 0 on; another one for the
-// next epoch. Each front computes it from hashes of the names, so all agree without a message.
+// rank returns this front's rank, from 0 on, among the fronts of its zone for one epoch of one row. Ranks
+// differ between epochs. They are computed from hashes of the names, so all fronts agree on them without
+// exchanging messages.
 func (z *Zones) rank(zoneIndex int) (rank int) {
 	zn := &z.zones[zoneIndex]
 	weight := func(name string) uint64 {
@@ -190,7 +197,7 @@
 	return rank
 }
 
-// drainZone takes a zone's traffic away, as far as the other zones can take it.
+// drainZone drains as much of a zone's traffic as the other zones have capacity for.
 func (z *Zones) drainZone(zoneIndex int, reason string) {
 	zn := &z.zones[zoneIndex]
 	r := &zn.row
@@ -216,10 +223,9 @@
 	z.setRow(zoneIndex, state, permille, 0, reason)
 }
 
-// lengthenDwell sets how long a zone stays drained before trials.
-//
-// Danger: a zone that fails again and again would be drained and recovered for ever. Each time it is given
-// longer, until it has been in service for long.
+// lengthenDwell sets how long a zone stays drained before trials. The time doubles each time, and is reset
+// once the zone has been in service for long enough. Without this, a zone that fails repeatedly would be
+// drained and recovered over and over.
 func (z *Zones) lengthenDwell(r *row) {
 	recovered := r.state == InService && z.now-r.inServiceSince > dwellResetFactor*r.dwell
 	if recovered || r.dwell == 0 {
--- a/fleet/zones/publish.go
+++ b/fleet/zones/publish.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Figures of publishing evidence.
+// Constants for publishing evidence.
 const (
-	minPauseDivisor  = 5   // the shortest pause between two notes is this part of a period
-	maxPausePeriods  = 64  // the longest pause
-	resetPauseFactor = 2   // longest pauses without a note after which the pause is the shortest again
-	loadStep         = 32  // change of the load, in 255ths, that is published
-	wholeLoad        = 255 // the load 1 in notes
+	minPauseDivisor  = 5   // divisor of the protocol period that gives the shortest pause between two notes
+	maxPausePeriods  = 64  // longest pause, in protocol periods
+	resetPauseFactor = 2   // multiple of the longest pause without a note after which the pause is reset to the shortest
+	loadStep         = 32  // change of the load, in units of 1/255, above which it is published
+	wholeLoad        = 255 // encoding of load 1 in notes
 	loadReporters    = trialFronts
 )
 
-// publishedOf returns what this front has published of a zone that still counts.
+// publishedOf returns the evidence about a zone that this front has published and that still counts.
 func (z *Zones) publishedOf(zoneIndex int) zoneEvidence {
 	if z.now-z.publishedAt >= z.window {
 		return zoneEvidence{}
@@ -26,10 +26,10 @@
 	return zoneEvidence{}
 }
 
-// publishEvidence publishes what this front sees, if that has changed and is due.
+// publishEvidence publishes this front's evidence if it has changed and a note is due.
 //
-// Danger: each front's note goes to all the others, so single bad stores would have all of them publish for
-// ever. The pause doubles with each note.
+// The pause between notes doubles with each note. Each note goes to all other fronts, so without this a
+// single bad store would have every front publish continually.
 func (z *Zones) publishEvidence() {
 	z.collectEvidenceRows()
 	load := uint8(z.load() * wholeLoad)
@@ -49,7 +49,8 @@
 	z.host.Publish(string(keyEvidence)+z.config.Name, z.evidenceVersion, z.noteBody, spreadOf(z.evidenceRows))
 }
 
-// collectEvidenceRows gathers the rows of a note, zones with failures first, as many as a note holds.
+// collectEvidenceRows fills evidenceRows with the rows of the next note, zones with failures first, up to
+// maxEvidenceRows.
 func (z *Zones) collectEvidenceRows() {
 	z.evidenceRows = z.evidenceRows[:0]
 	for _, withFailures := range [...]bool{true, false} {
@@ -66,11 +67,11 @@
 	}
 }
 
-// evidenceDue reports whether a note is to be published: new failures after the pause, other changes after
-// half a period too, a repetition after the window.
+// evidenceDue reports whether a note is to be published: new failures after the pause, other changes after at
+// least half a period, and repetitions after at least the window.
 //
-// Danger: the load changes all the time, and each of hundreds of fronts would send it to all others. A few of
-// each zone publish it.
+// Changes of the load alone are published by a few fronts of each zone only. The load changes all the time,
+// and otherwise each of hundreds of fronts would send it to all others.
 func (z *Zones) evidenceDue(sincePublished Time, load uint8) bool {
 	adds := len(z.evidenceRows) > 0 && z.addsEvidence()
 	changed := adds && !slices.Equal(z.evidenceRows, z.published)
@@ -87,7 +88,7 @@
 	}
 }
 
-// hasNewFailures reports whether a row tells of failures that the published row in its place does not.
+// hasNewFailures reports whether a row has failures that the published row at the same index does not have.
 func (z *Zones) hasNewFailures() bool {
 	for k := range z.evidenceRows {
 		if k >= len(z.published) || z.evidenceRows[k].failed&^z.published[k].failed != 0 {
--- a/fleet/zones/receive.go
+++ b/fleet/zones/receive.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// Spread is whether a note goes on to other fronts, and how.
+// Spread says whether and with which priority a note is forwarded to other fronts.
 type Spread uint8
 
 // The ways to spread a note.
 const (
 	DoNotSpread Spread = iota
 	SpreadQuietly
-	SpreadSoon // before what is spread quietly
+	SpreadSoon // before notes that are spread quietly
 	SpreadUrgently
 )
 
-// ReceiveNote takes in a note of another front, by the first byte of its key, and returns whether it should be
-// spread further. Notes that cannot be read are counted in Dropped. Keys of other packages are not spread.
+// ReceiveNote handles a note of another front according to the first byte of its key, and returns whether and
+// how to spread the note further. Notes that cannot be decoded are counted in Dropped. Notes whose keys
+// belong to other packages are not spread.
 func (z *Zones) ReceiveNote(now Time, key []byte, version uint64, age Time, body []byte) Spread {
 	z.now = now
 	switch key[0] {
@@ -29,7 +30,7 @@
 	return DoNotSpread
 }
 
-// receiveEvidence takes in an observer's evidence. That of a front that is no member counts for nothing here.
+// receiveEvidence stores an observer's evidence. Evidence of a front that is not a member is only spread.
 func (z *Zones) receiveEvidence(name string, age Time, body []byte) Spread {
 	index, known := z.observerByName[name]
 	if !known {
@@ -47,9 +48,9 @@
 	return spreadOf(o.rows)
 }
 
-// spreadOf returns how evidence is spread: failures before answers.
-//
-// Danger: while a zone recovers many fronts tell that its stores answer, and that they fail again would come behind all of it.
+// spreadOf returns how evidence is spread: evidence with failures before evidence of answers alone. While a
+// zone recovers, many fronts report that its stores answer; without this order, news of another failure would
+// queue behind all of those reports.
 func spreadOf(rows []zoneEvidence) Spread {
 	for k := range rows {
 		if rows[k].failed != 0 {
@@ -59,9 +60,10 @@
 	return SpreadQuietly
 }
 
-// receivePlan takes in a row; the key has the zone that it is for, a zero byte, and the zone that it is
-// about. Rows of other zones are not adopted, and kept as testimony. They are spread at once as long as they drain a zone,
-// since that ends the spreading of evidence; nobody waits for the steps of a recovery elsewhere.
+// receivePlan handles a row. Its key holds the zone whose fronts it applies to, a zero byte, and the zone
+// that it is about. Rows of other zones are not adopted but kept as reports of those zones. They are spread
+// urgently if they drain a zone, since that ends the spreading of superseded evidence. Steps of a recovery
+// seen from another zone are not urgent.
 func (z *Zones) receivePlan(key []byte, version uint64, age Time, body []byte) Spread {
 	separator := slices.Index(key, 0)
 	if separator < 0 {
@@ -102,7 +104,7 @@
 	z.stopSuperseded(from)
 }
 
-// receiveOrder takes in an order if it is newer than the one that is held.
+// receiveOrder applies an order if it is newer than the stored one.
 func (z *Zones) receiveOrder(zone string, version uint64, age Time, body []byte) {
 	received, err := readOrder(body)
 	if err != nil {
@@ -115,8 +117,9 @@
 	}
 }
 
-// superseded reports whether all evidence of a front is from before its zone drained the zones that it is
-// about. The row is spread before all else and says as much, so nobody needs that evidence any more.
+// superseded reports whether all of a front's evidence predates its zone's decision to drain the zones that
+// the evidence is about. Such evidence is no longer needed: the row that drains the zone is spread first and
+// says the same.
 func (z *Zones) superseded(from int, rows []zoneEvidence) bool {
 	for k := range rows {
 		about, known := z.zoneByName[rows[k].zone]
@@ -127,7 +130,7 @@
 	return len(rows) > 0
 }
 
-// rowSupersedes reports whether a zone has drained another one since the given base epoch.
+// rowSupersedes reports whether a zone's fronts have drained another zone since the given base epoch.
 func (z *Zones) rowSupersedes(from, about int, baseEpoch uint32) bool {
 	if from == ownZone {
 		r := &z.zones[about].row
@@ -136,10 +139,9 @@
 	return z.drainedBy(from, about) && baseEpoch < z.zones[about].otherRows[from].baseEpoch
 }
 
-// stopSuperseded ends the spreading of superseded evidence of a zone's fronts.
-//
-// Danger: when a zone fails each of hundreds of fronts has something to publish, and most of it would still
-// be spread when all have long drained the zone.
+// stopSuperseded stops spreading the superseded evidence of a zone's fronts. When a zone fails, each of
+// hundreds of fronts publishes evidence; without this, most of it would still be spreading long after all
+// fronts have drained the zone.
 func (z *Zones) stopSuperseded(from int) {
 	for k := range z.observers {
 		o := &z.observers[k]
--- a/fleet/zones/recovery.go
+++ b/fleet/zones/recovery.go
@@ -1,39 +1,39 @@
 package zones
 
-// Figures of trials and of the ramp.
+// Constants for trials and the recovery ramp.
 const (
 	trialFronts          = 2 // fronts of each zone that send trials to a drained zone
-	minTrialStores       = 2 // stores that have to answer trials, if the zone has so many
+	minTrialStores       = 2 // stores that must answer trials, or all of the zone's if it has fewer
 	rampSteps            = 8
-	stepBackShare        = 0.5 // of the stores seen that fail, at which the ramp goes no further
-	stepBackObservers    = 2   // that see failures, at which it goes a step back
-	trialVerdictPeriods  = 2   // after the dwell time, that trials have before they count as failed
-	rankDelayDivisor     = 4   // of a period, that fronts of following ranks wait for each other
-	failRankDelayDivisor = 2   // the same where trials have failed
+	stepBackShare        = 0.5 // fraction of the observed stores that fail at which the ramp does not advance
+	stepBackObservers    = 2   // observers that must see failures before the ramp goes back a step
+	trialGracePeriods    = 2   // periods after the dwell time until trials may count as failed
+	rankDelayDivisor     = 4   // divisor of the protocol period that gives the delay between fronts of successive ranks
+	failRankDelayDivisor = 2   // the same for fronts that report failed trials
 )
 
-// rampPermille is the share of a step of the ramp, in thousandths: the capacity that a store that was cold
-// when the ramp began has as that step begins.
+// rampPermille returns the share of a step of the ramp, in thousandths: the capacity at the start of that
+// step of a store that was cold when the ramp started.
 func (z *Zones) rampPermille(step int) int {
 	return int(wholePermille * (z.config.ColdCapacity + (1-z.config.ColdCapacity)*float64(step)/rampSteps))
 }
 
-// runsTrials reports whether this front is one of those that send trials to a drained zone, once that is due.
+// runsTrials reports whether trials of a drained zone are due and this front is one of those that send them.
 func (z *Zones) runsTrials(zoneIndex int) bool {
 	r := &z.zones[zoneIndex].row
 	return !z.drainOrdered(zoneIndex) && z.now-r.epochAt >= r.dwell && z.rank(zoneIndex) < trialFronts
 }
 
-// startRecovery begins the ramp.
+// startRecovery starts the recovery ramp.
 func (z *Zones) startRecovery(zoneIndex int, reason string) {
 	z.setRow(zoneIndex, Recovering, z.rampPermille(0), 0, reason)
 }
 
-// reviewDrained ends the draining once trials are answered, and lengthens it if they fail. The front of the
-// lowest rank sets the row; the next one does if that one has not.
+// reviewDrained starts the recovery once trials are answered, and extends the dwell time if they fail. The
+// front of the lowest rank sets the row; the next one does so if the first has not.
 func (z *Zones) reviewDrained(zoneIndex int) {
 	r := &z.zones[zoneIndex].row
-	z.applyShare(zoneIndex) // trials may have become due
+	z.applyShare(zoneIndex) // Trials may have become due.
 	if r.byOperator {
 		z.startRecovery(zoneIndex, "the order has ended")
 		return
@@ -45,7 +45,7 @@
 	trials := z.reportOf(ownZone, zoneIndex)
 	recoverAfter := r.dwell + z.rankDelay(zoneIndex)*z.config.Period/rankDelayDivisor
 	failAfter := r.dwell + Time(z.rank(zoneIndex))*z.config.Period/failRankDelayDivisor +
-		trialVerdictPeriods*z.config.Period
+		trialGracePeriods*z.config.Period
 	switch {
 	case trials.healthy && trials.seen >= min(minTrialStores, trials.total) && elapsed >= recoverAfter:
 		z.startRecovery(zoneIndex, "trials came back: "+trials.String())
@@ -55,7 +55,7 @@
 	}
 }
 
-// reviewRecovering moves the ramp a step on or back, or ends it.
+// reviewRecovering advances the ramp by a step, takes it back by one, or ends it.
 func (z *Zones) reviewRecovering(zoneIndex int) {
 	r := &z.zones[zoneIndex].row
 	seen := z.reportOf(ownZone, zoneIndex)
--- a/fleet/zones/report.go
+++ b/fleet/zones/report.go
@@ -5,32 +5,34 @@
 	"math/bits"
 )
 
-// Figures of merging evidence.
+// Constants for merging evidence.
 const (
-	failureVotes    = 2    // votes of an observer that saw a store fail; answers that others saw may be older
-	failingShare    = 0.75 // of the stores seen that fail where a zone does
-	healthyShare    = 0.25 // of the stores seen that fail at most where a zone is sound
-	minFailedShare  = 0.5  // of all a zone's stores that are seen failing before it is drained
-	minFailedStores = 3    // that are seen failing before it is drained, if it has so many
-	minFailing      = 2    // stores that fail, and observers that see it, where a zone fails
-	reportWindows   = 2    // windows for which evidence stays in a report
-	notableDivisor  = 4    // one store in so many that fails is worth telling people
+	failureVotes    = 2    // votes of an observer that saw a failure; answers that others saw may be older
+	failingShare    = 0.75 // fraction of the observed stores that fail from which a zone counts as failed
+	healthyShare    = 0.25 // largest fraction of the observed stores that fail in a healthy zone
+	minFailedShare  = 0.5  // fraction of all stores of a zone that must be seen to fail before the zone is drained
+	minFailedStores = 3    // stores that must be seen to fail before the zone is drained, or all if it has fewer
+	minFailing      = 2    // failed stores, and observers that see failures, from which a zone counts as failed
+	reportWindows   = 2    // maximum age of evidence in a report, in windows
+	notableDivisor  = 4    // failures of at least one in this many stores are notable
 )
 
-// report is what the fronts of one zone see together of another zone's stores.
+// report is the merged view that the fronts of one zone have of another zone's stores.
 type report struct {
-	seen, failed, total int    // stores
-	failedSlots         uint64 // those that fail
-	observers           int
-	failingObservers    int // those that see failures
-	fails               bool
-	healthy             bool
+	seen             int    // stores that some observer has used
+	failed           int    // those of them that fail by majority of votes
+	total            int    // open stores of the zone
+	failedSlots      uint64 // slots of stores that fail by majority of votes
+	observers        int
+	failingObservers int // observers that see failures
+	fails            bool
+	healthy          bool
 }
 
-// votes is the sum of votes for each slot: more than 0 is a failure.
+// votes holds the sum of votes for each slot. A positive sum means that the store fails.
 type votes [evidenceSlots]int16
 
-// add counts what one observer has seen.
+// add adds one observer's votes.
 func (v *votes) add(seen, failed uint64) {
 	for left := seen; left != 0; left &= left - 1 {
 		slot := bits.TrailingZeros64(left)
@@ -42,8 +44,8 @@
 	}
 }
 
-// publishedVotes returns the votes that the other fronts of this zone have published lately of another zone's
-// stores.
+// publishedVotes returns the sum of votes about a zone's stores that the other fronts of this zone have
+// published within the window.
 func (z *Zones) publishedVotes(of int) (sum votes) {
 	zn := &z.zones[of]
 	for k := range z.observers {
@@ -61,30 +63,29 @@
 	return sum
 }
 
-// enoughFailed reports whether enough of a zone's stores are seen to fail to assess the zone.
-//
-// Danger: in a zone of four stores, one bad store and one that has just recovered are half.
+// enoughFailed reports whether enough of a zone's stores fail to drain the zone. A fraction alone is not
+// sufficient: in a zone of four stores, one bad store and one that has just recovered already make up half.
 func (zn *zone) enoughFailed(failed uint64) bool {
 	total := float64(zn.storeCount())
 	return float64(bits.OnesCount64(failed)) >= max(minFailedShare*total, min(minFailedStores, total))
 }
 
-// String returns a report as logs and people are shown it.
+// String returns the report as shown in logs and by Explain.
 func (r report) String() string {
 	return fmt.Sprintf("%d of %d stores seen fail, of %d, by %d of %d fronts",
 		r.failed, r.seen, r.total, r.failingObservers, r.observers)
 }
 
-// failedFraction returns the part of the stores seen that fail, from 0 to 1.
+// failedFraction returns the fraction of the observed stores that fail, from 0 to 1.
 func (r *report) failedFraction() float64 { return float64(r.failed) / float64(max(r.seen, 1)) }
 
-// notable reports whether a report has failures that people should read of.
+// notable reports whether the report has enough failures to be shown to operators.
 func (r *report) notable() bool {
 	return r.failed >= minFailing && notableDivisor*r.failed >= r.total
 }
 
-// reportOf merges the evidence of one zone's fronts about another. Old evidence, and this zone's evidence
-// that was gathered under an earlier plan, counts for nothing.
+// reportOf merges the evidence that the fronts of one zone have about another zone. It leaves out old
+// evidence, and evidence of this front's own zone that was collected before the row's base epoch.
 func (z *Zones) reportOf(from, of int) (merged report) {
 	zn := &z.zones[of]
 	var sum votes
@@ -121,7 +122,7 @@
 	return merged
 }
 
-// evaluate fills in which stores fail, and whether the zone does.
+// evaluate derives from the votes which stores fail, and whether the zone counts as failed or healthy.
 func (r *report) evaluate(sum *votes, fronts int) {
 	for slot, vote := range sum {
 		if vote > 0 {
--- a/fleet/zones/status.go
+++ b/fleet/zones/status.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// ZoneStatus is what this front holds of a zone, as people are shown it.
+// ZoneStatus is what this front holds of a zone, as shown to operators.
 type ZoneStatus struct {
 	Zone   string  `json:"zone"`
 	State  string  `json:"state"`
-	Part   float64 `json:"part"`  // share that this front may send there, from 0 to 1
-	Fleet  float64 `json:"fleet"` // share that the fronts of its zone send there, from 0 to 1
+	Part   float64 `json:"part"`  // share of ordinary traffic that this front may send there, from 0 to 1
+	Fleet  float64 `json:"fleet"` // share that the fronts of this front's zone send there, from 0 to 1
 	Epoch  uint32  `json:"epoch"`
-	AgeMS  int64   `json:"age_ms"` // of the epoch
+	AgeMS  int64   `json:"age_ms"` // time since the epoch began, in milliseconds
 	By     string  `json:"by,omitempty"`
 	Hand   bool    `json:"by_hand,omitempty"`
-	Size   float64 `json:"size"` // of its open stores
+	Size   float64 `json:"size"` // total size of the zone's open stores
 	Fronts int     `json:"fronts"`
 	Reason string  `json:"reason,omitempty"`
 }
 
-// Status returns what is held of each zone with stores or fronts.
+// Status returns the status of every zone that has stores or fronts.
 func (z *Zones) Status(now Time) (rows []ZoneStatus) {
 	for index := range z.zones {
 		zn := &z.zones[index]
@@ -43,8 +43,8 @@
 	return rows
 }
 
-// Explain returns what is seen of a zone, in lines for people: the report of each zone, the outcomes of this
-// front's requests, the verdict, the capacity. It returns an error if the zone is not known.
+// Explain returns what is known of a zone as lines of text: the reports of each zone's fronts, the outcomes
+// of this front's requests, the verdict and the capacity. It returns an error if the zone is unknown.
 func (z *Zones) Explain(now Time, name string) (lines []string, err error) {
 	z.now = now
 	index, known := z.zoneByName[name]
--- a/fleet/zones/stores.go
+++ b/fleet/zones/stores.go
@@ -2,30 +2,30 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// noTime marks that a store has no outcome that counts.
+// noTime marks a store that has no outcome that counts.
 const noTime Time = -1
 
-// Store is one entry of the list.
+// Store is one entry of the list of stores.
 type Store struct {
 	ID, Zone string
-	Size     float64 // capacity in relation to other stores; not negative
-	Open     bool    // it takes new requests
+	Size     float64 // capacity relative to other stores; not negative
+	Open     bool    // accepts new requests
 }
 
-// store is one place of the table of stores.
+// store is one entry of the table of stores.
 type store struct {
-	id          string // empty: the place is free
+	id          string // empty if the entry is free
 	zone        int
-	slot        uint8 // its bit in evidence
+	slot        uint8 // the store's bit in evidence
 	size        float64
 	open        bool
 	lastOutcome Outcome
-	outcomeAt   Time // noTime: there is none
+	outcomeAt   Time // time of the last outcome, or noTime
 	listed      bool
 }
 
-// UpdateStores takes in a list of stores: all of them if whole, else those that have changed. Stores of zones past
-// the bound are left out.
+// UpdateStores updates the table from a list of stores. The list holds all stores if whole is set, otherwise
+// only those that have changed. Stores of zones beyond maxZones are ignored.
 func (z *Zones) UpdateStores(now Time, whole bool, list []Store) {
 	z.now = now
 	for index := range z.stores {
--- a/fleet/zones/table.go
+++ b/fleet/zones/table.go
@@ -2,35 +2,41 @@
 
 import "math/bits"
 
-// maxZones bounds the zones of a view. Zones that only peers name may take half of the places.
+// maxZones limits the number of zones in a view. Zones that are known from peers alone may use half of the
+// entries.
 const maxZones = 64
 
-// evidenceSlots is the number of bits of a zone's evidence; past that stores share them.
+// evidenceSlots is the number of bits in a zone's evidence. In a zone with more stores, several stores share
+// a slot.
 const evidenceSlots = 64
 
-// minHeardPeriods is for how many periods a zone counts as heard, at the least.
+// minHeardPeriods is the minimum number of protocol periods for which a zone counts as heard after its last
+// message.
 const minHeardPeriods = 6
 
-// zone is what is held of one zone.
+// zone is what this front holds of one zone.
 type zone struct {
 	name             string
-	size             float64 // of its open stores
+	size             float64 // total size of its open stores
 	storeSlots       uint64  // slots of its open stores
-	seen, failed     uint64  // this front's evidence, by slot
+	seen             uint64  // slots of stores that this front has used within the window
+	failed           uint64  // those of them whose last outcome was a failure
 	outcomeCounts    [numOutcomes]float64
 	outcomeCountedAt Time
-	fronts           int  // members there, this one included
-	lastHeardAt      Time // last message of one of them
-	row              row  // of this front's zone
+	fronts           int  // number of members there, this front included
+	lastHeardAt      Time // time of the last message of one of them
+	row              row  // row of this front's zone
 	appliedShare     float64
-	otherRows        []otherRow // rows of other zones' fronts about this zone, by their zone
+	otherRows        []otherRow // rows of other zones' fronts about this zone, indexed by their zone
 	order            storedOrder
 }
 
-// zoneIndex returns a zone's index and adds the zone if need be, or returns noZone.
+// zoneIndex returns a zone's index, or adds the zone if it is unknown. It returns noZone if there is no free
+// entry.
 //
-// Danger: made-up members of made-up zones would leave no place for zones that have stores. What peers name
-// may take half of the places, and zones without stores, members and plan are replaced.
+// Zones that only peers name may use half of the entries, and a zone without stores, members and plan is
+// replaced by a new one. Without this, made-up members of made-up zones could leave no entry for zones that
+// have stores.
 func (z *Zones) zoneIndex(name string, listed bool) int {
 	if index, known := z.zoneByName[name]; known {
 		return index
@@ -57,7 +63,8 @@
 	return index
 }
 
-// reclaimZone frees the place of a zone that nothing is held of, and returns its index or noZone.
+// reclaimZone frees the entry of a zone without stores, fronts and plan. It returns the entry's index, or
+// noZone if there is none.
 func (z *Zones) reclaimZone() int {
 	for index := 1; index < len(z.zones); index++ {
 		unused := &z.zones[index]
@@ -67,7 +74,7 @@
 		delete(z.zoneByName, unused.name)
 		for k := range z.zones {
 			if index < len(z.zones[k].otherRows) {
-				z.zones[k].otherRows[index] = otherRow{} // of the zone that had this place
+				z.zones[k].otherRows[index] = otherRow{} // row of the zone that used this index before
 			}
 		}
 		return index
@@ -75,7 +82,7 @@
 	return noZone
 }
 
-// SetZoneLastHeard takes in when a front of a zone was last heard.
+// SetZoneLastHeard records when a front of a zone was last heard.
 func (z *Zones) SetZoneLastHeard(zone string, at Time) {
 	index, known := z.zoneByName[zone]
 	if known {
@@ -83,12 +90,12 @@
 	}
 }
 
-// heardLately reports whether fronts of a zone have been heard lately. The span grows with the number of
-// zones, since membership probes one zone in a period.
+// heardLately reports whether fronts of a zone have been heard recently. The time allowed grows with the
+// number of zones, since membership probes only one zone per period.
 func (z *Zones) heardLately(zoneIndex int) bool {
 	span := Time(max(minHeardPeriods, 2*len(z.zones)+2)) * z.config.Period
 	return z.now-z.zones[zoneIndex].lastHeardAt <= span
 }
 
-// storeCount returns the number of a zone's stores, by slots.
+// storeCount returns the number of slots that the zone's open stores use.
 func (zn *zone) storeCount() int { return bits.OnesCount64(zn.storeSlots) }
--- a/fleet/zones/tick.go
+++ b/fleet/zones/tick.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// ticksPerPeriod is how often Tick is due in a protocol period.
+// ticksPerPeriod is the number of ticks in a protocol period.
 const ticksPerPeriod = 10
 
 // Next returns when Tick must be called again.
 func (z *Zones) Next() Time { return z.nextTickAt }
 
-// Tick does what is due. It must be called at the time that Next returns; a call before that does nothing.
+// Tick performs the periodic work. It must be called at the time that Next returns; a call before that does
+// nothing.
 func (z *Zones) Tick(now Time) {
 	z.now = now
 	if now < z.nextTickAt {
@@ -22,7 +23,7 @@
 	}
 }
 
-// reviewZone changes a zone's row if that is due.
+// reviewZone changes a zone's row if a change is due.
 func (z *Zones) reviewZone(zoneIndex int) {
 	z.refreshOrder(zoneIndex)
 	r := &z.zones[zoneIndex].row
@@ -42,7 +43,7 @@
 	z.refreshRow(zoneIndex)
 }
 
-// reviewInService drains a zone by the verdict, or logs what else is wrong there.
+// reviewInService drains a zone if the verdict says so, or else logs a new suspicion.
 func (z *Zones) reviewInService(zoneIndex int) {
 	zn := &z.zones[zoneIndex]
 	drain, why := z.verdict(zoneIndex)
@@ -57,8 +58,8 @@
 	zn.row.suspected = suspected
 }
 
-// HandleStall takes in that this front's process stood still. What it saw before that counts for nothing, and it
-// follows no plan of before; it adopts the next one that it receives.
+// HandleStall must be called after this front's process was stopped for some time. Outcomes from before the
+// stall are discarded, and rows from before it are no longer followed; the next ones received are adopted.
 func (z *Zones) HandleStall(now Time) {
 	z.now = now
 	z.HandleOverload(now)
@@ -76,8 +77,8 @@
 	}
 }
 
-// HandleOverload takes in that this front is short of processor time. For a period its failures count for
-// nothing, since a timeout may be its own.
+// HandleOverload must be called when this front is short of processor time. Its failures are ignored for one
+// period, since a timeout may be caused by the front itself.
 func (z *Zones) HandleOverload(now Time) {
 	z.ignoreFailuresUntil = max(z.ignoreFailuresUntil, now+z.config.Period)
 }
--- a/fleet/zones/verdict.go
+++ b/fleet/zones/verdict.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// minSoundStores is how many stores two fronts of this zone have to reach without failure before a zone
-// counts as reached well.
+// minHealthyStores is the number of stores that fronts of this zone must reach without any failure for a zone
+// to count as reachable, whatever other zones report.
 const minHealthyStores = 2
 
-// outsideReports is what the fronts of all zones outside a zone report of it.
+// outsideReports sums up what the fronts of all zones outside a zone report about it.
 type outsideReports struct {
-	zones        int    // that are heard
-	failing      int    // zones that see it fail, or have drained it
-	failedSlots  uint64 // stores that these see fail, together
+	zones        int    // zones that have been heard
+	failing      int    // zones that see it fail or have drained it
+	failedSlots  uint64 // union of the stores that these zones see fail
 	descriptions []string
-	reachable    bool // this zone's fronts reach it well, whatever others report
+	reachable    bool // this zone's fronts reach it without failures, whatever others report
 }
 
-// drainedBy reports whether another zone's fronts have drained a zone for what they saw of it.
+// drainedBy reports whether another zone's fronts have drained a zone because of their own evidence.
 func (z *Zones) drainedBy(from, of int) bool {
 	if from >= len(z.zones[of].otherRows) {
 		return false
@@ -27,7 +27,7 @@
 	return other.state.drains() && !other.byOperator && z.now-other.publishedAt <= z.config.NoteTTL
 }
 
-// collectOutsideReports collects the reports of all zones that are heard, but for the zone itself.
+// collectOutsideReports merges the reports of all zones that have been heard, except the zone itself.
 func (z *Zones) collectOutsideReports(of int) (reports outsideReports) {
 	for from := range z.zones {
 		f := &z.zones[from]
@@ -56,13 +56,14 @@
 	return reports
 }
 
-// reachesHealthyStores reports whether so many observers see stores of the zone and no failure.
+// reachesHealthyStores reports whether at least so many observers see stores of the zone and none of them
+// sees a failure.
 func (r *report) reachesHealthyStores(observers int) bool {
 	return r.healthy && r.failed == 0 && r.seen >= minHealthyStores && r.observers >= observers
 }
 
-// verdict returns whether a zone is to be drained, and why; or what else is wrong there. The text is empty if
-// nothing is.
+// verdict returns whether a zone is to be drained, and why. If it is not, the text says which failures are
+// seen, and is empty if there are none.
 func (z *Zones) verdict(of int) (drain bool, why string) {
 	zn := &z.zones[of]
 	outside := z.collectOutsideReports(of)
@@ -89,7 +90,8 @@
 	case of == ownZone && inside.fails && zn.enoughFailed(inside.failedSlots) && outside.failing > 0 && majority:
 		return true, "gone, as inside and outside see: " + text
 	case of != ownZone && outside.failing == 1 && outside.zones == 1 && !inside.healthy:
-		// There is no other zone to ask: it is down or this zone is cut off, and either way it cannot be reached.
+		// No other zone can be asked: either that zone is down or this one is partitioned from it. It cannot
+		// be reached in both cases.
 		return true, "out of reach, and nobody else is heard: " + text
 	case outside.failing > 0:
 		return false, "the way there alone: " + text
