--- a/fleet/zones/zones.go
+++ b/fleet/zones/zones.go
@@ -1,87 +1,89 @@
 package zones
 
-// LongestOrder is how long an operator's order may last: a day.
+// MaxOrderDuration is the longest duration of an operator's order: a day.
 const MaxOrderDuration = Time(24*3600*1000) * timePerMillisecond
 
-// incarnationShift leaves room for the versions of this life's evidence, below the incarnation.
+// incarnationShift is the position of the incarnation in evidence versions. The bits below it count the notes
+// published within one incarnation.
 const incarnationShift = 20
 
-// Factors of the window of evidence.
+// Factors that determine the window of evidence.
 const (
-	windowFallSpans   = 2
-	windowPeriods     = 4
-	windowColdDivisor = 2
+	windowTolerances    = 2
+	windowPeriods       = 4
+	windowWarmupDivisor = 2
 )
 
 // ownZone is the index of the front's own zone.
 const ownZone = 0
 
-// noZone is the index of no zone.
+// noZone is returned in place of an index when there is no zone.
 const noZone = -1
 
-// Host carries out the actions of this package.
+// Host performs the actions of this package.
 type Host interface {
-	// SetShare is told the share of ordinary traffic that may go to a zone, from 0 to 1.
+	// SetShare sets the share of ordinary traffic that may go to a zone, from 0 to 1.
 	SetShare(zone string, share float64)
 	// Publish spreads a note to all fronts. The body is valid only during the call.
 	Publish(key string, version uint64, body []byte, spread Spread)
-	// StopSpreading says that the note held under this key need not be spread any more.
+	// StopSpreading stops spreading the note that is held under the key.
 	StopSpreading(key string)
-	// Log writes one line of the front's log.
+	// Log writes one line to the front's log.
 	Log(text string)
 }
 
-// Config is the configuration of the front itself, with the settings that all figures here are ratios of.
+// Config is the configuration of the front itself, with the settings from which the package's timeouts are
+// derived.
 type Config struct {
 	Name, Zone        string
 	Incarnation       uint64
-	Period            Time    // of the membership protocol
-	MaxObservers      int     // bound on the other fronts whose evidence is kept
-	ColdCapacity      float64 // part of its capacity that a store has as it starts, from 0 to 1
-	WarmupTime        Time    // after that time it has all of its capacity
+	Period            Time    // protocol period of the membership protocol
+	MaxObservers      int     // maximum number of other fronts whose evidence is kept
+	ColdCapacity      float64 // fraction of its capacity that a store has right after its start, from 0 to 1
+	WarmupTime        Time    // time after its start at which a store has its full capacity
 	OverloadTolerance Time    // how long a store must be overloaded before it fails
-	NoteTTL           Time    // a note older than that counts for nothing
+	NoteTTL           Time    // age at which a note expires
 }
 
-// Zones is the view of one front. It is not safe for concurrent use.
+// Zones is one front's view of all zones. It is not safe for concurrent use.
 type Zones struct {
 	host   Host
 	config Config
-	now    Time // of the call in hand
+	now    Time // time of the current call
 
-	// The tables (table.go).
+	// Tables of stores, zones and observers (table.go, stores.go, observers.go).
 	stores         []store
 	storeByID      map[string]int
 	freeStores     []int
-	zones          []zone // the front's own first
+	zones          []zone // the front's own zone comes first
 	zoneByName     map[string]int
 	observers      []observer
 	observerByName map[string]int
 	freeObservers  []int
 
 	// Outcomes of this front's requests (outcomes.go).
-	window              Time // evidence older than that counts for nothing
+	window              Time // age at which evidence expires
 	ignoreFailuresUntil Time
-	lastAnswerAt        Time    // of any store
-	failuresSinceAnswer int     // of all stores
-	latencyRatio        float64 // answer times over the expected, averaged
-	bestLatencyRatio    float64 // the lowest average, which rises slowly
+	lastAnswerAt        Time    // last answer of any store
+	failuresSinceAnswer int     // consecutive failures of all stores
+	latencyRatio        float64 // average of the ratio of actual to expected latency
+	bestLatencyRatio    float64 // lowest average ratio so far, which rises slowly
 
-	// Evidence that this front publishes (evidence.go).
+	// Evidence that this front publishes (evidence.go, publish.go).
 	evidenceVersion uint64
 	published       []zoneEvidence
 	publishedAt     Time
 	publishedLoad   uint8
-	publishPause    Time // between two notes of evidence; it doubles with each
+	publishPause    Time // shortest time until the next evidence note; doubles with each
 
 	nextTickAt Time
 
-	// Scratch space, so that steady operation allocates nothing.
+	// Buffers that are reused, so that steady operation does not allocate.
 	evidenceRows []zoneEvidence
 	noteBody     []byte
 	hashInput    []byte
 
-	// Dropped counts notes that could not be read.
+	// Dropped counts the notes that could not be decoded.
 	Dropped uint64
 }
 
@@ -103,9 +105,10 @@
 	return z
 }
 
-// Configure takes over what the settings say of cold stores: the part of its capacity with which one starts, after which
-// time it has all of it, and how long it must be overloaded to fail. Orders and steps that have begun keep their times.
-func (z *Zones) Configure(startShare float64, cold, fallSpan Time) {
-	z.config.ColdCapacity, z.config.WarmupTime, z.config.OverloadTolerance = startShare, cold, fallSpan
-	z.window = max(windowFallSpans*fallSpan, windowPeriods*z.config.Period, cold/windowColdDivisor)
+// Configure applies the settings for cold stores: the fraction of its capacity with which a store starts, the
+// time after which it has all of it, and how long it must be overloaded before it fails. Orders and ramp
+// steps that have already begun keep their times.
+func (z *Zones) Configure(coldCapacity float64, warmupTime, overloadTolerance Time) {
+	z.config.ColdCapacity, z.config.WarmupTime, z.config.OverloadTolerance = coldCapacity, warmupTime, overloadTolerance
+	z.window = max(windowTolerances*overloadTolerance, windowPeriods*z.config.Period, warmupTime/windowWarmupDivisor)
 }
--- a/fleet/zones/zones_test.go
+++ b/fleet/zones/zones_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// testHost is a host that notes what it is told.
+// testHost records the calls of a view.
 type testHost struct {
 	log      []string
 	shares   map[string]float64
-	versions []uint64 // of the plans told
+	versions []uint64 // versions of the published rows
 }
 
 func (h *testHost) SetShare(zone string, share float64) { h.shares[zone] = share }
@@ -34,7 +34,8 @@
 	return n
 }
 
-// newTestZones gives a front of zone a, with two more of its zone and two of each other, and four stores in each zone.
+// newTestZones returns the view of a front in zone a, with two more fronts in its zone, three in each of the
+// zones b and c, and four stores in each zone.
 func newTestZones() (*Zones, *testHost) {
 	h := &testHost{shares: map[string]float64{}}
 	z := New(1000, Config{Name: "a0", Zone: "a", Incarnation: 1, Period: 5000, MaxObservers: 64, ColdCapacity: 0.15, WarmupTime: 80_000, OverloadTolerance: 15_000,
@@ -58,8 +59,9 @@
 	z.ReceiveNote(now, []byte("pa\x00"+zone), r.version(), 0, p.append(nil))
 }
 
-// TestTwoSetOneEpoch: two fronts of a zone set a row within one moment, one a step back and one away. The graver holds, the log
-// says so, and what was seen before counts no more.
+// TestConcurrentRowsOfOneEpoch lets two fronts of a zone set a row in the same epoch, one to an earlier ramp
+// step and one to drained. The row that drains more wins, the log shows it, and earlier evidence no longer
+// counts.
 func TestConcurrentRowsOfOneEpoch(t *testing.T) {
 	z, h := newTestZones()
 	z.receivePlanOf(2000, "c", plan{epoch: 3, baseEpoch: 2, state: Recovering, permille: 256, step: 1, setBy: "a1"}, 0)
@@ -68,14 +70,15 @@
 	z.receivePlanOf(2300, "c", plan{epoch: 4, baseEpoch: 4, state: Drained, dwell: 90_000, setBy: "a2"}, 0)
 	z.receivePlanOf(2400, "c", plan{epoch: 4, baseEpoch: 2, state: Recovering, permille: 150, setBy: "a1"}, 9)
 	if h.shares["c"] != 0 || h.countLogs("zone c", "to away") != 1 {
-		t.Errorf("part %v, %q", h.shares["c"], h.log)
+		t.Errorf("share %v, log %q", h.shares["c"], h.log)
 	}
 	if z.updateEvidence(); z.zones[z.zoneByName["c"]].seen != 0 {
-		t.Error("what was seen before still counts")
+		t.Error("evidence from before the new base epoch still counts")
 	}
 }
 
-// TestReturnBeginsAnew: failures that were seen while a zone was away do not end the return as it begins.
+// TestRecoveryIgnoresEarlierFailures checks that failures seen while a zone was drained do not end its
+// recovery as it starts.
 func TestRecoveryIgnoresEarlierFailures(t *testing.T) {
 	z, h := newTestZones()
 	z.receivePlanOf(2000, "c", plan{epoch: 1, baseEpoch: 1, state: Drained, dwell: 90_000, setBy: "a1"}, 0)
@@ -92,11 +95,12 @@
 	z.Tick(z.Next())
 	z.Tick(z.Next())
 	if h.countLogs("failed on the way back") > 0 || h.shares["c"] != 0.15 {
-		t.Errorf("part %v, %q", h.shares["c"], h.log)
+		t.Errorf("share %v, log %q", h.shares["c"], h.log)
 	}
 }
 
-// TestHostileNotes: notes that are cut, long or of another shape are counted and change nothing.
+// TestMalformedNotes checks that truncated, overlong and otherwise malformed notes are counted and change
+// nothing, and that made-up zones leave room for zones with stores.
 func TestMalformedNotes(t *testing.T) {
 	z, h := newTestZones()
 	good := (&plan{epoch: 1, baseEpoch: 1, state: Drained, setBy: "a1"}).append(nil)
@@ -110,21 +114,22 @@
 	z.ReceiveNote(2000, []byte("oc"), 1, 0, []byte{9})
 	z.ReceiveNote(2000, []byte("ea1"), 1, 0, []byte{noteFormat, 1, 'a', 0, 200})
 	if z.Dropped == 0 || len(h.shares) > 0 || len(h.log) > 0 {
-		t.Errorf("%d dropped, %v, %q", z.Dropped, h.shares, h.log)
+		t.Errorf("%d dropped, shares %v, log %q", z.Dropped, h.shares, h.log)
 	}
 	for n := range 1000 {
 		z.UpdateMember(2000, fmt.Sprint("x", n), fmt.Sprint("y", n), true)
 	}
 	if len(z.zones) > maxZones/2 || len(z.observers) > 64 {
-		t.Errorf("%d zones, %d observers", len(z.zones), len(z.observers))
+		t.Errorf("%d zones and %d observers exceed the limits", len(z.zones), len(z.observers))
 	}
 	z.UpdateStores(3000, true, []Store{{ID: "n", Zone: "new", Size: 1, Open: true}})
 	if _, ok := z.zoneByName["new"]; !ok {
-		t.Error("a zone with stores finds no place")
+		t.Error("a zone with stores was not added")
 	}
 }
 
-// TestToldAgainIsNewer: a row that others have told again is told as a newer one, also past the last number.
+// TestRefreshedRowIsNewer checks that a row that others have refreshed is republished with a newer version,
+// also when the refresh counter overflows.
 func TestRefreshedRowIsNewer(t *testing.T) {
 	for _, refresh := range []uint16{5, 65535} {
 		z, h := newTestZones()
@@ -135,7 +140,7 @@
 			z.Tick(z.Next())
 		}
 		if len(h.versions) == 0 || h.versions[0] <= heard {
-			t.Errorf("refresh %d: told %v after %d", refresh, h.versions, heard)
+			t.Errorf("refresh %d: published versions %v after %d", refresh, h.versions, heard)
 		}
 	}
 }
