--- a/fleet/zones/encoding.go
+++ b/fleet/zones/encoding.go
@@ -6,43 +6,44 @@
 	"math"
 )
 
-// Three kinds of notes are published, told apart by the first byte of their keys. Numbers are varints; the
-// slots of evidence are 8 bytes, little-endian.
+// Kinds of notes, encoded as the first byte of a note's key. Integers in note bodies are varints; bitmaps of
+// slots are 8 bytes, little-endian.
 const (
 	keyEvidence = 'e' // followed by the observer's name
-	keyPlan     = 'p' // followed by the zone it is for, a zero byte, and the zone it is about
+	keyPlan     = 'p' // followed by the zone whose fronts set the row, a zero byte, and the zone it is about
 	keyOrder    = 'o' // followed by the zone
 )
 
-// noteFormat is the first byte of each note's body.
+// noteFormat is the format version, the first byte of every note's body.
 const noteFormat = 1
 
-// Bounds of what is read.
+// Limits on what is decoded.
 const (
 	maxZoneName     = 32 // bytes
-	maxEvidenceRows = 6  // zones in one note of evidence, those with failures first
-	maxSpan         = 1 << 40
+	maxEvidenceRows = 6  // zones in one evidence note; zones with failures come first
+	maxDuration     = 1 << 40
 )
 
-// Bits of an order's flags.
+// Bits of the flags byte of an order.
 const (
-	orderFlagLeave byte = 1 << iota
+	orderFlagDrain byte = 1 << iota
 	orderFlagForce
 )
 
-var errNoteFormat = errors.New("a note of an unknown shape")
+var errNoteFormat = errors.New("malformed note or unknown note format")
 
-// zoneEvidence is what one observer has seen of one zone's stores: a bit for each slot.
+// zoneEvidence is what one observer has seen of one zone's stores, with one bit for each slot.
 type zoneEvidence struct {
-	zone         string
-	baseEpoch    uint32 // of the row that it was gathered under
-	seen, failed uint64
+	zone      string
+	baseEpoch uint32 // base epoch of the plan row under which the evidence was collected
+	seen      uint64 // slots of stores used within the window
+	failed    uint64 // those of them whose last outcome was a failure
 }
 
-// evidence is what one observer publishes.
+// evidence is the content of one observer's evidence note.
 type evidence struct {
-	zone string // the observer's
-	load uint8  // that it sees, in 255ths
+	zone string // zone that the observer runs in
+	load uint8  // load that the observer estimates, in units of 1/255
 	rows []zoneEvidence
 }
 
@@ -60,21 +61,21 @@
 	return dst
 }
 
-// appendName appends a name of at most 255 bytes behind its length.
+// appendName appends a name of at most 255 bytes, preceded by its length.
 func appendName(dst []byte, name string) []byte {
 	dst = append(dst, byte(len(name)))
 	return append(dst, name...)
 }
 
-// reader reads the parts of a note. After the first fault it returns zero values.
+// reader decodes the fields of a note. After the first decoding failure it returns zero values.
 type reader struct {
-	rest  []byte
-	fault bool
+	rest   []byte
+	failed bool
 }
 
 func (r *reader) bytes(count int) []byte {
-	if r.fault || count < 0 || count > len(r.rest) {
-		r.fault = true
+	if r.failed || count < 0 || count > len(r.rest) {
+		r.failed = true
 		return nil
 	}
 	part := r.rest[:count]
@@ -92,8 +93,8 @@
 
 func (r *reader) varint(limit uint64) uint64 {
 	value, length := binary.Uvarint(r.rest)
-	if r.fault || length <= 0 || value > limit {
-		r.fault = true
+	if r.failed || length <= 0 || value > limit {
+		r.failed = true
 		return 0
 	}
 	r.rest = r.rest[length:]
@@ -111,29 +112,29 @@
 func (r *reader) zoneName() []byte {
 	length := int(r.byte())
 	if length == 0 || length > maxZoneName {
-		r.fault = true
+		r.failed = true
 		return nil
 	}
 	return r.bytes(length)
 }
 
-// finish returns an error if there was a fault, or bytes are left.
+// finish returns errNoteFormat if decoding has failed or bytes are left over.
 func (r *reader) finish() error {
-	if r.fault || len(r.rest) > 0 {
+	if r.failed || len(r.rest) > 0 {
 		return errNoteFormat
 	}
 	return nil
 }
 
-// reuse returns the string that is held if it is the same, so that nothing is allocated.
-func reuse(held string, name []byte) string {
-	if held == string(name) {
-		return held
+// reuse returns the existing string if it equals name, which avoids an allocation.
+func reuse(existing string, name []byte) string {
+	if existing == string(name) {
+		return existing
 	}
 	return string(name)
 }
 
-// read replaces the evidence that is held. On an error no rows are held.
+// read replaces the evidence with the decoded body. If it returns an error, the evidence has no rows.
 func (e *evidence) read(body []byte) error {
 	r := reader{rest: body}
 	e.rows = e.rows[:0]
@@ -159,7 +160,8 @@
 	return nil
 }
 
-// readRow adds a row, in the place of a former one if there is any, whose string it may keep.
+// readRow appends a decoded row. It reuses the slice element that an earlier row left behind, with its string
+// if that is equal.
 func (e *evidence) readRow(r *reader) {
 	if cap(e.rows) > len(e.rows) {
 		e.rows = e.rows[:len(e.rows)+1]
@@ -172,20 +174,21 @@
 	row.seen = r.slots()
 	row.failed = r.slots()
 	if row.failed&^row.seen != 0 {
-		r.fault = true
+		r.failed = true
 	}
 }
 
 // plan is the published part of a row.
 type plan struct {
-	epoch, baseEpoch uint32 // of the last change; since which evidence counts
-	state            State
-	permille         int  // share of ordinary traffic, in thousandths
-	step             int  // of the ramp
-	byOperator       bool // set for an operator's order
-	age              Time // of the epoch
-	dwell            Time // for which the zone stays drained before trials
-	setBy            string
+	epoch      uint32 // number of the last change of the row
+	baseEpoch  uint32 // epoch since which evidence counts
+	state      State
+	permille   int  // share of ordinary traffic, in thousandths
+	step       int  // step of the recovery ramp
+	byOperator bool // the row was set because of an operator's order
+	epochAge   Time // time since the epoch began
+	dwell      Time // how long the zone stays drained before trials begin
+	setBy      string
 }
 
 func (p *plan) append(dst []byte) []byte {
@@ -197,7 +200,7 @@
 	dst = binary.AppendUvarint(dst, uint64(p.epoch))
 	dst = binary.AppendUvarint(dst, uint64(p.baseEpoch))
 	dst = binary.AppendUvarint(dst, uint64(p.permille))
-	dst = binary.AppendUvarint(dst, uint64(max(p.age, 0)))
+	dst = binary.AppendUvarint(dst, uint64(max(p.epochAge, 0)))
 	dst = binary.AppendUvarint(dst, uint64(p.dwell))
 	return appendName(dst, p.setBy)
 }
@@ -214,8 +217,8 @@
 	p.epoch = uint32(r.varint(math.MaxUint32))
 	p.baseEpoch = uint32(r.varint(math.MaxUint32))
 	p.permille = int(r.varint(wholePermille))
-	p.age = Time(r.varint(maxSpan))
-	p.dwell = Time(r.varint(maxSpan))
+	p.epochAge = Time(r.varint(maxDuration))
+	p.dwell = Time(r.varint(maxDuration))
 	p.setBy = string(r.bytes(int(r.byte())))
 	if p.state > Recovering || p.step > rampSteps || p.baseEpoch > p.epoch || p.state == Suspected {
 		return plan{}, errNoteFormat
@@ -223,23 +226,23 @@
 	return p, r.finish()
 }
 
-// order is an operator's order.
+// order is an operator's order for one zone.
 type order struct {
-	leave bool // to drain the zone; else to return to it
-	force bool // even if the other zones cannot take its traffic
-	span  Time // for which it stands
+	drain    bool // drains the zone; otherwise the order returns the zone to service
+	force    bool // drains even if the other zones lack the capacity for its traffic
+	duration Time // how long the order is in force
 }
 
 func (o order) append(dst []byte) []byte {
 	var flags byte
-	if o.leave {
-		flags |= orderFlagLeave
+	if o.drain {
+		flags |= orderFlagDrain
 	}
 	if o.force {
 		flags |= orderFlagForce
 	}
 	dst = append(dst, noteFormat, flags)
-	return binary.AppendUvarint(dst, uint64(o.span))
+	return binary.AppendUvarint(dst, uint64(o.duration))
 }
 
 func readOrder(body []byte) (order, error) {
@@ -249,9 +252,9 @@
 	}
 	flags := r.byte()
 	o := order{
-		leave: flags&orderFlagLeave != 0,
-		force: flags&orderFlagForce != 0,
-		span:  Time(r.varint(uint64(MaxOrderDuration))),
+		drain:    flags&orderFlagDrain != 0,
+		force:    flags&orderFlagForce != 0,
+		duration: Time(r.varint(uint64(MaxOrderDuration))),
 	}
 	return o, r.finish()
 }
