--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -1,39 +1,41 @@
 package membership
 
-// Mean times between full exchanges, in periods.
+// Mean times between full syncs, in periods.
 const (
 	syncPeriods    = 60 // with any member
-	rejoinPeriods  = 8  // with a member that is dead, or with a seed
-	joinPeriods    = 1  // with the seeds in turn, until one has answered
-	catchUpPeriods = 4  // with any member, after an answer that told much
+	rejoinPeriods  = 8  // with a dead member or a seed
+	joinPeriods    = 1  // with one seed after the other, until one has answered
+	catchUpPeriods = 4  // with any member, after a response with much that was new
 )
 
-// minLearned is of how many members an answer has to tell something new to count as much.
+// minLearned is the number of members about which a response must contain something new to trigger another
+// sync soon.
 const minLearned = 8
 
-// SyncMessage returns the message that begins a full exchange (Whole) or answers the one that was taken in last (Answer). It is
-// valid until the next call.
+// SyncMessage returns the message that begins a full sync (SyncRequest), or the one that answers the
+// SyncRequest received last (SyncResponse). It is valid until the next call.
 func (m *Members) SyncMessage(kind Kind) *Message {
 	m.messageFacts = m.messageFacts[:0]
 	m.messageNotes = m.messageNotes[:0]
 	m.message = Message{Kind: kind, Sender: m.factOf(selfIndex)}
 	switch {
 	case kind == SyncRequest:
-		m.openDigest()
-	case m.askerHasDigest && m.askerDigest.holdsNothing():
-		m.openDifference(&m.firstBudget, minFirstBytes)
-	case m.askerHasDigest:
-		m.openDifference(&m.answerBudget, minAnswerBytes)
+		m.fillSyncRequest()
+	case m.requesterSentDigest && m.requesterDigest.nearlyEmpty():
+		m.fillDifference(&m.startupBudget, minStartupBytes)
+	case m.requesterSentDigest:
+		m.fillDifference(&m.responseBudget, minResponseBytes)
 	default:
-		m.openAll()
+		m.fillEverything()
 	}
-	m.askerHasDigest = false
+	m.requesterSentDigest = false
 	m.message.Facts, m.message.Notes = m.messageFacts, m.messageNotes
 	return &m.message
 }
 
-// openAll fills the scratch message with all that this front holds: the asker's program sends no digest.
-func (m *Members) openAll() {
+// fillEverything fills the reused message with all that this front holds, for a requester whose version sends
+// no digest.
+func (m *Members) fillEverything() {
 	for index := 1; index < len(m.members); index++ {
 		if m.members[index].used {
 			m.messageFacts = append(m.messageFacts, m.factOf(int32(index)))
@@ -47,7 +49,7 @@
 	}
 }
 
-// startExchanges asks for the full exchanges that are due.
+// startExchanges starts the full syncs that are due.
 func (m *Members) startExchanges() {
 	if m.now >= m.nextRejoinAt {
 		m.nextRejoinAt = m.now + m.jitter(rejoinPeriods)
@@ -62,10 +64,9 @@
 	}
 }
 
-// rejoin contacts one seed after the other until one has answered, and after that one address at a time that may belong to
-// another half of a cut fleet.
-//
-// Danger: where a whole fleet starts, each seed is asked by all at once.
+// rejoin contacts one seed after the other until one has answered. After that it contacts one address at a
+// time that may belong to another half of a partitioned fleet. Only one seed is contacted at a time because
+// when a whole fleet starts, every front contacts the seeds at once.
 func (m *Members) rejoin() {
 	if m.joined {
 		addr := m.unreachedAddr()
@@ -75,53 +76,54 @@
 		return
 	}
 	m.nextRejoinAt = m.now + m.jitter(joinPeriods)
-	for range m.self.Seeds {
-		addr := m.self.Seeds[m.seedTurn]
-		m.seedTurn = (m.seedTurn + 1) % len(m.self.Seeds)
-		if addr != m.self.Addr {
+	for range m.config.Seeds {
+		addr := m.config.Seeds[m.nextSeed]
+		m.nextSeed = (m.nextSeed + 1) % len(m.config.Seeds)
+		if addr != m.config.Addr {
 			m.host.StartSync(addr)
 			return
 		}
 	}
 }
 
-// catchUp has the next exchange follow soon where the last answer told of many members: there is more to be told then.
+// catchUp schedules the next sync soon if the last response was about many members, since there is probably
+// more to learn then.
 func (m *Members) catchUp() {
 	if m.learned >= minLearned {
 		m.nextSyncAt = min(m.nextSyncAt, m.now+m.jitter(catchUpPeriods))
 	}
 }
 
-// unreachedAddr returns the address of a member that is dead, or of a seed that no living member has, from a
-// random position on; or "".
+// unreachedAddr returns the address of a dead member, or of a seed that is not the address of any living
+// member, starting at a random position. It returns "" if there is none.
 func (m *Members) unreachedAddr() string {
-	count := len(m.members) + len(m.self.Seeds)
+	count := len(m.members) + len(m.config.Seeds)
 	start := int(m.random.Below(int64(count)))
 	for k := range count {
 		position := (start + k) % count
 		if position >= len(m.members) {
-			seed := m.self.Seeds[position-len(m.members)]
+			seed := m.config.Seeds[position-len(m.members)]
 			if !m.holdsAddr(seed) {
 				return seed
 			}
 			continue
 		}
-		e := &m.members[position]
-		if e.used && e.state == Dead && e.lastDirectAt > 0 {
-			return e.addr
+		entry := &m.members[position]
+		if entry.used && entry.state == Dead && entry.lastDirectAt > 0 {
+			return entry.addr
 		}
 	}
 	return ""
 }
 
-// holdsAddr reports whether an address is this front's or that of a member that is not known to be dead.
+// holdsAddr reports whether an address is this front's own or that of a member that is not known to be dead.
 func (m *Members) holdsAddr(addr string) bool {
-	if addr == m.self.Addr {
+	if addr == m.config.Addr {
 		return true
 	}
 	for index := range m.members {
-		e := &m.members[index]
-		if e.addr == addr && e.state <= Suspect {
+		entry := &m.members[index]
+		if entry.addr == addr && entry.state <= Suspect {
 			return true
 		}
 	}
