--- a/fleet/summary/summary.go
+++ b/fleet/summary/summary.go
@@ -50,7 +50,7 @@
 	s.sending = false
 	switch {
 	case refused:
-		s.host.Log("summary refused: another front holds a newer lease")
+		s.host.Log("the summary was refused: another front has a newer lease")
 	case failure != "":
 		s.host.Log("sending the summary failed: " + failure)
 	}
