--- a/cmd/micatrack/bolt_test.go
+++ b/cmd/micatrack/bolt_test.go
@@ -29,7 +29,7 @@
 
 func newGraph(t testing.TB, names ...string) *graph {
 	g := &graph{t: t, group: standin.NewGroup(1, 3*time.Second, names...), stores: map[string]*standin.Bolt{}}
-	var lines []standin.Line
+	var lines []standin.Server
 	for i, name := range names {
 		s, err := standin.NewBolt(name, g.group)
 		if err != nil {
@@ -41,7 +41,7 @@
 		if i == 0 {
 			role = "primary"
 		}
-		lines = append(lines, standin.Line{ID: name, Addr: s.Addr(), Zone: "a", Kind: "k", Cell: 1, State: "active", Weight: 1, Role: role, Protocol: "bolt"})
+		lines = append(lines, standin.Server{ID: name, Addr: s.Addr(), Zone: "a", Kind: "k", Group: 1, State: "active", Weight: 1, Role: role, Protocol: "bolt"})
 	}
 	g.d = standin.NewDiscovery(lines...)
 	t.Cleanup(g.d.Close)
@@ -93,8 +93,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), outer)
 	defer cancel()
 	g := newGraph(t, "a", "b", "c")
-	g.group.Lag("b", 150*time.Millisecond)
-	var told []standin.Told
+	g.group.SetLag("b", 150*time.Millisecond)
+	var told []standin.Outcome
 	for _, scheme := range []string{"bolt", "neo4j"} {
 		s := g.driver(scheme).NewSession(ctx, neo4j.SessionConfig{})
 		res, err := s.Run(ctx, "RETURN range(1, 50000)", nil, says(scheme+"-many", "any"))
@@ -104,7 +104,7 @@
 		if records, err := res.Collect(ctx); err != nil || len(records) != 50000 || records[49999].Values[0] != scheme+"-many" {
 			t.Fatalf("%s: %d records, %v", scheme, len(records), err)
 		}
-		told = append(told, standin.Told{Job: scheme + "-many", Delivered: true})
+		told = append(told, standin.Outcome{RequestID: scheme + "-many", Delivered: true})
 		after := int64(0)
 		for n := range 10 {
 			w, r := fmt.Sprintf("%s-w%d", scheme, n), fmt.Sprintf("%s-r%d", scheme, n)
@@ -121,7 +121,7 @@
 			if got, err := s.ExecuteRead(ctx, one(ctx, "RETURN 1"), says(r, "mine")); err != nil || got != r {
 				t.Fatalf("%s: %v, %v", r, got, err)
 			}
-			told = append(told, standin.Told{Job: w, Write: true, Delivered: true}, standin.Told{Job: r, Delivered: true, After: after})
+			told = append(told, standin.Outcome{RequestID: w, Write: true, Delivered: true}, standin.Outcome{RequestID: r, Delivered: true, After: after})
 		}
 		if _, err := s.Run(ctx, "RETURN 1", nil, says("x", "nosuch")); err == nil || !strings.Contains(err.Error(), "unknown class") {
 			t.Errorf("an unknown profile: %v", err)
@@ -140,7 +140,7 @@
 	defer cancel()
 	g := newGraph(t, "a", "b", "c")
 	var mu sync.Mutex
-	var told []standin.Told
+	var told []standin.Outcome
 	var all sync.WaitGroup
 	stop := time.Now().Add(4 * time.Second)
 	for k := range 8 {
@@ -153,7 +153,7 @@
 				id := fmt.Sprintf("k%d-%d", k, n)
 				_, err := s.ExecuteWrite(ctx, one(ctx, "CREATE (n)"), says(id, "save"))
 				mu.Lock()
-				told = append(told, standin.Told{Job: id, Write: true, Delivered: err == nil})
+				told = append(told, standin.Outcome{RequestID: id, Write: true, Delivered: err == nil})
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -162,12 +162,12 @@
 	for i, p := range []string{"b", "c", "a"} {
 		time.Sleep(time.Second)
 		g.group.Promote(p)
-		act := []standin.Act{standin.Break, standin.RunLost, standin.Answer}[i]
-		g.stores[p].Does(func(job string, w bolt.What) standin.Act {
+		act := []standin.Behavior{standin.Disconnect, standin.RunThenDisconnect, standin.Respond}[i]
+		g.stores[p].SetBehavior(func(job string, w bolt.MessageType) standin.Behavior {
 			if w == bolt.Commit && strings.HasSuffix(job, "3") {
 				return act
 			}
-			return standin.Answer
+			return standin.Respond
 		})
 	}
 	all.Wait()
--- a/cmd/micatrack/boltcases_test.go
+++ b/cmd/micatrack/boltcases_test.go
@@ -47,22 +47,22 @@
 		return tx
 	}
 	within := open("within")
-	g.group.Drain("a")
-	g.d.Change(func(l []standin.Line) []standin.Line { l[0].State = "leaving"; return l })
+	g.group.MarkDraining("a")
+	g.d.Update(func(l []standin.Server) []standin.Server { l[0].State = "leaving"; return l })
 	time.Sleep(50 * time.Millisecond)
 	if err := within.Commit(ctx); err != nil {
 		t.Errorf("COMMIT within the grace: %v", err)
 	}
-	g.d.Change(func(l []standin.Line) []standin.Line { l[0].State = "active"; return l })
+	g.d.Update(func(l []standin.Server) []standin.Server { l[0].State = "active"; return l })
 	time.Sleep(300 * time.Millisecond)
 	past := open("past")
-	g.d.Change(func(l []standin.Line) []standin.Line { l[0].State = "leaving"; return l })
+	g.d.Update(func(l []standin.Server) []standin.Server { l[0].State = "leaving"; return l })
 	time.Sleep(500 * time.Millisecond)
-	if code := codeOf(past.Commit(ctx)); code != bolt.TurnedBack {
+	if code := codeOf(past.Commit(ctx)); code != bolt.NoThreadsAvailable {
 		t.Errorf("COMMIT past the grace: %s", code)
 	}
 	for _, e := range g.group.Ledger() {
-		if e.Job == "past" && e.Write {
+		if e.RequestID == "past" && e.Write {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -74,21 +74,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), outer)
 	defer cancel()
 	g := newGraph(t, "a", "b")
-	act := standin.RunLost
-	g.stores["a"].Does(func(_ string, w bolt.What) standin.Act {
+	act := standin.RunThenDisconnect
+	g.stores["a"].SetBehavior(func(_ string, w bolt.MessageType) standin.Behavior {
 		if w == bolt.Commit {
 			return act
 		}
-		return standin.Answer
+		return standin.Respond
 	})
 	s := g.driver("bolt").NewSession(ctx, neo4j.SessionConfig{})
 	calls := 0
 	work := one(ctx, "CREATE (n)")
 	_, err := s.ExecuteWrite(ctx, func(tx neo4j.ManagedTransaction) (any, error) { calls++; return work(tx) }, says("lost", "save"))
-	if code := codeOf(err); code != bolt.WrittenOff || calls != 1 {
+	if code := codeOf(err); code != bolt.UnknownError || calls != 1 {
 		t.Errorf("%s after %d calls", code, calls)
 	}
-	if broken := g.group.Check([]standin.Told{{Job: "lost", Write: true}}, time.Second); broken != nil {
+	if broken := g.group.Check([]standin.Outcome{{RequestID: "lost", Write: true}}, time.Second); broken != nil {
 		t.Error(broken)
 	}
 }
@@ -99,8 +99,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), outer)
 	defer cancel()
 	g := newGraph(t, "a", "b", "c")
-	g.group.Lag("b", time.Minute)
-	g.group.Lag("c", time.Minute)
+	g.group.SetLag("b", time.Minute)
+	g.group.SetLag("c", time.Minute)
 	d := g.driver("bolt")
 	read := func(id string, marks ...string) error {
 		s := d.NewSession(ctx, neo4j.SessionConfig{Bookmarks: marks})
@@ -116,23 +116,23 @@
 	for _, c := range []struct{ id, mark, code string }{
 		{"ahead", w.LastBookmarks()[0], "<nil>"},
 		{"other", string(bolt.AppendBookmark(nil, 7, now+1_000_000)), "<nil>"},
-		{"future", string(bolt.AppendBookmark(nil, 1, now+1_000_000)), bolt.BadBookmark},
-		{"foreign", "FB:kcwQ", bolt.BadBookmark},
+		{"future", string(bolt.AppendBookmark(nil, 1, now+1_000_000)), bolt.InvalidBookmark},
+		{"foreign", "FB:kcwQ", bolt.InvalidBookmark},
 	} {
 		if code := codeOf(read(c.id, c.mark)); code != c.code {
 			t.Errorf("%s: %s, want %s", c.id, code, c.code)
 		}
 	}
 	for _, e := range g.group.Ledger() {
-		if e.Job == "ahead" && e.Store != "a" {
+		if e.RequestID == "ahead" && e.Store != "a" {
 			t.Errorf("%+v", e)
 		}
 	}
 }
 
-func packed(what bolt.What, fields int, more func(b []byte) []byte) []byte {
-	b, at := bolt.Begin(nil)
-	return bolt.End(more(bolt.AppendStruct(b, byte(what), fields)), at)
+func packed(what bolt.MessageType, fields int, more func(b []byte) []byte) []byte {
+	b, at := bolt.BeginMessage(nil)
+	return bolt.EndMessage(more(bolt.AppendStruct(b, byte(what), fields)), at)
 }
 
 func empty(b []byte) []byte { return bolt.AppendMap(b, 0) }
@@ -178,13 +178,13 @@
 	ran := 0
 	for _, e := range g.group.Ledger() {
 		var n int
-		if _, err := fmt.Sscanf(e.Job, "cut-%d", &n); err == nil && e.Write {
+		if _, err := fmt.Sscanf(e.RequestID, "cut-%d", &n); err == nil && e.Write {
 			if ran++; n < whole {
 				t.Errorf("cut at byte %d of %d, and it had its effect", n, whole)
 			}
 		}
 	}
-	if broken := g.group.Check([]standin.Told{{Job: "after", Write: true, Delivered: true}}, time.Second); broken != nil || ran > 1 {
+	if broken := g.group.Check([]standin.Outcome{{RequestID: "after", Write: true, Delivered: true}}, time.Second); broken != nil || ran > 1 {
 		t.Error(broken, ran)
 	}
 }
@@ -275,7 +275,7 @@
 	stalled := resident(t, g.pid)
 	got, total := 0, 0
 	var in []byte
-	r := bolt.Reader{Most: 1 << 16}
+	r := bolt.Reader{MaxSize: 1 << 16}
 	buf := make([]byte, 256<<10)
 	if _, err := io.ReadFull(c, buf[:4]); err != nil {
 		t.Fatal(err)
@@ -297,11 +297,11 @@
 				break
 			}
 			at += size
-			a, err := bolt.ReadAnswer(body)
+			a, err := bolt.ReadResponse(body)
 			switch {
-			case err != nil || a.What == bolt.Failure:
+			case err != nil || a.Type == bolt.Failure:
 				t.Fatalf("after %d records: %s %v", got, a.Message, err)
-			case a.What == bolt.Record:
+			case a.Type == bolt.Record:
 				got++
 			case got > 0:
 				done = true
--- a/cmd/micatrack/configlive_test.go
+++ b/cmd/micatrack/configlive_test.go
@@ -118,7 +118,7 @@
 			served++
 		}
 		if d.Lost {
-			t.Errorf("%s at %s was lost", d.Job, d.Front)
+			t.Errorf("%s at %s was lost", d.RequestID, d.Front)
 		}
 	}
 	if t.Logf("12 changes, each on the last of 5 fronts within %v; %d of %d requests served", last, served, len(done)); served < len(done)*95/100 {
--- a/cmd/micatrack/lease_test.go
+++ b/cmd/micatrack/lease_test.go
@@ -34,14 +34,14 @@
 }
 
 // newest gives the newest act that was taken, since then, and the front that did it.
-func newest(r *rig.Rig, since time.Time) (a standin.Acted, by *rig.Front) {
-	for _, x := range r.Acts.Acts() {
+func newest(r *rig.Rig, since time.Time) (a standin.Operation, by *rig.Front) {
+	for _, x := range r.Acts.Operations() {
 		if !x.Refused && !x.Began.Before(since) && x.Token >= a.Token {
 			a = x
 		}
 	}
 	for _, f := range r.Fronts {
-		if f.Name == a.By {
+		if f.Name == a.Holder {
 			by = f
 		}
 	}
@@ -61,13 +61,13 @@
 }
 
 // next waits for an act under a newer token than that, and tells how long that took.
-func next(r *rig.Rig, after uint64, since time.Time, within time.Duration, what string) (a standin.Acted, by *rig.Front) {
+func next(r *rig.Rig, after uint64, since time.Time, within time.Duration, what string) (a standin.Operation, by *rig.Front) {
 	r.T.Helper()
 	if !r.Await(within+time.Second, "an act after "+what, func() bool { a, by = newest(r, since); return a.Token > after }) {
 		said(r, since)
 		r.T.FailNow()
 	}
-	for _, x := range r.Acts.Acts() {
+	for _, x := range r.Acts.Operations() {
 		if x.Token == a.Token && !x.Refused {
 			a = x // its first
 			break
@@ -76,7 +76,7 @@
 	if gap := a.Began.Sub(since); gap > within {
 		r.T.Errorf("after %s nobody acted for %v", what, gap)
 	} else {
-		r.T.Logf("after %s %s acts under token %d, %v later", what, a.By, a.Token, gap.Round(time.Millisecond))
+		r.T.Logf("after %s %s acts under token %d, %v later", what, a.Holder, a.Token, gap.Round(time.Millisecond))
 	}
 	return a, by
 }
@@ -85,20 +85,20 @@
 // needed the token's guard.
 func alone(r *rig.Rig, late bool) {
 	r.T.Helper()
-	acts := r.Acts.Acts()
+	acts := r.Acts.Operations()
 	refused, tokens := 0, map[uint64]string{}
 	for _, a := range acts {
 		if a.Refused {
 			refused++
 		}
-		if by, ok := tokens[a.Token]; ok && by != a.By {
-			r.T.Errorf("token %d is %s's and %s's", a.Token, by, a.By)
+		if by, ok := tokens[a.Token]; ok && by != a.Holder {
+			r.T.Errorf("token %d is %s's and %s's", a.Token, by, a.Holder)
 		}
-		tokens[a.Token] = a.By
+		tokens[a.Token] = a.Holder
 	}
 	for k, p := range standin.Overlaps(acts) {
 		if k < 5 {
-			r.T.Errorf("%s under token %d and %s under %d acted at once, %v apart", p[0].By, p[0].Token, p[1].By, p[1].Token, p[1].Began.Sub(p[0].Began))
+			r.T.Errorf("%s under token %d and %s under %d acted at once, %v apart", p[0].Holder, p[0].Token, p[1].Holder, p[1].Token, p[1].Began.Sub(p[0].Began))
 		}
 	}
 	if refused > 0 && !late {
@@ -176,7 +176,7 @@
 }
 
 // acting waits until a front acts that is not that one's leader, if there is a choice.
-func acting(r *rig.Rig) (standin.Acted, *rig.Front) {
+func acting(r *rig.Rig) (standin.Operation, *rig.Front) {
 	return next(r, 0, time.Now(), followed, "the start")
 }
 
@@ -195,7 +195,7 @@
 	by.Signal(syscall.SIGCONT)
 	heal()
 	r.Await(2*time.Second, "the late act is refused", func() bool {
-		for _, x := range r.Acts.Acts() {
+		for _, x := range r.Acts.Operations() {
 			if x.Token == a.Token && x.Refused && x.Began.After(b.Began) {
 				return true
 			}
@@ -396,7 +396,7 @@
 		a, by := newest(r, time.Time{})
 		at := time.Now()
 		by.Signal(syscall.SIGTERM)
-		acts := r.Acts.Acts()
+		acts := r.Acts.Operations()
 		last := a
 		for _, x := range acts {
 			if x.Token == a.Token {
--- a/cmd/micatrack/rules_test.go
+++ b/cmd/micatrack/rules_test.go
@@ -23,20 +23,20 @@
 	names := []string{"a", "b", "c"}
 	g := standin.NewGroup(1, 3*time.Second, names...)
 	var stores []*standin.Postgres
-	var lines []standin.Line
+	var lines []standin.Server
 	for i, name := range names {
 		s, err := standin.NewPostgres(name, g)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		s.Takes(time.Duration(2+chance.IntN(10)) * time.Millisecond)
+		s.SetDelay(time.Duration(2+chance.IntN(10)) * time.Millisecond)
 		stores = append(stores, s)
 		role := "replica"
 		if i == 0 {
 			role = "primary"
 		}
-		lines = append(lines, standin.Line{ID: name, Addr: s.Addr(), Zone: "a", Kind: "k", Cell: 1, State: "active", Weight: 1, Role: role})
+		lines = append(lines, standin.Server{ID: name, Addr: s.Addr(), Zone: "a", Kind: "k", Group: 1, State: "active", Weight: 1, Role: role})
 	}
 	d := standin.NewDiscovery(lines...)
 	defer d.Close()
@@ -44,7 +44,7 @@
 	launch(t, "msg=serving", nil, "serve", "-config", config, "-operators", switches)
 
 	var mu sync.Mutex
-	var told []standin.Told
+	var told []standin.Outcome
 	var all sync.WaitGroup
 	stop := time.Now().Add(3 * time.Second)
 	for k := range 24 {
@@ -60,8 +60,8 @@
 					mark = fmt.Sprintf("%d-%d", k, n)
 				}
 				for try := range 2 {
-					a := standin.Told{Job: fmt.Sprintf("s%d-%d-%d-%d", seed, k, n, try), Mark: mark, Write: kind == "save" || kind == "order"}
-					text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=1000,cluster=1", a.Job, kind, k%5)
+					a := standin.Outcome{RequestID: fmt.Sprintf("s%d-%d-%d-%d", seed, k, n, try), IdempotencyKey: mark, Write: kind == "save" || kind == "order"}
+					text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=1000,cluster=1", a.RequestID, kind, k%5)
 					if mark != "" {
 						text += ",k=" + mark
 					}
@@ -74,21 +74,21 @@
 					began := time.Now()
 					code, _, err := r.ask(text + fmt.Sprintf(verb, k))
 					if err != nil || time.Since(began) > 1500*time.Millisecond {
-						t.Errorf("seed %d: %s has no answer in time: %v after %v", seed, a.Job, err, time.Since(began))
+						t.Errorf("seed %d: %s has no answer in time: %v after %v", seed, a.RequestID, err, time.Since(began))
 						return
 					}
-					a.Delivered, a.Back = code == "", code == pgwire.TooManyConnections
+					a.Delivered, a.Rejected = code == "", code == pgwire.TooManyConnections
 					mu.Lock()
 					told = append(told, a)
 					mu.Unlock()
 					if a.Delivered && a.Write {
 						for _, e := range g.Ledger() {
-							if e.Job == a.Job {
+							if e.RequestID == a.RequestID {
 								after = max(after, e.Position)
 							}
 						}
 					}
-					if !a.Back {
+					if !a.Rejected {
 						break
 					}
 				}
@@ -101,26 +101,26 @@
 		s, part := stores[i], uint64(2+chance.IntN(6))
 		switch what := chance.IntN(8); what {
 		case 0:
-			g.Lag(s.Name, time.Duration(chance.IntN(800))*time.Millisecond)
+			g.SetLag(s.Name, time.Duration(chance.IntN(800))*time.Millisecond)
 		case 1:
-			s.Sever()
+			s.CloseConnections()
 		case 2:
 			g.Promote(s.Name)
 		case 3:
-			s.Does(nil)
+			s.SetBehavior(nil)
 		default:
-			act := []standin.Act{standin.Hang, standin.Refuse, standin.RunLost, standin.Spoil}[what-4]
-			s.Does(func(job string) standin.Act {
+			act := []standin.Behavior{standin.Hang, standin.Reject, standin.RunThenDisconnect, standin.Corrupt}[what-4]
+			s.SetBehavior(func(job string) standin.Behavior {
 				if n := len(job); uint64(job[n-1]+job[n-3])%part == 0 {
 					return act
 				}
-				return standin.Answer
+				return standin.Respond
 			})
 		}
 		if time.Until(stop) < 1700*time.Millisecond && lines[2].State == "active" { // the last one drains for good
 			lines[2].State = "leaving"
-			g.Drain("c")
-			d.Change(func(l []standin.Line) []standin.Line { l[2].State = "leaving"; return l })
+			g.MarkDraining("c")
+			d.Update(func(l []standin.Server) []standin.Server { l[2].State = "leaving"; return l })
 			if p, _ := g.Primary(); p == "c" {
 				g.Promote("a")
 			}
@@ -132,7 +132,7 @@
 		switch {
 		case a.Delivered:
 			counts["delivered"]++
-		case a.Back:
+		case a.Rejected:
 			counts["turned back"]++
 		default:
 			counts["written off"]++
@@ -163,7 +163,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		t.Fatal(err)
 	}
-	c["listen"], c["discovery"], c["known"] = addr, d.Addr(), json.RawMessage(d.Whole())
+	c["listen"], c["discovery"], c["known"] = addr, d.Addr(), json.RawMessage(d.JSON())
 	settings := c["settings"].(map[string]any)
 	extra := settings["Extra"].(map[string]any)
 	extra["Freshness"] = append(extra["Freshness"].([]any), "write")
--- a/cmd/micatrack/zones_test.go
+++ b/cmd/micatrack/zones_test.go
@@ -319,12 +319,14 @@
 // zone that flaps each second is left a bounded number of times.
 func TestGreyTrouble(t *testing.T) {
 	acts := map[string]func(r *rig.Rig){
-		"a slow store":    func(r *rig.Rig) { r.Stores[1].Stand.Takes(400 * time.Millisecond) },
-		"a failing store": func(r *rig.Rig) { r.Stores[1].Stand.Does(func(string) standin.Act { return standin.Break }) },
+		"a slow store": func(r *rig.Rig) { r.Stores[1].Stand.SetDelay(400 * time.Millisecond) },
+		"a failing store": func(r *rig.Rig) {
+			r.Stores[1].Stand.SetBehavior(func(string) standin.Behavior { return standin.Disconnect })
+		},
 		"a slower zone": func(r *rig.Rig) {
 			for _, s := range r.Stores {
 				if s.Zone == "b" {
-					s.Stand.Takes(3 * r.Plan.Takes)
+					s.Stand.SetDelay(3 * r.Plan.Takes)
 				}
 			}
 		},
@@ -399,7 +401,7 @@
 		play(t, p, 70, func(r *rig.Rig) {
 			time.Sleep(2 * time.Second)
 			for _, s := range r.Stores { // each can do 50 jobs a second, and is asked for 35
-				s.Stand.Cores(1)
+				s.Stand.SetConcurrency(1)
 			}
 			time.Sleep(3 * time.Second)
 			at := time.Now()
@@ -808,8 +810,8 @@
 						f.Signal(syscall.SIGTERM)
 						r.Start(f)
 					case 7:
-						s.Stand.Does(func(string) standin.Act { return standin.Refuse })
-						heals = append(heals, func() { s.Stand.Does(nil) })
+						s.Stand.SetBehavior(func(string) standin.Behavior { return standin.Reject })
+						heals = append(heals, func() { s.Stand.SetBehavior(nil) })
 					case 8:
 						heals = append(heals, r.Between(func(x, y rig.Node) bool { return x.Front && y.Name == s.Node.Name }, rig.Fault{Rate: 20_000}))
 					}
--- a/example/toybolt/main.go
+++ b/example/toybolt/main.go
@@ -19,7 +19,7 @@
 	flag.Parse()
 	names := []string{"primary", "replica-1", "replica-2"}
 	group := standin.NewGroup(1, 3*time.Second, names...)
-	var lines []standin.Line
+	var lines []standin.Server
 	for i, name := range names {
 		store, err := standin.NewBolt(name, group)
 		if err != nil {
@@ -29,13 +29,13 @@
 		role := "primary"
 		if i > 0 {
 			role = "replica"
-			group.Lag(name, 200*time.Millisecond)
+			group.SetLag(name, 200*time.Millisecond)
 		}
-		lines = append(lines, standin.Line{ID: name, Addr: store.Addr(), Zone: "a", Kind: "toy", Cell: 1, State: "active", Weight: 1, Role: role,
+		lines = append(lines, standin.Server{ID: name, Addr: store.Addr(), Zone: "a", Kind: "toy", Group: 1, State: "active", Weight: 1, Role: role,
 			Protocol: "bolt"})
 		fmt.Println(name, "at", store.Addr())
 	}
-	list := standin.NewList(lines...)
+	list := standin.NewServerList(lines...)
 	go func() { log.Fatal(http.ListenAndServe(*listen, list)) }()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
@@ -51,7 +51,7 @@
 				if e.Write {
 					verb = "wrote"
 				}
-				fmt.Printf("%s %s job %q\n", e.Store, verb, e.Job)
+				fmt.Printf("%s %s job %q\n", e.Store, verb, e.RequestID)
 			}
 			said = len(ledger)
 		}
--- a/internal/bolt/bolt_test.go
+++ b/internal/bolt/bolt_test.go
@@ -25,12 +25,12 @@
 		in   []byte
 		want Version
 	}{
-		{proposals(Of(5, 4)), Of(5, 4)},
-		{proposals(Of(5, 4)|4<<16, Of(4, 4)), Of(5, 4)},
-		{proposals(Of(5, 99) | 95<<16), Of(5, 8)},
-		{proposals(Of(6, 0), Of(4, 4)|2<<16, Of(3, 0)), Of(4, 4)},
-		{proposals(Manifest, Of(5, 4)), Manifest},
-		{proposals(Of(4, 1), Of(3, 0)), 0},
+		{proposals(MakeVersion(5, 4)), MakeVersion(5, 4)},
+		{proposals(MakeVersion(5, 4)|4<<16, MakeVersion(4, 4)), MakeVersion(5, 4)},
+		{proposals(MakeVersion(5, 99) | 95<<16), MakeVersion(5, 8)},
+		{proposals(MakeVersion(6, 0), MakeVersion(4, 4)|2<<16, MakeVersion(3, 0)), MakeVersion(4, 4)},
+		{proposals(Manifest, MakeVersion(5, 4)), Manifest},
+		{proposals(MakeVersion(4, 1), MakeVersion(3, 0)), 0},
 	} {
 		for n := range 20 {
 			if _, size, err := Handshake(c.in[:n]); size != 0 || err != nil {
@@ -46,11 +46,11 @@
 			t.Errorf("%q is taken", in)
 		}
 	}
-	if v, n, err := Chosen(append(AppendVersion(nil, Of(5, 7)), 0)); v != Of(5, 7) || n != 5 || err != nil {
+	if v, n, err := ReadChosenVersion(append(AppendVersion(nil, MakeVersion(5, 7)), 0)); v != MakeVersion(5, 7) || n != 5 || err != nil {
 		t.Errorf("chosen: %x %d %v", v, n, err)
 	}
-	for _, bad := range [][]byte{append(AppendVersion(nil, Of(5, 9)), 0), append(AppendVersion(nil, Of(5, 7)), 1)} {
-		if _, _, err := Chosen(bad); err == nil {
+	for _, bad := range [][]byte{append(AppendVersion(nil, MakeVersion(5, 9)), 0), append(AppendVersion(nil, MakeVersion(5, 7)), 1)} {
+		if _, _, err := ReadChosenVersion(bad); err == nil {
 			t.Errorf("%x is taken", bad)
 		}
 	}
@@ -64,7 +64,7 @@
 	body := []byte(strings.Repeat("0123456789", 20_000))
 	for _, n := range []int{1, 65534, 65535, 65536, 131070, 131071, 200_000} {
 		whole := AppendRaw([]byte("before"), body[:n])[6:]
-		r := Reader{Most: 1 << 20}
+		r := Reader{MaxSize: 1 << 20}
 		if got, size, err := r.Next(append(whole, 9)); !bytes.Equal(got, body[:n]) || size != len(whole) || err != nil {
 			t.Errorf("%d bytes: %d, size %d of %d, %v", n, len(got), size, len(whole), err)
 		}
@@ -74,7 +74,7 @@
 		ones = append(ones, 0, 1, b)
 	}
 	ones = append(ones, 0, 0)
-	r := Reader{Most: len(ones)}
+	r := Reader{MaxSize: len(ones)}
 	for n := range len(ones) {
 		if _, size, err := r.Next(ones[:n]); size != 0 || err != nil {
 			t.Fatalf("at %d: %d, %v", n, size, err)
@@ -89,7 +89,7 @@
 	if _, _, err := r.Next([]byte{0xff, 0xff}); err == nil {
 		t.Error("a message past the bound is waited for")
 	}
-	r = Reader{Most: 1000}
+	r = Reader{MaxSize: 1000}
 	if _, _, err := r.Next(append(AppendRaw(nil, body[:990])[:992], 0, 11)); err == nil {
 		t.Error("a message past the bound in its second chunk is waited for")
 	}
@@ -101,7 +101,7 @@
 	for _, n := range ints {
 		b = AppendInt(b, n)
 	}
-	v := Unpack(b)
+	v := NewDecoder(b)
 	for _, n := range ints {
 		if got := v.Int(); got != n || v.Err() != nil {
 			t.Errorf("%d read as %d, %v", n, got, v.Err())
@@ -110,7 +110,7 @@
 	for _, n := range []int{0, 15, 16, 255, 256, 65535, 65536} {
 		s := bytes.Repeat([]byte{'x'}, n)
 		b := AppendBytes(AppendString(nil, s), s)
-		v := Unpack(append(b, 0xc0))
+		v := NewDecoder(append(b, 0xc0))
 		if got, raw := v.String(), v.Bytes(); !bytes.Equal(got, s) || !bytes.Equal(raw, s) || v.Kind() != Null {
 			t.Errorf("%d bytes: %d, %d, %v", n, len(got), len(raw), v.Err())
 		}
@@ -119,11 +119,11 @@
 	b = AppendList(AppendString(b, "list"), 3)
 	b = AppendFloat(AppendBool(AppendNull(b), true), 1.5)
 	b = AppendInt(AppendStruct(AppendString(b, "node"), 'N', 1), 7)
-	v = Unpack(append(b, 5))
+	v = NewDecoder(append(b, 5))
 	if got := v.Skip(); !bytes.Equal(got, b) || v.Int() != 5 {
 		t.Errorf("skipped %x of %x", got, b)
 	}
-	v = Unpack(b)
+	v = NewDecoder(b)
 	if v.Map() != 2 || string(v.String()) != "list" || v.List() != 3 {
 		t.Error("heads")
 	}
@@ -136,12 +136,12 @@
 	}
 	for _, bad := range []string{"", "\xd2\xff\xff\xff\xff", "\xd6\xff\xff\xff\xff", "\xda\x7f\xff\xff\xff\x01", "\xb5", "\xc4", "\xdf", "\x91", "\xcb\x00", "\x85abcd",
 		strings.Repeat("\x91", 100_000), strings.Repeat("\xa1\x81k", 100_000)} {
-		v := Unpack([]byte(bad))
+		v := NewDecoder([]byte(bad))
 		if got := v.Skip(); got != nil || v.Err() == nil {
 			t.Errorf("%.20q is taken", bad)
 		}
 	}
-	v = Unpack([]byte{1})
+	v = NewDecoder([]byte{1})
 	if v.String(); v.Err() == nil || v.Kind() != None {
 		t.Error("a number is taken for a string")
 	}
@@ -169,10 +169,10 @@
 
 func TestRequests(t *testing.T) {
 	r, err := ReadRequest(run("MATCH (n) RETURN n", termsOf))
-	if err != nil || r.What != Run || string(r.Query) != "MATCH (n) RETURN n" || !r.Extra.Reads || r.Extra.Timeout != 250 {
+	if err != nil || r.Type != Run || string(r.Query) != "MATCH (n) RETURN n" || !r.Extra.ReadOnly || r.Extra.Timeout != 250 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	got, err := r.Extra.Terms()
+	got, err := r.Extra.ParseRequest()
 	if err != nil || string(got.Class) != "basket" || string(got.Tenant) != "acme" || got.Group != 3 || got.TimeLeft != 2500 || got.ReadAfter != 700 ||
 		!got.Retry || !got.HasReadAfter {
 		t.Errorf("%+v, %v", got, err)
@@ -189,7 +189,7 @@
 		"no position": func(b []byte) []byte { return bytes.Replace(termsOf(b), []byte("mt1:3:500"), []byte("mt1:3:-50"), 1) },
 	} {
 		r, err := ReadRequest(run("RETURN 1", extra))
-		if _, err2 := r.Extra.Terms(); err != nil || err2 == nil {
+		if _, err2 := r.Extra.ParseRequest(); err != nil || err2 == nil {
 			t.Errorf("%s: %v, %v", name, err, err2)
 		}
 	}
@@ -214,37 +214,37 @@
 
 func TestAnswers(t *testing.T) {
 	var rd Reader
-	rd.Most = 1 << 16
-	read := func(b []byte) Answer {
+	rd.MaxSize = 1 << 16
+	read := func(b []byte) Response {
 		body, size, err := rd.Next(b)
 		if err != nil || size != len(b) {
 			t.Fatalf("%x: %d, %v", b, size, err)
 		}
-		a, err := ReadAnswer(body)
+		a, err := ReadResponse(body)
 		if err != nil {
 			t.Fatalf("%x: %v", b, err)
 		}
 		return a
 	}
-	for _, v := range []Version{Of(4, 4), Of(5, 6), Of(5, 7), Of(5, 8)} {
-		if a := read(AppendFailure(nil, v, TurnedBack, "come again")); a.What != Failure || string(a.Code) != TurnedBack || string(a.Message) != "come again" {
+	for _, v := range []Version{MakeVersion(4, 4), MakeVersion(5, 6), MakeVersion(5, 7), MakeVersion(5, 8)} {
+		if a := read(AppendFailure(nil, v, NoThreadsAvailable, "come again")); a.Type != Failure || string(a.Code) != NoThreadsAvailable || string(a.Message) != "come again" {
 			t.Errorf("%x: %+v", v, a)
 		}
 	}
 	if a := read(AppendSuccess(nil, 1, func(b []byte) []byte { return AppendBool(AppendString(b, "has_more"), true) })); !a.More {
 		t.Errorf("%+v", a)
 	}
-	if a := read(AppendBare(nil, Ignored)); a.What != Ignored {
+	if a := read(AppendEmpty(nil, Ignored)); a.Type != Ignored {
 		t.Errorf("%+v", a)
 	}
 	for _, bad := range [][]byte{{0xb1, 0x7f, 0xa0}, {0xb1, 0x71, 0x01}, {0xb0, 0x10}, {0xb1, 0x70}, {0xb1, 0x70, 0xa0, 0}} {
-		if a, err := ReadAnswer(bad); err == nil {
+		if a, err := ReadResponse(bad); err == nil {
 			t.Errorf("%x is read as %+v", bad, a)
 		}
 	}
-	for code, want := range map[string]Refusal{NotALeader: WasBehind, BehindMark: WasBehind, Unavailable: WasFull,
+	for code, want := range map[string]FailureKind{NotALeader: RejectedBehind, BookmarkTimeout: RejectedBehind, Unavailable: RejectedOverloaded,
 		"Neo.TransientError.Transaction.DeadlockDetected": MayHaveRun, "": MayHaveRun} {
-		if got := Refused([]byte(code)); got != want {
+		if got := ClassifyFailure([]byte(code)); got != want {
 			t.Errorf("%s proves %d, want %d", code, got, want)
 		}
 	}
@@ -253,7 +253,7 @@
 // TestStates walks the published state machine.
 func TestStates(t *testing.T) {
 	type step struct {
-		what    What
+		what    MessageType
 		ok      bool
 		more    bool
 		open    int
@@ -265,20 +265,20 @@
 		v     Version
 		steps []step
 	}{
-		"logon apart": {Of(5, 4), []step{{Run, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Authentication}, {Logon, true, false, 0, true, false, Ready},
+		"logon apart": {MakeVersion(5, 4), []step{{Run, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Authentication}, {Logon, true, false, 0, true, false, Ready},
 			{Run, true, false, 0, true, false, Streaming}, {BeginTx, true, false, 0, false, false, 0}, {Pull, true, true, 0, true, false, Streaming},
 			{Pull, true, false, 0, true, false, Ready}, {Telemetry, true, false, 0, true, false, Ready}, {Logoff, true, false, 0, true, false, Authentication}}},
-		"failure": {Of(4, 4), []step{{Logon, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Ready}, {Run, false, false, 0, true, false, Failed},
+		"failure": {MakeVersion(4, 4), []step{{Logon, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Ready}, {Run, false, false, 0, true, false, Failed},
 			{Pull, true, false, 0, false, true, 0}, {Commit, true, false, 0, false, true, 0}, {Hello, true, false, 0, false, false, 0}, {Reset, true, false, 0, true, false, Ready},
 			{Goodbye, true, false, 0, true, false, Defunct}, {Reset, true, false, 0, false, false, 0}}},
-		"transaction": {Of(5, 0), []step{{Hello, true, false, 0, true, false, Ready}, {BeginTx, true, false, 0, true, false, TxReady}, {Run, true, false, 1, true, false, TxStreaming},
+		"transaction": {MakeVersion(5, 0), []step{{Hello, true, false, 0, true, false, Ready}, {BeginTx, true, false, 0, true, false, TxReady}, {Run, true, false, 1, true, false, TxStreaming},
 			{Run, true, false, 2, true, false, TxStreaming}, {Pull, true, false, 1, true, false, TxStreaming}, {Discard, true, false, 0, true, false, TxReady},
 			{Commit, true, false, 0, true, false, Ready}, {Rollback, true, false, 0, false, false, 0}}},
-		"no login": {Of(4, 4), []step{{Hello, false, false, 0, true, false, Defunct}}},
+		"no login": {MakeVersion(4, 4), []step{{Hello, false, false, 0, true, false, Defunct}}},
 	} {
-		s := Start(c.v)
+		s := InitialState(c.v)
 		for i, st := range c.steps {
-			carried, ignored := s.Takes(c.v, st.what)
+			carried, ignored := s.Accepts(c.v, st.what)
 			if carried != st.carried || ignored != st.ignored {
 				t.Errorf("%s, step %d: %v in state %d: carried %v, ignored %v", name, i, st.what, s, carried, ignored)
 			}
@@ -293,14 +293,14 @@
 
 // FuzzParsers: no input makes a parser give more than came, or what it gave before more came.
 func FuzzParsers(f *testing.F) {
-	f.Add(proposals(Of(5, 4)))
+	f.Add(proposals(MakeVersion(5, 4)))
 	f.Add(AppendRaw(nil, run("MATCH (n) RETURN n", termsOf)))
-	f.Add(AppendFailure(nil, Of(5, 8), TurnedBack, "text"))
+	f.Add(AppendFailure(nil, MakeVersion(5, 8), NoThreadsAvailable, "text"))
 	f.Add(append([]byte{0, 0, 0, 1, 0xb1}, 0, 2, 0x3f, 0xa0, 0, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		Handshake(in)
-		Chosen(in)
-		r, again := Reader{Most: 1 << 12}, Reader{Most: 1 << 12}
+		ReadChosenVersion(in)
+		r, again := Reader{MaxSize: 1 << 12}, Reader{MaxSize: 1 << 12}
 		for at := 0; at < len(in); {
 			body, size, err := r.Next(in[at:])
 			if err != nil || size == 0 {
@@ -316,10 +316,10 @@
 			if took != size || !bytes.Equal(piece, body) || len(body) > size {
 				t.Fatalf("%d bytes of %q, in pieces %d of %q", size, body, took, piece)
 			}
-			if q, err := ReadRequest(body); err == nil && (q.What == Run || q.What == BeginTx) {
-				q.Extra.Terms()
+			if q, err := ReadRequest(body); err == nil && (q.Type == Run || q.Type == BeginTx) {
+				q.Extra.ParseRequest()
 			}
-			if a, err := ReadAnswer(body); err == nil && a.What == Record && len(a.Fields) > len(body) {
+			if a, err := ReadResponse(body); err == nil && a.Type == Record && len(a.Fields) > len(body) {
 				t.Fatal("a record longer than its message")
 			}
 			at += size
@@ -329,7 +329,7 @@
 
 func BenchmarkMessage(b *testing.B) {
 	whole := AppendRaw(nil, run("MATCH (n) RETURN n", termsOf))
-	r := Reader{Most: 1 << 16}
+	r := Reader{MaxSize: 1 << 16}
 	b.ReportAllocs()
 	for b.Loop() {
 		body, _, _ := r.Next(whole)
@@ -337,7 +337,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := q.Extra.Terms(); err != nil {
+		if _, err := q.Extra.ParseRequest(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/bolt/chunk.go
+++ b/internal/bolt/chunk.go
@@ -22,8 +22,8 @@
 // Version is one version as the handshake has it, with the last proposed one's range in its second byte.
 type Version uint32
 
-// Of gives the version major.minor.
-func Of(major, minor int) Version { return Version(minor<<8 | major) }
+// MakeVersion gives the version major.minor.
+func MakeVersion(major, minor int) Version { return Version(minor<<8 | major) }
 
 func (v Version) Major() int { return int(v & 0xff) }
 func (v Version) Minor() int { return int(v >> 8 & 0xff) }
@@ -32,7 +32,7 @@
 func (v Version) back() int { return int(v >> 16 & 0xff) }
 
 // Spoken is what this package speaks, the best first.
-var Spoken = []Version{Of(5, 8), Of(5, 7), Of(5, 6), Of(5, 5), Of(5, 4), Of(5, 3), Of(5, 2), Of(5, 1), Of(5, 0), Of(4, 4)}
+var SupportedVersions = []Version{MakeVersion(5, 8), MakeVersion(5, 7), MakeVersion(5, 6), MakeVersion(5, 5), MakeVersion(5, 4), MakeVersion(5, 3), MakeVersion(5, 2), MakeVersion(5, 1), MakeVersion(5, 0), MakeVersion(4, 4)}
 
 // Handshake takes a client's opening: the magic number and four proposals. It gives the first proposal's best version
 // that is spoken here, Manifest if that is asked for before any of them, 0 if none is spoken; size is 0 if more is
@@ -51,7 +51,7 @@
 		if p == Manifest {
 			return Manifest, 20, nil
 		}
-		for _, s := range Spoken {
+		for _, s := range SupportedVersions {
 			if s.Major() == p.Major() && s.Minor() <= p.Minor() && s.Minor() >= p.Minor()-p.back() {
 				return s, 20, nil
 			}
@@ -69,19 +69,19 @@
 func AppendManifest(dst []byte) []byte {
 	dst = AppendVersion(dst, Manifest)
 	dst = append(dst, 2)
-	dst = AppendVersion(dst, Of(5, 8)|8<<16)
-	dst = AppendVersion(dst, Of(4, 4))
+	dst = AppendVersion(dst, MakeVersion(5, 8)|8<<16)
+	dst = AppendVersion(dst, MakeVersion(4, 4))
 	return append(dst, 0)
 }
 
-// Chosen takes a client's answer to the manifest: one version, and the capabilities it takes up, of which there are
+// ReadChosenVersion takes a client's answer to the manifest: one version, and the capabilities it takes up, of which there are
 // none. size is 0 if more is needed.
-func Chosen(buf []byte) (v Version, size int, err error) {
+func ReadChosenVersion(buf []byte) (v Version, size int, err error) {
 	if len(buf) < 5 {
 		return 0, 0, nil
 	}
 	v = Version(binary.BigEndian.Uint32(buf))
-	for _, s := range Spoken {
+	for _, s := range SupportedVersions {
 		if s == v {
 			if buf[4] != 0 {
 				return 0, 0, errors.New("capabilities were taken up that were not offered")
@@ -95,8 +95,8 @@
 // AppendHandshake writes a front's opening to a store: all that is spoken here, as ranges.
 func AppendHandshake(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, Magic)
-	dst = AppendVersion(dst, Of(5, 8)|8<<16)
-	dst = AppendVersion(dst, Of(4, 4))
+	dst = AppendVersion(dst, MakeVersion(5, 8)|8<<16)
+	dst = AppendVersion(dst, MakeVersion(4, 4))
 	dst = AppendVersion(dst, 0)
 	return AppendVersion(dst, 0)
 }
@@ -104,11 +104,11 @@
 // Reader finds messages in a stream of chunks. It remembers how far it has looked, so that chunks of one byte do not
 // make it look again at all that came before.
 type Reader struct {
-	Most  int // bytes of a message with its headers
-	at    int // bytes of the present message that were looked at, with their headers
-	got   int // bytes of its body among them
-	parts int
-	whole []byte // the body, once it stands in more than one chunk
+	MaxSize int // bytes of a message with its headers
+	at      int // bytes of the present message that were looked at, with their headers
+	got     int // bytes of its body among them
+	parts   int
+	whole   []byte // the body, once it stands in more than one chunk
 }
 
 // Next takes the next message off the front of buf, which holds all that came and was not taken yet: its body and the
@@ -128,7 +128,7 @@
 			r.at, r.got, r.parts = 0, 0, 0
 			return body, size, nil
 		}
-		if r.at+2+n+2 > r.Most { // Danger: to chunks of one byte come two of header, and all must fit the ring
+		if r.at+2+n+2 > r.MaxSize { // Danger: to chunks of one byte come two of header, and all must fit the ring
 			return nil, 0, errLong
 		}
 		if len(buf) < r.at+2+n {
@@ -152,11 +152,11 @@
 
 const mostChunk = 0xffff
 
-// Begin starts a message on dst; End, given what Begin gave, puts its chunk headers in.
-func Begin(dst []byte) ([]byte, int) { return append(dst, 0, 0), len(dst) }
+// BeginMessage starts a message on dst; End, given what Begin gave, puts its chunk headers in.
+func BeginMessage(dst []byte) ([]byte, int) { return append(dst, 0, 0), len(dst) }
 
-// End ends the message that starts at at. One longer than a chunk is cut into several.
-func End(dst []byte, at int) []byte {
+// EndMessage ends the message that starts at at. One longer than a chunk is cut into several.
+func EndMessage(dst []byte, at int) []byte {
 	n := len(dst) - at - 2
 	if n <= mostChunk {
 		binary.BigEndian.PutUint16(dst[at:], uint16(n))
@@ -176,6 +176,6 @@
 
 // AppendRaw writes a message whose body is there already.
 func AppendRaw(dst, body []byte) []byte {
-	dst, at := Begin(dst)
-	return End(append(dst, body...), at)
+	dst, at := BeginMessage(dst)
+	return EndMessage(append(dst, body...), at)
 }
--- a/internal/bolt/dialogue.go
+++ b/internal/bolt/dialogue.go
@@ -22,30 +22,30 @@
 
 // asked is one message of the job in hand.
 type asked struct {
-	what What
+	what MessageType
 	all  bool // PULL or DISCARD of all that there is
 	size int  // of it in the stream, with what stood before it
 }
 
 // MostAhead bounds the messages of a job that are kept before they are answered. What comes past it waits where it is.
-const MostAhead = 64
+const MaxPipelined = 64
 
-// Act is what is to be done with a message.
-type Act uint8
+// Action is what is to be done with a message.
+type Action uint8
 
 const (
-	Reply   Act = iota // answer it here: it was carried out
-	Ignore             // answer it with IGNORED
-	Violate            // answer it with FAILURE and end the connection
-	Open               // it begins a job, and is kept
-	Keep               // it belongs to the job in hand, and is kept
-	Abort              // RESET while a job is in hand: give it up, and answer as Aborted tells
-	Leave              // the client says goodbye
-	Wait               // no room for it: ask again when something was answered
+	Reply        Action = iota // answer it here: it was carried out
+	Ignore                     // answer it with IGNORED
+	Reject                     // answer it with FAILURE and end the connection
+	StartRequest               // it begins a job, and is kept
+	Enqueue                    // it belongs to the job in hand, and is kept
+	Abort                      // RESET while a job is in hand: give it up, and answer as Aborted tells
+	Disconnect                 // the client says goodbye
+	Wait                       // no room for it: ask again when something was answered
 )
 
 // NewDialogue begins where the handshake has ended.
-func NewDialogue(v Version) *Dialogue { return &Dialogue{v: v, state: Start(v)} }
+func NewDialogue(v Version) *Dialogue { return &Dialogue{v: v, state: InitialState(v)} }
 
 // State is what the client knows of.
 func (d *Dialogue) State() State { return d.state }
@@ -53,45 +53,45 @@
 // Busy tells that a job is in hand.
 func (d *Dialogue) Busy() bool { return d.job }
 
-// Transaction tells whether the job in hand is one.
-func (d *Dialogue) Transaction() bool { return d.job && d.tx }
+// InTransaction tells whether the job in hand is one.
+func (d *Dialogue) InTransaction() bool { return d.job && d.tx }
 
-// Ask takes the next message, which took size bytes of the stream.
-func (d *Dialogue) Ask(r Request, size int) Act {
-	if r.What == Goodbye {
-		return Leave
+// Request takes the next message, which took size bytes of the stream.
+func (d *Dialogue) Request(r Request, size int) Action {
+	if r.Type == Goodbye {
+		return Disconnect
 	}
 	if d.job {
 		switch {
-		case r.What == Reset:
+		case r.Type == Reset:
 			return Abort
-		case len(d.queue) == MostAhead:
+		case len(d.queue) == MaxPipelined:
 			return Wait
 		}
-		d.queue = append(d.queue, asked{r.What, r.Many < 0, size + d.pad})
+		d.queue = append(d.queue, asked{r.Type, r.Limit < 0, size + d.pad})
 		d.pad = 0
-		return Keep
+		return Enqueue
 	}
-	carried, ignored := d.state.Takes(d.v, r.What)
+	carried, ignored := d.state.Accepts(d.v, r.Type)
 	switch {
 	case ignored:
 		return Ignore
 	case !carried:
-		return Violate
-	case r.What == Run || r.What == BeginTx:
+		return Reject
+	case r.Type == Run || r.Type == BeginTx:
 		d.job, d.ahead, d.sent, d.told, d.seen, d.open, d.unsure = true, d.state, 0, 0, 0, 0, false
-		d.tx = r.What == BeginTx
-		d.queue = append(d.queue[:0], asked{r.What, false, size})
-		return Open
+		d.tx = r.Type == BeginTx
+		d.queue = append(d.queue[:0], asked{r.Type, false, size})
+		return StartRequest
 	}
 	return Reply
 }
 
 // Replied takes in that a message that is answered here was carried out, or failed.
-func (d *Dialogue) Replied(w What, ok bool) { d.state = d.state.After(w, ok, false, 0) }
+func (d *Dialogue) Replied(w MessageType, ok bool) { d.state = d.state.After(w, ok, false, 0) }
 
-// Pad counts bytes of the stream that mean nothing to what is asked next.
-func (d *Dialogue) Pad(size int) { d.pad += size }
+// NoOp counts bytes of the stream that mean nothing to what is asked next.
+func (d *Dialogue) NoOp(size int) { d.pad += size }
 
 // Span is where message i of the job stands, from the job's first byte on.
 func (d *Dialogue) Span(i int) (from, to int) {
@@ -104,7 +104,7 @@
 // Next gives which message of the job may be passed on to the store now: those that the protocol allows if all before
 // it end well. Danger: what is sense only after one answer must not be passed on before it; a store would end the
 // connection, and count as broken for it.
-func (d *Dialogue) Next() (i int, w What, ok bool) {
+func (d *Dialogue) Next() (i int, w MessageType, ok bool) {
 	if !d.job || d.sent == len(d.queue) || d.unsure {
 		return 0, 0, false
 	}
@@ -112,12 +112,12 @@
 	if d.sent > 0 && d.ahead == Ready { // the job ends before it
 		return 0, 0, false
 	}
-	carried, _ := d.ahead.Takes(d.v, w)
+	carried, _ := d.ahead.Accepts(d.v, w)
 	return d.sent, w, carried
 }
 
-// Sent takes in that the message that Next gave was passed on.
-func (d *Dialogue) Sent() {
+// MarkSent takes in that the message that Next gave was passed on.
+func (d *Dialogue) MarkSent() {
 	m := d.queue[d.sent]
 	d.sent++
 	switch m.what {
@@ -131,9 +131,9 @@
 	d.ahead = d.ahead.After(m.what, true, d.unsure, d.open)
 }
 
-// Stuck tells that the next message makes no sense where all before it are answered: the client has broken the
+// Invalid tells that the next message makes no sense where all before it are answered: the client has broken the
 // protocol.
-func (d *Dialogue) Stuck() bool {
+func (d *Dialogue) Invalid() bool {
 	if !d.job || d.told < d.sent || d.sent == len(d.queue) || d.unsure {
 		return false
 	}
@@ -141,18 +141,18 @@
 	return !ok
 }
 
-// Asked is the message that the store's next answer is to; false: it owes none.
-func (d *Dialogue) Asked() (w What, ok bool) {
+// Awaiting is the message that the store's next answer is to; false: it owes none.
+func (d *Dialogue) Awaiting() (w MessageType, ok bool) {
 	if d.told == d.sent {
 		return 0, false
 	}
 	return d.queue[d.told].what, true
 }
 
-// Answered takes in that the store has answered Asked, and not with a record. It returns hold if the answer should be
+// Responded takes in that the store has answered Asked, and not with a record. It returns hold if the answer should be
 // kept back: as long as the client has seen nothing of a request another store may still have it, and the client waits
 // for more anyway, since it has asked already; and over if the request is complete.
-func (d *Dialogue) Answered(ok, more bool) (hold, over bool) {
+func (d *Dialogue) Responded(ok, more bool) (hold, over bool) {
 	m := d.queue[d.told]
 	d.told++
 	if m.what == Pull || m.what == Discard {
@@ -170,23 +170,23 @@
 	return (m.what == Run || m.what == BeginTx) && d.told < len(d.queue), d.state == Ready
 }
 
-// Again takes in that an attempt ended before the client saw anything of it, and that another store is to have the
+// Restart takes in that an attempt ended before the client saw anything of it, and that another store is to have the
 // request from its beginning.
-func (d *Dialogue) Again() {
+func (d *Dialogue) Restart() {
 	d.state, d.ahead = Ready, Ready
 	d.sent, d.told, d.seen, d.open, d.unsure = 0, 0, 0, 0, false
 }
 
-// Refuse ends the job with a failure that the front words itself, in answer to the oldest message without one.
-func (d *Dialogue) Refuse() {
+// Fail ends the job with a failure that the front words itself, in answer to the oldest message without one.
+func (d *Dialogue) Fail() {
 	d.told = min(d.seen+1, len(d.queue))
 	d.state = Failed
 }
 
-// Shown takes in that the client has been sent all that the store has answered, and returns the size of that in the
+// Delivered takes in that the client has been sent all that the store has answered, and returns the size of that in the
 // stream, in bytes. No other store can have the request from now on, so what was answered need not be kept. Danger: a
 // long result is pulled in more pieces than are kept.
-func (d *Dialogue) Shown() (size int) {
+func (d *Dialogue) Delivered() (size int) {
 	for _, m := range d.queue[:d.told] {
 		size += m.size
 	}
@@ -196,8 +196,8 @@
 	return size
 }
 
-// Waits tells that the client has asked something that it was not answered.
-func (d *Dialogue) Waits() bool { return d.job && d.seen < len(d.queue) }
+// ClientWaiting tells that the client has asked something that it was not answered.
+func (d *Dialogue) ClientWaiting() bool { return d.job && d.seen < len(d.queue) }
 
 // Aborted ends the job by RESET and gives how many of its messages are answered with IGNORED before RESET is with
 // SUCCESS.
@@ -207,9 +207,9 @@
 	return ignored
 }
 
-// Settle ends the job in hand and gives how many bytes of the stream are done with. What came behind them is asked
+// Release ends the job in hand and gives how many bytes of the stream are done with. What came behind them is asked
 // anew.
-func (d *Dialogue) Settle() (size int) {
+func (d *Dialogue) Release() (size int) {
 	for _, m := range d.queue[:d.told] {
 		size += m.size
 	}
@@ -220,7 +220,7 @@
 // AppendSummary writes a store's SUCCESS on to a client: its metadata without what the store says of itself to the
 // front, and with the bookmark given, if one is.
 func AppendSummary(dst, fields []byte, bookmark []byte) ([]byte, error) {
-	v := Unpack(fields)
+	v := NewDecoder(fields)
 	n := 0
 	count := v
 	pairs(&count, func(key []byte) {
@@ -234,7 +234,7 @@
 	if bookmark != nil {
 		n++
 	}
-	dst, at := Begin(dst)
+	dst, at := BeginMessage(dst)
 	dst = AppendMap(AppendStruct(dst, byte(Success), 1), n)
 	pairs(&v, func(key []byte) {
 		value := v.Skip()
@@ -245,7 +245,7 @@
 	if bookmark != nil {
 		dst = AppendString(AppendString(dst, "bookmark"), bookmark)
 	}
-	return End(dst, at), nil
+	return EndMessage(dst, at), nil
 }
 
 // private tells what a client is not shown, or shown in another form.
@@ -266,7 +266,7 @@
 
 // ReadReport reads a summary's metadata. What cannot be read says nothing.
 func ReadReport(fields []byte) (r Report) {
-	v := Unpack(fields)
+	v := NewDecoder(fields)
 	pairs(&v, func(key []byte) {
 		switch {
 		case string(key) == "role" && v.Kind() == String:
--- a/internal/bolt/dialogue_test.go
+++ b/internal/bolt/dialogue_test.go
@@ -11,9 +11,9 @@
 func init() { flag.Set("rapid.seed", "20261201") }
 
 func ready(t interface{ Fatalf(string, ...any) }) *Dialogue {
-	d := NewDialogue(Of(5, 4))
-	for _, w := range []What{Hello, Logon} {
-		if a := d.Ask(Request{What: w}, 1); a != Reply {
+	d := NewDialogue(MakeVersion(5, 4))
+	for _, w := range []MessageType{Hello, Logon} {
+		if a := d.Request(Request{Type: w}, 1); a != Reply {
 			t.Fatalf("%v: %d", w, a)
 		}
 		d.Replied(w, true)
@@ -23,86 +23,86 @@
 
 func TestDialogue(t *testing.T) {
 	d := ready(t)
-	if a := d.Ask(Request{What: Commit}, 1); a != Violate {
+	if a := d.Request(Request{Type: Commit}, 1); a != Reject {
 		t.Errorf("COMMIT without a transaction: %d", a)
 	}
 	// A whole transaction ahead, and a statement behind it.
-	for i, w := range []What{BeginTx, Run, Pull, Commit, Run} {
-		want := Keep
+	for i, w := range []MessageType{BeginTx, Run, Pull, Commit, Run} {
+		want := Enqueue
 		if i == 0 {
-			want = Open
+			want = StartRequest
 		}
-		if a := d.Ask(Request{What: w, Many: -1}, 10); a != want {
+		if a := d.Request(Request{Type: w, Limit: -1}, 10); a != want {
 			t.Fatalf("%v: %d", w, a)
 		}
 	}
-	var sent []What
+	var sent []MessageType
 	for _, w, ok := d.Next(); ok; _, w, ok = d.Next() {
 		sent = append(sent, w)
-		d.Sent()
+		d.MarkSent()
 	}
-	if fmt.Sprint(sent) != "[BEGIN RUN PULL COMMIT]" || !d.Transaction() {
+	if fmt.Sprint(sent) != "[BEGIN RUN PULL COMMIT]" || !d.InTransaction() {
 		t.Errorf("passed on: %v", sent)
 	}
 	holds := ""
 	for range 4 {
-		hold, over := d.Answered(true, false)
+		hold, over := d.Responded(true, false)
 		holds += fmt.Sprint(hold, " ", over, " ")
 	}
 	if holds != "true false true false false false false true " || d.State() != Ready {
 		t.Errorf("held and over: %s, state %d", holds, d.State())
 	}
-	if n := d.Settle(); n != 40 || d.Busy() {
+	if n := d.Release(); n != 40 || d.Busy() {
 		t.Errorf("%d bytes are done with", n)
 	}
 	// Results in pieces: what follows hangs on the answer.
-	d.Ask(Request{What: Run, Many: -1}, 1)
-	d.Ask(Request{What: Pull, Many: 5}, 1)
-	d.Ask(Request{What: Pull, Many: 5}, 1)
-	d.Sent()
-	d.Sent()
+	d.Request(Request{Type: Run, Limit: -1}, 1)
+	d.Request(Request{Type: Pull, Limit: 5}, 1)
+	d.Request(Request{Type: Pull, Limit: 5}, 1)
+	d.MarkSent()
+	d.MarkSent()
 	if _, _, ok := d.Next(); ok {
 		t.Error("a second PULL is passed on before the first is answered")
 	}
-	d.Answered(true, false)
-	if _, over := d.Answered(true, true); over || d.State() != Streaming {
+	d.Responded(true, false)
+	if _, over := d.Responded(true, true); over || d.State() != Streaming {
 		t.Error("more is to come")
 	}
 	if _, w, ok := d.Next(); !ok || w != Pull {
 		t.Error("the second PULL waits for ever")
 	}
-	d.Sent()
-	if _, over := d.Answered(true, false); !over || d.Settle() != 3 {
+	d.MarkSent()
+	if _, over := d.Responded(true, false); !over || d.Release() != 3 {
 		t.Error("the end of a result is no end")
 	}
 	// A failure, what was written ahead, RESET.
-	d.Ask(Request{What: Run, Many: -1}, 1)
-	d.Ask(Request{What: Pull, Many: -1}, 1)
-	d.Sent()
-	d.Refuse()
-	if d.Settle() != 1 || d.Ask(Request{What: Pull, Many: -1}, 1) != Ignore || d.Ask(Request{What: Reset}, 1) != Reply {
+	d.Request(Request{Type: Run, Limit: -1}, 1)
+	d.Request(Request{Type: Pull, Limit: -1}, 1)
+	d.MarkSent()
+	d.Fail()
+	if d.Release() != 1 || d.Request(Request{Type: Pull, Limit: -1}, 1) != Ignore || d.Request(Request{Type: Reset}, 1) != Reply {
 		t.Error("behind a failure")
 	}
 	d.Replied(Reset, true)
-	d.Ask(Request{What: BeginTx, Many: -1}, 1)
-	d.Ask(Request{What: Run, Many: -1}, 1)
-	if d.Ask(Request{What: Reset}, 1) != Abort || d.Aborted() != 2 || d.Settle() != 2 || d.State() != Ready {
+	d.Request(Request{Type: BeginTx, Limit: -1}, 1)
+	d.Request(Request{Type: Run, Limit: -1}, 1)
+	if d.Request(Request{Type: Reset}, 1) != Abort || d.Aborted() != 2 || d.Release() != 2 || d.State() != Ready {
 		t.Error("RESET in a job")
 	}
 	// Nonsense inside a job, and more than is kept.
-	d.Ask(Request{What: BeginTx, Many: -1}, 1)
-	d.Ask(Request{What: Pull, Many: -1}, 1)
-	d.Sent()
-	if d.Stuck() {
+	d.Request(Request{Type: BeginTx, Limit: -1}, 1)
+	d.Request(Request{Type: Pull, Limit: -1}, 1)
+	d.MarkSent()
+	if d.Invalid() {
 		t.Error("stuck before BEGIN is answered")
 	}
-	if d.Answered(true, false); !d.Stuck() {
+	if d.Responded(true, false); !d.Invalid() {
 		t.Error("PULL without a result makes sense")
 	}
-	for range MostAhead {
-		d.Ask(Request{What: Run, Many: -1}, 1)
+	for range MaxPipelined {
+		d.Request(Request{Type: Run, Limit: -1}, 1)
 	}
-	if a := d.Ask(Request{What: Run, Many: -1}, 1); a != Wait {
+	if a := d.Request(Request{Type: Run, Limit: -1}, 1); a != Wait {
 		t.Errorf("without bound: %d", a)
 	}
 }
@@ -119,15 +119,15 @@
 		for _, op := range rapid.SliceOfN(rapid.IntRange(0, 1<<12), 100, 400).Draw(t, "ops") {
 			switch {
 			case op%4 < 2: // the client asks
-				w := []What{Run, Pull, Pull, Discard, BeginTx, Commit, Rollback, Run}[op/4%8]
+				w := []MessageType{Run, Pull, Pull, Discard, BeginTx, Commit, Rollback, Run}[op/4%8]
 				many := int64(-1)
 				if op&512 != 0 {
 					many = 3
 				}
-				switch d.Ask(Request{What: w, Many: many}, 1) {
-				case Open:
+				switch d.Request(Request{Type: w, Limit: many}, 1) {
+				case StartRequest:
 					asked, answers, store, open, owed = 1, 0, Ready, 0, owed[:0]
-				case Keep:
+				case Enqueue:
 					asked++
 				}
 			case op%4 == 2: // the front passes on
@@ -138,14 +138,14 @@
 						s, n = o.after(s, n, o.all)
 					}
 					m := asked1{w, d.queue[d.sent].all}
-					if carried, _ := s.Takes(Of(5, 4), w); !carried {
+					if carried, _ := s.Accepts(MakeVersion(5, 4), w); !carried {
 						t.Fatalf("%v is passed on to a store in state %d", w, s)
 					}
-					d.Sent()
+					d.MarkSent()
 					owed = append(owed, m)
 				}
 			case len(owed) > 0: // the store answers
-				w, ok := d.Asked()
+				w, ok := d.Awaiting()
 				if !ok || w != owed[0].w {
 					t.Fatalf("the answer to %v is taken for one to %v", owed[0].w, w)
 				}
@@ -153,18 +153,18 @@
 				store, open = owed[0].after(store, open, !more)
 				owed = owed[1:]
 				answers++
-				if _, over := d.Answered(true, more); over != (store == Ready) {
+				if _, over := d.Responded(true, more); over != (store == Ready) {
 					t.Fatalf("over is %v, the store is in state %d", over, store)
 				} else if over {
-					if n := d.Settle(); n != answers || len(owed) > 0 {
+					if n := d.Release(); n != answers || len(owed) > 0 {
 						t.Fatalf("%d messages settled, %d answered of %d, %d owed", n, answers, asked, len(owed))
 					}
 					done++
 				}
 			}
-			if d.Stuck() {
-				d.Refuse()
-				d.Settle()
+			if d.Invalid() {
+				d.Fail()
+				d.Release()
 				d.state, owed = Ready, owed[:0]
 			}
 		}
@@ -176,7 +176,7 @@
 
 // asked1 is what the model's store was passed on.
 type asked1 struct {
-	w   What
+	w   MessageType
 	all bool
 }
 
@@ -207,9 +207,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rd := Reader{Most: 1 << 12}
+	rd := Reader{MaxSize: 1 << 12}
 	body, _, _ := rd.Next(out)
-	a, err := ReadAnswer(body)
+	a, err := ReadResponse(body)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/bolt/message.go
+++ b/internal/bolt/message.go
@@ -6,33 +6,33 @@
 	"strconv"
 )
 
-// What is the tag of a message.
-type What byte
+// MessageType is the tag of a message.
+type MessageType byte
 
 const (
-	Hello     What = 0x01
-	Goodbye   What = 0x02
-	Reset     What = 0x0f
-	Run       What = 0x10
-	BeginTx   What = 0x11
-	Commit    What = 0x12
-	Rollback  What = 0x13
-	Discard   What = 0x2f
-	Pull      What = 0x3f
-	Telemetry What = 0x54
-	Route     What = 0x66
-	Logon     What = 0x6a
-	Logoff    What = 0x6b
+	Hello     MessageType = 0x01
+	Goodbye   MessageType = 0x02
+	Reset     MessageType = 0x0f
+	Run       MessageType = 0x10
+	BeginTx   MessageType = 0x11
+	Commit    MessageType = 0x12
+	Rollback  MessageType = 0x13
+	Discard   MessageType = 0x2f
+	Pull      MessageType = 0x3f
+	Telemetry MessageType = 0x54
+	Route     MessageType = 0x66
+	Logon     MessageType = 0x6a
+	Logoff    MessageType = 0x6b
 
-	Success What = 0x70
-	Record  What = 0x71
-	Ignored What = 0x7e
-	Failure What = 0x7f
+	Success MessageType = 0x70
+	Record  MessageType = 0x71
+	Ignored MessageType = 0x7e
+	Failure MessageType = 0x7f
 )
 
-func (w What) String() string {
+func (w MessageType) String() string {
 	for _, n := range [...]struct {
-		what What
+		what MessageType
 		name string
 	}{{Hello, "HELLO"}, {Goodbye, "GOODBYE"}, {Reset, "RESET"}, {Run, "RUN"}, {BeginTx, "BEGIN"}, {Commit, "COMMIT"},
 		{Rollback, "ROLLBACK"}, {Discard, "DISCARD"}, {Pull, "PULL"}, {Telemetry, "TELEMETRY"}, {Route, "ROUTE"}, {Logon, "LOGON"},
@@ -46,21 +46,21 @@
 
 // Request is a client's message. Its slices point into the message's body.
 type Request struct {
-	What       What
+	Type       MessageType
 	Query      []byte // of RUN
 	Parameters []byte // of RUN, packed as they came
 	Extra      Extra  // of RUN and BEGIN
-	Many       int64  // of PULL and DISCARD: how many records, below 0: all
-	Result     int64  // of PULL and DISCARD: which of the transaction's results, below 0: the last
+	Limit      int64  // of PULL and DISCARD: how many records, below 0: all
+	QueryID    int64  // of PULL and DISCARD: which of the transaction's results, below 0: the last
 	Routing    []byte // of ROUTE: the context, packed
-	Agent      []byte // of HELLO: what the client calls itself
+	UserAgent  []byte // of HELLO: what the client calls itself
 }
 
 // Extra is what RUN and BEGIN say beside a statement.
 type Extra struct {
 	Bookmarks []byte // packed list; nil: none
 	Timeout   int64  // milliseconds; 0: not said
-	Reads     bool   // access mode "r"
+	ReadOnly  bool   // access mode "r"
 	Database  []byte
 	Metadata  []byte // packed map; nil: none
 	packed    []byte // all of it
@@ -69,7 +69,7 @@
 var errFields = errors.New("a message with another number of fields")
 
 // fields is how many each request has.
-func (w What) fields() int {
+func (w MessageType) fields() int {
 	switch w {
 	case Hello, BeginTx, Discard, Pull, Telemetry, Logon:
 		return 1
@@ -83,19 +83,19 @@
 
 // ReadRequest reads a client's message.
 func ReadRequest(body []byte) (r Request, err error) {
-	v := Unpack(body)
+	v := NewDecoder(body)
 	tag, n := v.Struct()
-	r = Request{What: What(tag), Result: -1, Many: -1}
+	r = Request{Type: MessageType(tag), QueryID: -1, Limit: -1}
 	if v.Err() != nil {
 		return r, v.Err()
 	}
-	switch want := r.What.fields(); {
+	switch want := r.Type.fields(); {
 	case want < 0:
-		return r, fmt.Errorf("%v is no request", r.What)
+		return r, fmt.Errorf("%v is no request", r.Type)
 	case n != want:
-		return r, fmt.Errorf("%v: %w", r.What, errFields)
+		return r, fmt.Errorf("%v: %w", r.Type, errFields)
 	}
-	switch r.What {
+	switch r.Type {
 	case Hello:
 		r.hello(&v)
 	case Run:
@@ -118,17 +118,17 @@
 	case Telemetry:
 		v.Int()
 	}
-	if v.Err() == nil && len(v.Left()) > 0 {
-		return r, fmt.Errorf("%v: bytes behind its end", r.What)
+	if v.Err() == nil && len(v.Remaining()) > 0 {
+		return r, fmt.Errorf("%v: bytes behind its end", r.Type)
 	}
 	if v.Err() != nil {
-		return r, fmt.Errorf("%v: %w", r.What, v.Err())
+		return r, fmt.Errorf("%v: %w", r.Type, v.Err())
 	}
 	return r, nil
 }
 
 // pairs reads a map; each is told a key and has to take its value.
-func pairs(v *Values, each func(key []byte)) {
+func pairs(v *Decoder, each func(key []byte)) {
 	for n := v.Map(); n > 0 && v.Err() == nil; n-- {
 		if key := v.String(); v.Err() == nil {
 			each(key)
@@ -136,35 +136,35 @@
 	}
 }
 
-func (r *Request) hello(v *Values) {
+func (r *Request) hello(v *Decoder) {
 	pairs(v, func(key []byte) {
 		if string(key) == "user_agent" {
-			r.Agent = v.String()
+			r.UserAgent = v.String()
 		} else {
 			v.Skip()
 		}
 	})
 }
 
-func (r *Request) pull(v *Values) {
+func (r *Request) pull(v *Decoder) {
 	pairs(v, func(key []byte) {
 		switch string(key) {
 		case "n":
-			r.Many = v.Int()
+			r.Limit = v.Int()
 		case "qid":
-			r.Result = v.Int()
+			r.QueryID = v.Int()
 		default:
 			v.Skip()
 		}
 	})
-	if r.Many == 0 || r.Many < -1 || r.Result < -1 {
+	if r.Limit == 0 || r.Limit < -1 || r.QueryID < -1 {
 		v.fail(errors.New("n or qid is out of range"))
 	}
 }
 
-func (e *Extra) read(v *Values) {
-	start := v.Left()
-	defer func() { e.packed = start[:len(start)-len(v.Left())] }()
+func (e *Extra) read(v *Decoder) {
+	start := v.Remaining()
+	defer func() { e.packed = start[:len(start)-len(v.Remaining())] }()
 	pairs(v, func(key []byte) {
 		if v.Kind() == Null { // as if it were not there
 			v.Skip()
@@ -188,7 +188,7 @@
 		case "mode":
 			switch mode := v.String(); string(mode) {
 			case "r":
-				e.Reads = true
+				e.ReadOnly = true
 			case "w":
 			default:
 				v.fail(errors.New("mode is neither r nor w"))
@@ -203,7 +203,7 @@
 
 // Address is where the client of a ROUTE has reached this front, as it says itself; empty: it does not.
 func (r *Request) Address() (address []byte) {
-	v := Unpack(r.Routing)
+	v := NewDecoder(r.Routing)
 	pairs(&v, func(key []byte) {
 		if string(key) == "address" && v.Kind() == String {
 			address = v.String()
@@ -214,59 +214,59 @@
 	return address
 }
 
-// AppendTimed writes RUN or BEGIN anew, with another tx_timeout in whole milliseconds; all else stays as it is.
-func (r *Request) AppendTimed(dst []byte, left int64) []byte {
-	dst, at := Begin(dst)
-	if r.What == Run {
+// AppendWithTimeout writes RUN or BEGIN anew, with another tx_timeout in whole milliseconds; all else stays as it is.
+func (r *Request) AppendWithTimeout(dst []byte, left int64) []byte {
+	dst, at := BeginMessage(dst)
+	if r.Type == Run {
 		dst = AppendString(AppendStruct(dst, byte(Run), 3), r.Query)
 		dst = append(dst, r.Parameters...)
 	} else {
 		dst = AppendStruct(dst, byte(BeginTx), 1)
 	}
-	v, kept := Unpack(r.Extra.packed), 1
+	v, kept := NewDecoder(r.Extra.packed), 1
 	pairs(&v, func(key []byte) {
 		if v.Skip(); string(key) != "tx_timeout" {
 			kept++
 		}
 	})
 	dst = AppendMap(dst, kept)
-	v = Unpack(r.Extra.packed)
+	v = NewDecoder(r.Extra.packed)
 	pairs(&v, func(key []byte) {
 		if value := v.Skip(); string(key) != "tx_timeout" {
 			dst = append(AppendString(dst, key), value...)
 		}
 	})
-	return End(AppendInt(AppendString(dst, "tx_timeout"), left), at)
+	return EndMessage(AppendInt(AppendString(dst, "tx_timeout"), left), at)
 }
 
-// Answer is a server's message. Its slices point into the message's body.
-type Answer struct {
-	What    What
+// Response is a server's message. Its slices point into the message's body.
+type Response struct {
+	Type    MessageType
 	Fields  []byte // of SUCCESS: the metadata, packed; of RECORD: the list, packed
 	Code    []byte // of FAILURE
 	Message []byte
 	More    bool // SUCCESS of PULL or DISCARD: there is more
 }
 
-// ReadAnswer reads a server's message.
-func ReadAnswer(body []byte) (a Answer, err error) {
-	v := Unpack(body)
+// ReadResponse reads a server's message.
+func ReadResponse(body []byte) (a Response, err error) {
+	v := NewDecoder(body)
 	tag, n := v.Struct()
-	a.What = What(tag)
+	a.Type = MessageType(tag)
 	want := 1
-	if a.What == Ignored {
+	if a.Type == Ignored {
 		want = 0
 	}
 	switch {
 	case v.Err() != nil:
 		return a, v.Err()
-	case a.What < Success || a.What != Success && a.What != Record && a.What != Ignored && a.What != Failure:
-		return a, fmt.Errorf("%v is no answer", a.What)
-	case n != want && !(a.What == Ignored && n == 1): // some servers say why
-		return a, fmt.Errorf("%v: %w", a.What, errFields)
+	case a.Type < Success || a.Type != Success && a.Type != Record && a.Type != Ignored && a.Type != Failure:
+		return a, fmt.Errorf("%v is no answer", a.Type)
+	case n != want && !(a.Type == Ignored && n == 1): // some servers say why
+		return a, fmt.Errorf("%v: %w", a.Type, errFields)
 	}
-	rest := v.Left()
-	switch a.What {
+	rest := v.Remaining()
+	switch a.Type {
 	case Success:
 		pairs(&v, func(key []byte) {
 			if string(key) == "has_more" {
@@ -300,22 +300,22 @@
 			v.fail(errors.New("it has no code"))
 		}
 	}
-	if v.Err() == nil && len(v.Left()) > 0 {
-		return a, fmt.Errorf("%v: bytes behind its end", a.What)
+	if v.Err() == nil && len(v.Remaining()) > 0 {
+		return a, fmt.Errorf("%v: bytes behind its end", a.Type)
 	}
 	if v.Err() != nil {
-		return a, fmt.Errorf("%v: %w", a.What, v.Err())
+		return a, fmt.Errorf("%v: %w", a.Type, v.Err())
 	}
 	return a, nil
 }
 
 // AppendFailure writes a FAILURE in the form of that version, with the class of its status where the version has one.
 func AppendFailure(dst []byte, v Version, code, text string) []byte {
-	dst, at := Begin(dst)
+	dst, at := BeginMessage(dst)
 	dst = AppendStruct(dst, byte(Failure), 1)
 	if v.Major() < 5 || v.Major() == 5 && v.Minor() < 7 {
 		dst = AppendMap(dst, 2)
-		return End(AppendPair(AppendPair(dst, "code", code), "message", text), at)
+		return EndMessage(AppendPair(AppendPair(dst, "code", code), "message", text), at)
 	}
 	dst = AppendMap(dst, 5)
 	dst = AppendPair(dst, "neo4j_code", code)
@@ -325,21 +325,21 @@
 	dst = AppendMap(AppendString(dst, "diagnostic_record"), 3)
 	dst = AppendPair(dst, "OPERATION", "")
 	dst = AppendPair(dst, "OPERATION_CODE", "0")
-	return End(AppendPair(dst, "CURRENT_SCHEMA", "/"), at)
+	return EndMessage(AppendPair(dst, "CURRENT_SCHEMA", "/"), at)
 }
 
 // AppendSuccess writes a SUCCESS whose metadata holds n pairs, which pairs appends.
 func AppendSuccess(dst []byte, n int, pairs func(dst []byte) []byte) []byte {
-	dst, at := Begin(dst)
+	dst, at := BeginMessage(dst)
 	dst = AppendMap(AppendStruct(dst, byte(Success), 1), n)
 	if pairs != nil {
 		dst = pairs(dst)
 	}
-	return End(dst, at)
+	return EndMessage(dst, at)
 }
 
-// AppendBare writes a message without fields.
-func AppendBare(dst []byte, w What) []byte {
-	dst, at := Begin(dst)
-	return End(AppendStruct(dst, byte(w), 0), at)
+// AppendEmpty writes a message without fields.
+func AppendEmpty(dst []byte, w MessageType) []byte {
+	dst, at := BeginMessage(dst)
+	return EndMessage(AppendStruct(dst, byte(w), 0), at)
 }
--- a/internal/bolt/pack.go
+++ b/internal/bolt/pack.go
@@ -20,7 +20,7 @@
 	List
 	Map
 	Struct
-	Faulty
+	InvalidKind
 )
 
 var (
@@ -29,23 +29,23 @@
 	errByte  = errors.New("a byte that begins no value")
 )
 
-// Values reads PackStream values one after the other. What it gives points into the message. After an error it gives
+// Decoder reads PackStream values one after the other. What it gives points into the message. After an error it gives
 // nothing more, and Err tells it.
-type Values struct {
+type Decoder struct {
 	buf []byte
 	err error
 }
 
-// Unpack reads the values of a message's body.
-func Unpack(body []byte) Values { return Values{buf: body} }
+// NewDecoder reads the values of a message's body.
+func NewDecoder(body []byte) Decoder { return Decoder{buf: body} }
 
 // Err tells the first fault.
-func (v *Values) Err() error { return v.err }
+func (v *Decoder) Err() error { return v.err }
 
-// Left is what has not been read.
-func (v *Values) Left() []byte { return v.buf }
+// Remaining is what has not been read.
+func (v *Decoder) Remaining() []byte { return v.buf }
 
-func (v *Values) fail(err error) {
+func (v *Decoder) fail(err error) {
 	if v.err == nil {
 		v.err = err
 	}
@@ -53,7 +53,7 @@
 }
 
 // Kind tells what comes next without taking it.
-func (v *Values) Kind() Kind {
+func (v *Decoder) Kind() Kind {
 	if len(v.buf) == 0 {
 		return None
 	}
@@ -77,22 +77,22 @@
 	case m >= 0xcc && m <= 0xce:
 		return Bytes
 	}
-	return Faulty
+	return InvalidKind
 }
 
 // head takes a marker and the size or number behind it: n bytes, entries or fields, or the number itself.
-func (v *Values) head() (k Kind, n int64) {
+func (v *Decoder) head() (k Kind, n int64) {
 	k = v.Kind()
 	if k == None {
 		v.fail(errShort)
-		return Faulty, 0
+		return InvalidKind, 0
 	}
 	m := v.buf[0]
 	width := 0 // bytes of the size or number
 	switch {
-	case k == Faulty:
+	case k == InvalidKind:
 		v.fail(errByte)
-		return Faulty, 0
+		return InvalidKind, 0
 	case k == Int && (m <= 0x7f || m >= 0xf0):
 		n = int64(int8(m))
 	case k == Int:
@@ -114,7 +114,7 @@
 	}
 	if len(v.buf) < 1+width {
 		v.fail(errShort)
-		return Faulty, 0
+		return InvalidKind, 0
 	}
 	switch b := v.buf[1:]; width {
 	case 1:
@@ -135,7 +135,7 @@
 }
 
 // want takes the head of a value of that kind.
-func (v *Values) want(k Kind) int64 {
+func (v *Decoder) want(k Kind) int64 {
 	got, n := v.head()
 	if got != k {
 		v.fail(errKind)
@@ -145,15 +145,15 @@
 }
 
 // Int takes a whole number.
-func (v *Values) Int() int64 { return v.want(Int) }
+func (v *Decoder) Int() int64 { return v.want(Int) }
 
 // Bool takes a truth value.
-func (v *Values) Bool() bool { return v.want(Bool) != 0 }
+func (v *Decoder) Bool() bool { return v.want(Bool) != 0 }
 
 // Float takes a floating-point number.
-func (v *Values) Float() float64 { return math.Float64frombits(uint64(v.want(Float))) }
+func (v *Decoder) Float() float64 { return math.Float64frombits(uint64(v.want(Float))) }
 
-func (v *Values) bytes(n int64) []byte {
+func (v *Decoder) bytes(n int64) []byte {
 	if n < 0 || n > int64(len(v.buf)) {
 		v.fail(errShort)
 		return nil
@@ -164,13 +164,13 @@
 }
 
 // String takes a string.
-func (v *Values) String() []byte { return v.bytes(v.want(String)) }
+func (v *Decoder) String() []byte { return v.bytes(v.want(String)) }
 
 // Bytes takes a string of bytes.
-func (v *Values) Bytes() []byte { return v.bytes(v.want(Bytes)) }
+func (v *Decoder) Bytes() []byte { return v.bytes(v.want(Bytes)) }
 
 // count checks that n things of at least so many bytes each can still follow.
-func (v *Values) count(n, each int64) int {
+func (v *Decoder) count(n, each int64) int {
 	if n < 0 || n > int64(len(v.buf))/each {
 		v.fail(errShort)
 		return 0
@@ -179,13 +179,13 @@
 }
 
 // List takes the head of a list and gives how many entries follow.
-func (v *Values) List() int { return v.count(v.want(List), 1) }
+func (v *Decoder) List() int { return v.count(v.want(List), 1) }
 
 // Map takes the head of a map and gives how many pairs of a string and a value follow.
-func (v *Values) Map() int { return v.count(v.want(Map), 2) }
+func (v *Decoder) Map() int { return v.count(v.want(Map), 2) }
 
 // Struct takes the head of a structure: its tag, and how many fields follow.
-func (v *Values) Struct() (tag byte, fields int) {
+func (v *Decoder) Struct() (tag byte, fields int) {
 	n := v.want(Struct)
 	if v.err != nil || len(v.buf) == 0 {
 		v.fail(errShort)
@@ -198,7 +198,7 @@
 
 // Skip takes a value of any kind with all that is in it, and gives its bytes. It goes no deeper than the message is
 // long, and keeps no stack: it counts what is still to come.
-func (v *Values) Skip() []byte {
+func (v *Decoder) Skip() []byte {
 	start := v.buf
 	for left := int64(1); left > 0 && v.err == nil; left-- {
 		switch k, n := v.head(); k {
--- a/internal/bolt/state.go
+++ b/internal/bolt/state.go
@@ -15,8 +15,8 @@
 	Defunct
 )
 
-// Start is where a connection stands after the handshake.
-func Start(v Version) State {
+// InitialState is where a connection stands after the handshake.
+func InitialState(v Version) State {
 	if logsOn(v) {
 		return Negotiation
 	}
@@ -26,9 +26,9 @@
 // logsOn tells whether that version has messages of its own for logging on.
 func logsOn(v Version) bool { return v.Major() > 5 || v.Major() == 5 && v.Minor() >= 1 }
 
-// Takes tells what becomes of a request in that state: carried out, ignored, or senseless, after which the connection
+// Accepts tells what becomes of a request in that state: carried out, ignored, or senseless, after which the connection
 // is defunct.
-func (s State) Takes(v Version, w What) (carried, ignored bool) {
+func (s State) Accepts(v Version, w MessageType) (carried, ignored bool) {
 	switch {
 	case w == Goodbye:
 		return s != Defunct, false
@@ -62,7 +62,7 @@
 
 // After gives the state behind a request that was carried out: how it ended, whether its result has more records, and
 // how many results of the transaction are open then.
-func (s State) After(w What, ok, more bool, open int) State {
+func (s State) After(w MessageType, ok, more bool, open int) State {
 	switch {
 	case w == Goodbye:
 		return Defunct
--- a/internal/bolt/terms.go
+++ b/internal/bolt/terms.go
@@ -13,65 +13,65 @@
 // again by them, the two of the cluster are too after the routing table was asked for anew, all others are told to
 // the application.
 const (
-	TurnedBack   = "Neo.TransientError.Request.NoThreadsAvailable"
-	Unavailable  = "Neo.TransientError.General.DatabaseUnavailable"
-	BehindMark   = "Neo.TransientError.Transaction.BookmarkTimeout"
-	NotALeader   = "Neo.ClientError.Cluster.NotALeader"
-	ReadOnly     = "Neo.ClientError.General.ForbiddenOnReadOnlyDatabase"
-	WrittenOff   = "Neo.DatabaseError.General.UnknownError"
-	Invalid      = "Neo.ClientError.Request.Invalid"
-	Format       = "Neo.ClientError.Request.InvalidFormat"
-	BadBookmark  = "Neo.ClientError.Transaction.InvalidBookmark"
-	NoDatabase   = "Neo.ClientError.Database.DatabaseNotFound"
-	TooLong      = "Neo.ClientError.Transaction.TransactionTimedOut"
-	NotPermitted = "Neo.ClientError.Statement.AccessMode"
+	NoThreadsAvailable  = "Neo.TransientError.Request.NoThreadsAvailable"
+	Unavailable         = "Neo.TransientError.General.DatabaseUnavailable"
+	BookmarkTimeout     = "Neo.TransientError.Transaction.BookmarkTimeout"
+	NotALeader          = "Neo.ClientError.Cluster.NotALeader"
+	ReadOnly            = "Neo.ClientError.General.ForbiddenOnReadOnlyDatabase"
+	UnknownError        = "Neo.DatabaseError.General.UnknownError"
+	Invalid             = "Neo.ClientError.Request.Invalid"
+	InvalidFormat       = "Neo.ClientError.Request.InvalidFormat"
+	InvalidBookmark     = "Neo.ClientError.Transaction.InvalidBookmark"
+	DatabaseNotFound    = "Neo.ClientError.Database.DatabaseNotFound"
+	TransactionTimedOut = "Neo.ClientError.Transaction.TransactionTimedOut"
+	NotPermitted        = "Neo.ClientError.Statement.AccessMode"
 )
 
-// Refusal is what a store's FAILURE proves about what it was sent.
-type Refusal uint8
+// FailureKind is what a store's FAILURE proves about what it was sent.
+type FailureKind uint8
 
 const (
-	MayHaveRun Refusal = iota
-	WasBehind          // turned away untouched: no primary, or too far behind
-	WasFull            // turned away unseen
+	MayHaveRun         FailureKind = iota
+	RejectedBehind                 // turned away untouched: no primary, or too far behind
+	RejectedOverloaded             // turned away unseen
 )
 
-// Refused tells what a code proves. Danger: a code that is not known to prove anything proves nothing.
-func Refused(code []byte) Refusal {
+// ClassifyFailure tells what a code proves. Danger: a code that is not known to prove anything proves nothing.
+func ClassifyFailure(code []byte) FailureKind {
 	switch string(code) {
-	case BehindMark, NotALeader, ReadOnly:
-		return WasBehind
-	case TurnedBack, Unavailable:
-		return WasFull
+	case BookmarkTimeout, NotALeader, ReadOnly:
+		return RejectedBehind
+	case NoThreadsAvailable, Unavailable:
+		return RejectedOverloaded
 	}
 	return MayHaveRun
 }
 
-// Invites tells whether drivers, or applications by the code's class, try again what failed with it.
-func Invites(code []byte) bool {
+// ClientMayRetry tells whether drivers, or applications by the code's class, try again what failed with it.
+func ClientMayRetry(code []byte) bool {
 	return bytes.HasPrefix(code, []byte("Neo.TransientError.")) || string(code) == NotALeader || string(code) == ReadOnly
 }
 
-// Clients tells whether a code says that what was asked was at fault, and not the store.
-func Clients(code []byte) bool {
-	return bytes.HasPrefix(code, []byte("Neo.ClientError.")) && !Invites(code)
+// IsClientError tells whether a code says that what was asked was at fault, and not the store.
+func IsClientError(code []byte) bool {
+	return bytes.HasPrefix(code, []byte("Neo.ClientError.")) && !ClientMayRetry(code)
 }
 
 // ErrFaultyBookmark is the error of a bookmark that cannot be read; no read may ignore one.
-var ErrFaultyBookmark = errors.New("a bookmark was not handed out here")
+var ErrInvalidBookmark = errors.New("a bookmark was not handed out here")
 
-// Terms reads what transaction metadata, timeout, database, access mode and bookmarks say of a job.
+// ParseRequest reads what transaction metadata, timeout, database, access mode and bookmarks say of a job.
 //
 //	metadata id, c, t, k, s, r   as in the comment of a PostgreSQL query: id, profile, customer, mark; the session; further try
 //	database or metadata cluster the group
 //	tx_timeout                   how long the client will wait
 //	mode                         "r": the job writes nothing
 //	bookmarks                    the newest of the group is what a read has to see
-func (e *Extra) Terms() (t metadata.Request, err error) {
+func (e *Extra) ParseRequest() (t metadata.Request, err error) {
 	t.TimeLeft = e.Timeout * 10
 	group := e.Database
 	if e.Metadata != nil {
-		v := Unpack(e.Metadata)
+		v := NewDecoder(e.Metadata)
 		pairs(&v, func(key []byte) {
 			switch string(key) {
 			case "id":
@@ -131,14 +131,14 @@
 	rest, ok := bytes.CutPrefix(text, []byte(bookmark))
 	a, b, ok2 := bytes.Cut(rest, []byte(":"))
 	if !ok || !ok2 {
-		return 0, 0, ErrFaultyBookmark
+		return 0, 0, ErrInvalidBookmark
 	}
 	group, err = strconv.ParseUint(string(a), 10, 63)
 	if err == nil {
 		position, err = strconv.ParseInt(string(b), 10, 58)
 	}
 	if err != nil || position <= 0 {
-		return 0, 0, ErrFaultyBookmark
+		return 0, 0, ErrInvalidBookmark
 	}
 	return group, position, nil
 }
@@ -146,7 +146,7 @@
 // newest gives the newest position that bookmarks name for a group. Those of other groups say nothing of it: logs of
 // different groups have no order.
 func newest(packed []byte, group uint64) (position int64, err error) {
-	v := Unpack(packed)
+	v := NewDecoder(packed)
 	for n := v.List(); n > 0 && v.Err() == nil; n-- {
 		text := v.String()
 		if v.Err() != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	if v.Err() != nil {
-		return 0, ErrFaultyBookmark
+		return 0, ErrInvalidBookmark
 	}
 	return position, nil
 }
--- a/internal/bolt/timed_test.go
+++ b/internal/bolt/timed_test.go
@@ -10,14 +10,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rd := Reader{Most: 1 << 16}
-		out, n, err := rd.Next(r.AppendTimed(nil, 77))
+		rd := Reader{MaxSize: 1 << 16}
+		out, n, err := rd.Next(r.AppendWithTimeout(nil, 77))
 		if err != nil || n == 0 {
 			t.Fatal(n, err)
 		}
 		again, err := ReadRequest(out)
 		if err != nil || again.Extra.Timeout != 77 || string(again.Query) != string(r.Query) || string(again.Extra.Metadata) != string(r.Extra.Metadata) ||
-			string(again.Extra.Bookmarks) != string(r.Extra.Bookmarks) || again.Extra.Reads != r.Extra.Reads {
+			string(again.Extra.Bookmarks) != string(r.Extra.Bookmarks) || again.Extra.ReadOnly != r.Extra.ReadOnly {
 			t.Errorf("%+v, %v", again, err)
 		}
 	}
--- a/internal/front/bolt.go
+++ b/internal/front/bolt.go
@@ -27,7 +27,7 @@
 	termBytes      []byte // the bytes that the request's metadata fields point into
 }
 
-func newBoltClient() *boltClient { return &boltClient{reader: bolt.Reader{Most: maxBoltMessage}} }
+func newBoltClient() *boltClient { return &boltClient{reader: bolt.Reader{MaxSize: maxBoltMessage}} }
 
 func (b *boltClient) startConnection(cl *client, c *Core, in []byte) int {
 	v, n, err := bolt.Handshake(in)
@@ -51,7 +51,7 @@
 
 // readChosenVersion reads the version that the client has chosen from the manifest.
 func (b *boltClient) readChosenVersion(cl *client, c *Core, in []byte) int {
-	v, n, err := bolt.Chosen(in)
+	v, n, err := bolt.ReadChosenVersion(in)
 	if err != nil {
 		cl.finish(c, closedByViolation)
 		return len(in)
@@ -74,7 +74,7 @@
 }
 
 func (b *boltClient) messageTooLarge(cl *client, c *Core) {
-	b.violate(cl, c, bolt.Format, "out of memory")
+	b.violate(cl, c, bolt.InvalidFormat, "out of memory")
 }
 
 // noRoomMessage returns nothing, since Bolt has no error before the handshake.
@@ -82,7 +82,7 @@
 
 func (b *boltClient) messageStalled(cl *client, c *Core) {
 	if b.dialogue != nil {
-		cl.write(c, bolt.AppendFailure(c.scratch[:0], b.version, bolt.Format, "the message was not completed in time"))
+		cl.write(c, bolt.AppendFailure(c.scratch[:0], b.version, bolt.InvalidFormat, "the message was not completed in time"))
 	}
 	cl.finish(c, closedStalled)
 }
@@ -101,7 +101,7 @@
 		body, n, err := b.reader.Next(cl.link.Peek()[b.requestBytes:])
 		switch {
 		case err != nil:
-			b.violate(cl, c, bolt.Format, err.Error())
+			b.violate(cl, c, bolt.InvalidFormat, err.Error())
 			return
 		case n == 0:
 			b.forwardRequest(cl, c)
@@ -111,28 +111,28 @@
 			continue
 		case len(body) == 0:
 			b.requestBytes += n // it stays in front of the next message; stores skip it as well
-			b.dialogue.Pad(n)
+			b.dialogue.NoOp(n)
 			continue
 		}
 		r, err := bolt.ReadRequest(body)
 		if err != nil {
-			b.violate(cl, c, bolt.Format, err.Error())
+			b.violate(cl, c, bolt.InvalidFormat, err.Error())
 			return
 		}
-		if b.pendingFailure != nil && r.What != bolt.Reset && r.What != bolt.Goodbye {
+		if b.pendingFailure != nil && r.Type != bolt.Reset && r.Type != bolt.Goodbye {
 			cl.write(c, b.pendingFailure)
 			b.pendingFailure = nil
 			cl.link.Discard(n)
 			continue
 		}
-		switch b.dialogue.Ask(r, n) {
-		case bolt.Leave:
+		switch b.dialogue.Request(r, n) {
+		case bolt.Disconnect:
 			cl.abandonAll(c)
 			cl.finish(c, closedAtGoodbye)
-		case bolt.Violate:
-			b.violate(cl, c, bolt.Invalid, "unexpected "+r.What.String())
+		case bolt.Reject:
+			b.violate(cl, c, bolt.Invalid, "unexpected "+r.Type.String())
 		case bolt.Ignore:
-			cl.write(c, bolt.AppendBare(c.scratch[:0], bolt.Ignored))
+			cl.write(c, bolt.AppendEmpty(c.scratch[:0], bolt.Ignored))
 			cl.link.Discard(n)
 		case bolt.Reply:
 			b.replyLocally(cl, c, r)
@@ -140,13 +140,13 @@
 			cl.activeAt = c.now
 		case bolt.Abort:
 			b.resetRequest(cl, c, n)
-		case bolt.Open:
+		case bolt.StartRequest:
 			b.requestBytes = n
 			b.openRequest(cl, c, r)
-		case bolt.Keep:
+		case bolt.Enqueue:
 			b.requestBytes += n
 		case bolt.Wait:
-			b.reader = bolt.Reader{Most: maxBoltMessage} // the message is parsed again when there is room
+			b.reader = bolt.Reader{MaxSize: maxBoltMessage} // the message is parsed again when there is room
 			b.forwardRequest(cl, c)
 			return
 		}
@@ -157,7 +157,7 @@
 func (b *boltClient) replyLocally(cl *client, c *Core, r bolt.Request) {
 	n, pairs := 0, func(dst []byte) []byte { return dst }
 	b.pendingFailure = nil // RESET clears the failure
-	switch r.What {
+	switch r.Type {
 	case bolt.Hello:
 		cl.greeted = true
 		n, pairs = 3, func(dst []byte) []byte {
@@ -169,7 +169,7 @@
 		n, pairs = 1, func(dst []byte) []byte { return c.appendRoutingTable(dst, r) }
 	}
 	c.scratch = bolt.AppendSuccess(c.scratch[:0], n, pairs)
-	b.dialogue.Replied(r.What, true)
+	b.dialogue.Replied(r.Type, true)
 	cl.write(c, c.scratch)
 }
 
@@ -194,15 +194,15 @@
 
 // openRequest starts a request from RUN or BEGIN.
 func (b *boltClient) openRequest(cl *client, c *Core, r bolt.Request) {
-	t, err := r.Extra.Terms()
+	t, err := r.Extra.ParseRequest()
 	code, why := bolt.Invalid, ""
 	switch {
-	case err == bolt.ErrFaultyBookmark:
-		code, why = bolt.BadBookmark, err.Error()
+	case err == bolt.ErrInvalidBookmark:
+		code, why = bolt.InvalidBookmark, err.Error()
 	case err != nil:
 		why = err.Error()
 	case t.ReadAfter > c.now+c.classes.longest: // no store would ever have reached that position
-		code, why = bolt.BadBookmark, "a bookmark is from the future"
+		code, why = bolt.InvalidBookmark, "a bookmark is from the future"
 	}
 	b.termBytes = b.termBytes[:0]
 	for _, v := range [...]*[]byte{&t.ID, &t.Class, &t.Tenant, &t.Key, &t.Session} {
@@ -216,7 +216,7 @@
 	if t.HasReadAfter {
 		t.Session = nil // the bookmark takes precedence over the position that this front remembers for the session
 	}
-	if kind, ok := c.classes.byName[string(t.Class)]; ok && r.Extra.Reads && c.classes.settings[kind].Need == balance.Write {
+	if kind, ok := c.classes.byName[string(t.Class)]; ok && r.Extra.ReadOnly && c.classes.settings[kind].Need == balance.Write {
 		why = "a job that writes came in access mode r"
 	}
 	if why == "" {
@@ -226,7 +226,7 @@
 		case noFault:
 			cl.request = index
 		case unknownGroup:
-			code = bolt.NoDatabase
+			code = bolt.DatabaseNotFound
 		}
 	}
 	if why != "" {
@@ -240,7 +240,7 @@
 func (b *boltClient) resetRequest(cl *client, c *Core, n int) {
 	c.scratch = c.scratch[:0]
 	for range b.dialogue.Aborted() {
-		c.scratch = bolt.AppendBare(c.scratch, bolt.Ignored)
+		c.scratch = bolt.AppendEmpty(c.scratch, bolt.Ignored)
 	}
 	c.scratch = bolt.AppendSuccess(c.scratch, 0, nil)
 	cl.abandonAll(c)
@@ -253,10 +253,10 @@
 // requestDone releases the read buffer space of the request. What arrived behind it is parsed again.
 func (b *boltClient) requestDone(cl *client, _ *Core, failed bool) {
 	if failed {
-		b.dialogue.Refuse()
+		b.dialogue.Fail()
 	}
-	cl.link.Discard(b.dialogue.Settle())
-	b.requestBytes, b.reader = 0, bolt.Reader{Most: maxBoltMessage}
+	cl.link.Discard(b.dialogue.Release())
+	b.requestBytes, b.reader = 0, bolt.Reader{MaxSize: maxBoltMessage}
 }
 
 func (b *boltClient) refusalReply(dst []byte, pause Time) []byte {
@@ -264,11 +264,11 @@
 	if pause >= millisecond {
 		text = fmt.Sprintf("turned back, try again after %d ms", pause/millisecond)
 	}
-	return b.ownAnswer(dst, bolt.TurnedBack, text)
+	return b.ownAnswer(dst, bolt.NoThreadsAvailable, text)
 }
 
 func (b *boltClient) failureReply(dst []byte, why string) []byte {
-	return b.ownAnswer(dst, bolt.WrittenOff, "written off: "+why)
+	return b.ownAnswer(dst, bolt.UnknownError, "written off: "+why)
 }
 
 func (b *boltClient) faultReply(dst []byte, _ fault, why string) []byte {
@@ -278,7 +278,7 @@
 // ownAnswer returns a final answer that the front itself gives. A client that awaits no answer would take it for the
 // answer to its next message; so it is kept until that message arrives.
 func (b *boltClient) ownAnswer(dst []byte, code, text string) []byte {
-	if b.dialogue.Waits() {
+	if b.dialogue.ClientWaiting() {
 		return bolt.AppendFailure(dst, b.version, code, text)
 	}
 	b.pendingFailure = bolt.AppendFailure(nil, b.version, code, text)
@@ -320,7 +320,7 @@
 
 // unansweredMessage is a message written to a store that has yet to be answered.
 type unansweredMessage struct {
-	kind bolt.What
+	kind bolt.MessageType
 	end  int64 // offset of the message's end in the bytes written
 }
 
@@ -332,7 +332,7 @@
 func (boltStore) prepareIdle(*conn)               {}
 
 // writeMessage writes one message and records that the store owes its answer.
-func (k *conn) writeMessage(c *Core, w bolt.What, p []byte) {
+func (k *conn) writeMessage(c *Core, w bolt.MessageType, p []byte) {
 	k.bolt.unanswered = append(k.bolt.unanswered, unansweredMessage{w, k.writtenBytes + int64(len(p))})
 	k.write(c, p)
 }
@@ -341,9 +341,9 @@
 func (boltStore) sendRequest(k *conn, c *Core, e pendingAttempt) {
 	k.bolt.outcome, k.bolt.forwarded, k.bolt.stalled, k.bolt.recordsBuffered = outcome.Tracker{}, false, false, false
 	if e.request < 0 {
-		dst, at := bolt.Begin(c.scratch[:0])
+		dst, at := bolt.BeginMessage(c.scratch[:0])
 		dst = bolt.AppendString(bolt.AppendStruct(dst, byte(bolt.Run), 3), "CALL micatrack.report()")
-		c.scratch = bolt.End(bolt.AppendMap(bolt.AppendMap(dst, 0), 0), at)
+		c.scratch = bolt.EndMessage(bolt.AppendMap(bolt.AppendMap(dst, 0), 0), at)
 		k.writeMessage(c, bolt.Run, c.scratch)
 		if k.index >= 0 {
 			k.writeMessage(c, bolt.Pull, pullAll)
@@ -352,16 +352,16 @@
 	}
 	cl := c.requests[e.request].client
 	b := cl.protocol.(*boltClient) // startAttempt sends only requests of Bolt clients here
-	b.dialogue.Again()
-	k.bolt.outcome.Transaction = b.dialogue.Transaction()
+	b.dialogue.Restart()
+	k.bolt.outcome.Transaction = b.dialogue.InTransaction()
 	k.forwardRequest(c, cl, b)
 }
 
 // pullAll is a PULL message for all records of a result.
 var pullAll = func() []byte {
-	dst, at := bolt.Begin(nil)
+	dst, at := bolt.BeginMessage(nil)
 	dst = bolt.AppendMap(bolt.AppendStruct(dst, byte(bolt.Pull), 1), 1)
-	return bolt.End(bolt.AppendInt(bolt.AppendString(dst, "n"), -1), at)
+	return bolt.EndMessage(bolt.AppendInt(bolt.AppendString(dst, "n"), -1), at)
 }()
 
 // forwardRequest writes those messages of the request that may be written now.
@@ -374,8 +374,8 @@
 		from, to := b.dialogue.Span(i)
 		raw := cl.link.Peek()[from:to]
 		// Rewrite the timeout to the time that is left now.
-		if w == bolt.BeginTx || w == bolt.Run && !b.dialogue.Transaction() {
-			in := bolt.Reader{Most: maxBoltMessage}
+		if w == bolt.BeginTx || w == bolt.Run && !b.dialogue.InTransaction() {
+			in := bolt.Reader{MaxSize: maxBoltMessage}
 			body, n, _ := in.Next(raw)
 			for len(body) == 0 && n > 0 { // skip empty chunks in front of the message
 				raw = raw[n:]
@@ -385,13 +385,13 @@
 			if err != nil {
 				return // cannot happen: the message was parsed before
 			}
-			c.scratch = r.AppendTimed(c.scratch[:0], max((k.current.until-c.now)/millisecond, 1))
+			c.scratch = r.AppendWithTimeout(c.scratch[:0], max((k.current.until-c.now)/millisecond, 1))
 			raw = c.scratch
 		}
-		b.dialogue.Sent()
+		b.dialogue.MarkSent()
 		k.writeMessage(c, w, raw)
 	}
-	if b.dialogue.Stuck() && k.index >= 0 {
+	if b.dialogue.Invalid() && k.index >= 0 {
 		b.violate(cl, c, bolt.Invalid, "a message that makes no sense here")
 	}
 }
@@ -423,16 +423,16 @@
 			}
 			continue
 		}
-		var a bolt.Answer
+		var a bolt.Response
 		if err == nil {
-			a, err = bolt.ReadAnswer(body)
+			a, err = bolt.ReadResponse(body)
 		}
-		if err != nil || len(b.unanswered) == 0 || a.What == bolt.Record && b.unanswered[0].kind != bolt.Pull {
-			c.logLimited("store connection closed", "store", k.store, "message", a.What.String())
+		if err != nil || len(b.unanswered) == 0 || a.Type == bolt.Record && b.unanswered[0].kind != bolt.Pull {
+			c.logLimited("store connection closed", "store", k.store, "message", a.Type.String())
 			k.connectionLost(c)
 			return
 		}
-		if b.recordsBuffered && (a.What != bolt.Record || k.parsedBytes >= c.limits.MaxStoreMessage/flushFraction) {
+		if b.recordsBuffered && (a.Type != bolt.Record || k.parsedBytes >= c.limits.MaxStoreMessage/flushFraction) {
 			if !d.forwardBuffered(k, c) {
 				return
 			}
@@ -451,20 +451,20 @@
 		return false
 	}
 	v := bolt.Version(binary.BigEndian.Uint32(in))
-	if !slices.Contains(bolt.Spoken, v) {
+	if !slices.Contains(bolt.SupportedVersions, v) {
 		k.connectionLost(c)
 		return false
 	}
 	k.link.Discard(4)
-	k.bolt.version, k.bolt.reader = v, bolt.Reader{Most: c.limits.MaxStoreMessage}
-	for i, w := range []bolt.What{bolt.Hello, bolt.Logon} {
-		if i > 0 && bolt.Start(v) != bolt.Negotiation {
+	k.bolt.version, k.bolt.reader = v, bolt.Reader{MaxSize: c.limits.MaxStoreMessage}
+	for i, w := range []bolt.MessageType{bolt.Hello, bolt.Logon} {
+		if i > 0 && bolt.InitialState(v) != bolt.Negotiation {
 			break
 		}
-		dst, at := bolt.Begin(c.scratch[:0])
+		dst, at := bolt.BeginMessage(c.scratch[:0])
 		dst = bolt.AppendMap(bolt.AppendStruct(dst, byte(w), 1), 2)
 		dst = bolt.AppendPair(dst, "user_agent", "micatrack/1")
-		c.scratch = bolt.End(bolt.AppendPair(dst, "scheme", "none"), at)
+		c.scratch = bolt.EndMessage(bolt.AppendPair(dst, "scheme", "none"), at)
 		if k.writeMessage(c, w, c.scratch); k.index < 0 {
 			return false
 		}
@@ -474,17 +474,17 @@
 
 // handleAnswer processes one message of the store, whose n bytes are raw. It returns false if no further message may be
 // processed now.
-func (d boltStore) handleAnswer(k *conn, c *Core, a bolt.Answer, raw []byte, n int) bool {
+func (d boltStore) handleAnswer(k *conn, c *Core, a bolt.Response, raw []byte, n int) bool {
 	b := k.bolt
 	w := b.unanswered[0].kind
 	drop := func() { k.link.Discard(k.parsedBytes + n); k.parsedBytes = 0 }
-	if a.What != bolt.Record {
+	if a.Type != bolt.Record {
 		b.unanswered = b.unanswered[1:]
 	}
 	switch {
 	case w == bolt.Hello || w == bolt.Logon:
 		drop()
-		if a.What != bolt.Success {
+		if a.Type != bolt.Success {
 			k.connectionLost(c)
 			return false
 		}
@@ -495,7 +495,7 @@
 		return k.index >= 0
 	case w == bolt.Reset:
 		drop()
-		if a.What != bolt.Success {
+		if a.Type != bolt.Success {
 			k.connectionLost(c)
 			return false
 		}
@@ -513,13 +513,13 @@
 		return false
 	}
 	t := cl.protocol.(*boltClient)
-	if a.What == bolt.Record {
+	if a.Type == bolt.Record {
 		k.parsedBytes, b.recordsBuffered = k.parsedBytes+n, true
 		return true
 	}
 	b.outcome.MessageWritten(w, true)
-	b.outcome.MessageAnswered(w, a.What == bolt.Success, a.More, a.Code)
-	if a.What == bolt.Success && (w == bolt.Pull || w == bolt.Discard || w == bolt.Commit || w == bolt.Rollback) {
+	b.outcome.MessageAnswered(w, a.Type == bolt.Success, a.More, a.Code)
+	if a.Type == bolt.Success && (w == bolt.Pull || w == bolt.Discard || w == bolt.Commit || w == bolt.Rollback) {
 		r := bolt.ReadReport(a.Fields)
 		k.report = balance.Report{Position: r.Position}
 		if r.Primary {
@@ -529,11 +529,11 @@
 		}
 		k.loadReport, _ = parseLoadReport(string(r.Load))
 	}
-	if a.What != bolt.Success {
+	if a.Type != bolt.Success {
 		d.handleFailure(k, c, t, a, raw)
 		return k.index >= 0
 	}
-	hold, over := t.dialogue.Answered(true, a.More)
+	hold, over := t.dialogue.Responded(true, a.More)
 	if hold {
 		k.parsedBytes += n
 		return true
@@ -594,7 +594,7 @@
 func (k *conn) noteForwarded(c *Core, req *request) {
 	k.bolt.outcome.ResultForwarded()
 	b := req.client.protocol.(*boltClient)
-	n := b.dialogue.Shown()
+	n := b.dialogue.Delivered()
 	b.requestBytes -= n
 	req.client.link.Discard(n)
 	// Otherwise the balancer would cancel an attempt that takes long, and send the request to another store.
@@ -607,20 +607,20 @@
 }
 
 // handleProbeAnswer processes one message of the answer to a probe.
-func (boltStore) handleProbeAnswer(k *conn, c *Core, a bolt.Answer, drop func()) bool {
+func (boltStore) handleProbeAnswer(k *conn, c *Core, a bolt.Response, drop func()) bool {
 	r := balance.Result{Ending: balance.Served, Since: k.connectedAt}
 	switch {
-	case a.What == bolt.Record:
-		v := bolt.Unpack(a.Fields)
+	case a.Type == bolt.Record:
+		v := bolt.NewDecoder(a.Fields)
 		if v.List() == 1 && v.Kind() == bolt.String {
 			k.probeValue = string(v.String())
 		}
 		drop()
 		return true
-	case a.What == bolt.Success && len(k.bolt.unanswered) > 0: // the answer to RUN
+	case a.Type == bolt.Success && len(k.bolt.unanswered) > 0: // the answer to RUN
 		drop()
 		return true
-	case a.What == bolt.Success:
+	case a.Type == bolt.Success:
 		r.Load, _ = parseLoadReport(k.probeValue)
 	default:
 		r.Ending = failureEnding(a.Code)
@@ -628,18 +628,18 @@
 	drop()
 	k.answerDone = true
 	c.endAttempt(k, k.current, r)
-	if a.What != bolt.Success {
-		k.writeMessage(c, bolt.Reset, bolt.AppendBare(c.scratch[:0], bolt.Reset))
+	if a.Type != bolt.Success {
+		k.writeMessage(c, bolt.Reset, bolt.AppendEmpty(c.scratch[:0], bolt.Reset))
 	}
 	return k.index >= 0
 }
 
 // failureEnding returns the ending that a store's error code means.
 func failureEnding(code []byte) balance.Ending {
-	switch bolt.Refused(code) {
-	case bolt.WasBehind:
+	switch bolt.ClassifyFailure(code) {
+	case bolt.RejectedBehind:
 		return balance.NotEligible
-	case bolt.WasFull:
+	case bolt.RejectedOverloaded:
 		return balance.Overloaded
 	}
 	return balance.Failed
@@ -647,18 +647,18 @@
 
 // handleFailure processes a store's failure: either the client is sent it, or the balancer is told that another store
 // may be given the request.
-func (boltStore) handleFailure(k *conn, c *Core, t *boltClient, a bolt.Answer, raw []byte) {
+func (boltStore) handleFailure(k *conn, c *Core, t *boltClient, a bolt.Response, raw []byte) {
 	e, req := k.current, &c.requests[k.current.request]
 	r := balance.Result{Ending: failureEnding(a.Code), Note: k.report, Load: k.loadReport, Since: k.connectedAt}
 	var answer []byte
 	end := endFailed
 	switch k.bolt.outcome.Verdict(req.class().Repeat == balance.Idempotent) {
 	case outcome.Failed:
-		if r.Ending = balance.Failed; bolt.Clients(a.Code) {
+		if r.Ending = balance.Failed; bolt.IsClientError(a.Code) {
 			r.Ending = balance.Served // the store is healthy; the statement is at fault
 		}
 		answer, end = append(append(answer, k.link.Peek()[:k.parsedBytes]...), raw...), endServed
-		t.dialogue.Answered(false, false)
+		t.dialogue.Responded(false, false)
 	case outcome.Refused:
 		answer, end = t.refusalReply(nil, 0), endRefused
 	case outcome.Unknown:
@@ -674,7 +674,7 @@
 		c.answer(e.request, answer, end)
 	}
 	if k.index >= 0 { // the store ignores what is pipelined behind the failure up to this RESET
-		k.writeMessage(c, bolt.Reset, bolt.AppendBare(c.scratch[:0], bolt.Reset))
+		k.writeMessage(c, bolt.Reset, bolt.AppendEmpty(c.scratch[:0], bolt.Reset))
 	}
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -50,7 +50,7 @@
 
 // MessageWritten records that a message was written to the store. whole is false for a message that may have been
 // written only in part; nothing may be written after it.
-func (c *Tracker) MessageWritten(w bolt.What, whole bool) {
+func (c *Tracker) MessageWritten(w bolt.MessageType, whole bool) {
 	if !whole {
 		return
 	}
@@ -66,7 +66,7 @@
 
 // MessageAnswered records the store's answer to the oldest unanswered message: w is that message, ok tells whether it
 // succeeded, more whether its result has more to pull, and code is the error code of a failure.
-func (c *Tracker) MessageAnswered(w bolt.What, ok, more bool, code []byte) {
+func (c *Tracker) MessageAnswered(w bolt.MessageType, ok, more bool, code []byte) {
 	c.unanswered--
 	switch {
 	case !ok:
@@ -74,9 +74,9 @@
 			// A failure is proof only by its code or by the message that failed: a failure before the answer to COMMIT
 			// rolls a transaction back, for the store ignores all that was pipelined behind it. A refusal after part of
 			// an answer proves nothing.
-			c.refused = bolt.Refused(code) != bolt.MayHaveRun && (c.Transaction || w == bolt.Run)
+			c.refused = bolt.ClassifyFailure(code) != bolt.MayHaveRun && (c.Transaction || w == bolt.Run)
 			c.provenNoEffect = c.refused || c.Transaction && w != bolt.Commit
-			c.retryable = bolt.Invites(code)
+			c.retryable = bolt.ClientMayRetry(code)
 		}
 		c.failed = true
 	case c.failed: // messages pipelined behind a failure are ignored
@@ -132,7 +132,7 @@
 // AllowedAfterDrain reports whether a message may still be written to a store whose drain grace period is over. Not
 // allowed is whatever asks the store for new work: a statement, the beginning of a transaction, and COMMIT, which makes
 // the transaction durable. Messages that end work or fetch what has been done already are allowed.
-func AllowedAfterDrain(w bolt.What) bool {
+func AllowedAfterDrain(w bolt.MessageType) bool {
 	switch w {
 	case bolt.Rollback, bolt.Reset, bolt.Goodbye, bolt.Pull, bolt.Discard:
 		return true
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -18,7 +18,7 @@
 }
 
 // take executes one message and returns its answer.
-func (s *store) take(w bolt.What, refuse, fault bool) (ok, ignored bool, code string) {
+func (s *store) take(w bolt.MessageType, refuse, fault bool) (ok, ignored bool, code string) {
 	switch {
 	case s.failed:
 		return false, true, ""
@@ -50,9 +50,9 @@
 	again, back, off := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		c := Tracker{Transaction: rapid.Bool().Draw(t, "transaction")}
-		script := []bolt.What{bolt.Run, bolt.Pull}
+		script := []bolt.MessageType{bolt.Run, bolt.Pull}
 		if c.Transaction {
-			script = []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull, bolt.Run, bolt.Pull, bolt.Commit}
+			script = []bolt.MessageType{bolt.BeginTx, bolt.Run, bolt.Pull, bolt.Run, bolt.Pull, bolt.Commit}
 		}
 		s := store{transaction: c.Transaction, errorCode: rapid.SampledFrom([]string{"Neo.DatabaseError.General.UnknownError",
 			"Neo.TransientError.Transaction.DeadlockDetected"}).Draw(t, "error code")}
@@ -90,7 +90,7 @@
 		switch v := c.Verdict(false); {
 		case (v == Retry || v == Refused) && s.effect:
 			t.Fatalf("verdict %d for a request that had its effect: %+v", v, c)
-		case v == Failed && s.effect && bolt.Invites([]byte(s.errorCode)):
+		case v == Failed && s.effect && bolt.ClientMayRetry([]byte(s.errorCode)):
 			t.Fatalf("the client is told to repeat a request that had its effect: %+v", c)
 		case v == Retry && c.forwarded:
 			t.Fatalf("sent again after the client saw part of the answer: %+v", c)
@@ -114,7 +114,7 @@
 // COMMIT is written, and not before.
 func TestCommitWrittenAnswerLost(t *testing.T) {
 	c := Tracker{Transaction: true}
-	for _, w := range []bolt.What{bolt.BeginTx, bolt.Run, bolt.Pull} {
+	for _, w := range []bolt.MessageType{bolt.BeginTx, bolt.Run, bolt.Pull} {
 		c.MessageWritten(w, true)
 		c.MessageAnswered(w, true, false, nil)
 	}
@@ -151,18 +151,18 @@
 	c.MessageWritten(bolt.Run, true)
 	c.MessageWritten(bolt.Pull, true)
 	first := c
-	if first.MessageAnswered(bolt.Run, false, false, []byte(bolt.BehindMark)); first.Verdict(false) != Retry {
+	if first.MessageAnswered(bolt.Run, false, false, []byte(bolt.BookmarkTimeout)); first.Verdict(false) != Retry {
 		t.Errorf("refused at once: %+v", first)
 	}
 	c.MessageAnswered(bolt.Run, true, false, nil)
-	if c.MessageAnswered(bolt.Pull, false, false, []byte(bolt.BehindMark)); c.Verdict(false) != Unknown || c.Verdict(true) != Failed {
+	if c.MessageAnswered(bolt.Pull, false, false, []byte(bolt.BookmarkTimeout)); c.Verdict(false) != Unknown || c.Verdict(true) != Failed {
 		t.Errorf("refused after it was accepted: %+v", c)
 	}
 }
 
 // TestAfterTheGrace checks which messages may still be written to a store whose drain grace period is over.
 func TestAfterTheGrace(t *testing.T) {
-	for w, may := range map[bolt.What]bool{bolt.Run: false, bolt.BeginTx: false, bolt.Commit: false, bolt.Rollback: true, bolt.Reset: true,
+	for w, may := range map[bolt.MessageType]bool{bolt.Run: false, bolt.BeginTx: false, bolt.Commit: false, bolt.Rollback: true, bolt.Reset: true,
 		bolt.Pull: true, bolt.Discard: true, bolt.Goodbye: true} {
 		if AllowedAfterDrain(w) != may {
 			t.Errorf("%v: %v", w, !may)
--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -26,7 +26,7 @@
 
 // Done is one job as its client saw it end.
 type Done struct {
-	standin.Told
+	standin.Outcome
 	Front string
 	Kind  string
 	Group int
@@ -158,15 +158,15 @@
 	l.n++
 	n := l.n
 	d := Done{Front: f.Name, Kind: kind.Profile, Group: g, At: time.Now(),
-		Told: standin.Told{Job: fmt.Sprint("j", n), Write: kind.Write}}
+		Outcome: standin.Outcome{RequestID: fmt.Sprint("j", n), Write: kind.Write}}
 	if kind.Fenced {
 		d.After = l.after[g]
 	}
 	l.mu.Unlock()
-	text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=%d,cluster=%d", d.Job, kind.Profile, n%5, patience, g+1)
+	text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=%d,cluster=%d", d.RequestID, kind.Profile, n%5, patience, g+1)
 	if kind.Numbered {
-		d.Mark = "m" + d.Job
-		text += ",k=" + d.Mark
+		d.IdempotencyKey = "m" + d.RequestID
+		text += ",k=" + d.IdempotencyKey
 	}
 	verb := " */ SELECT payload FROM entries WHERE ref = 's%d'"
 	if kind.Write {
@@ -189,7 +189,7 @@
 	}
 	d.Took = time.Since(d.At)
 	if d.Lost = err != nil; !d.Lost {
-		d.Delivered, d.Back = code == "", code == pgwire.TooManyConnections
+		d.Delivered, d.Rejected = code == "", code == pgwire.TooManyConnections
 		select {
 		case idle <- k:
 		default:
@@ -202,7 +202,7 @@
 	l.done = append(l.done, d)
 	l.mu.Unlock()
 	if d.Delivered && kind.Write {
-		if p := l.rig.Groups[g].Found(d.Job); p > 0 {
+		if p := l.rig.Groups[g].WritePosition(d.RequestID); p > 0 {
 			l.mu.Lock()
 			l.after[g] = max(l.after[g], p)
 			l.mu.Unlock()
@@ -213,13 +213,13 @@
 // Check holds all jobs against the ledgers: the five rules as far as ledgers tell, over all fronts together.
 func (r *Rig) Check(done []Done) {
 	r.T.Helper()
-	told := make([][]standin.Told, len(r.Groups))
+	told := make([][]standin.Outcome, len(r.Groups))
 	for _, d := range done {
 		if !d.Lost {
-			told[d.Group] = append(told[d.Group], d.Told)
+			told[d.Group] = append(told[d.Group], d.Outcome)
 		}
 		if !d.Lost && d.Took > 2*patience*time.Millisecond && !r.late[d.Front] {
-			r.T.Errorf("%s at %s was answered after %v", d.Job, d.Front, d.Took)
+			r.T.Errorf("%s at %s was answered after %v", d.RequestID, d.Front, d.Took)
 		}
 	}
 	for g, group := range r.Groups {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -115,7 +115,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Takes(p.Takes)
+			s.SetDelay(p.Takes)
 			t.Cleanup(s.Close)
 			zone := p.Zones[(g+k/max(p.Members, 1))%len(p.Zones)]
 			r.Stores = append(r.Stores, &Store{Node{Name: name, Zone: zone}, s, group})
@@ -152,7 +152,7 @@
 	r.byIP[f.fleet.Addr()] = f.Node
 	r.mu.Unlock()
 	self := func(net.Addr) (Node, bool) { return f.Node, true }
-	var lines []standin.Line
+	var lines []standin.Server
 	for _, s := range r.Stores {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -163,7 +163,7 @@
 		if p, _ := s.Group.Primary(); p == s.Name {
 			role = "primary"
 		}
-		lines = append(lines, standin.Line{ID: s.Name, Addr: l.Addr().String(), Zone: s.Zone, Kind: "k", Cell: s.Group.ID,
+		lines = append(lines, standin.Server{ID: s.Name, Addr: l.Addr().String(), Zone: s.Zone, Kind: "k", Group: s.Group.ID,
 			State: "active", Weight: 1, Role: role})
 	}
 	f.list = standin.NewDiscovery(lines...)
@@ -205,9 +205,9 @@
 }
 
 // Change edits the list of every front's discovery.
-func (r *Rig) Change(edit func(l *standin.Line)) {
+func (r *Rig) Change(edit func(l *standin.Server)) {
 	for _, f := range r.Fronts {
-		f.list.Change(func(lines []standin.Line) []standin.Line {
+		f.list.Update(func(lines []standin.Server) []standin.Server {
 			for k := range lines {
 				edit(&lines[k])
 			}
@@ -245,7 +245,7 @@
 	}
 	config["name"], config["listen"], config["discovery"] = f.Name, f.Addr, f.way
 	config["seed"] = fmt.Sprintf("%016x", r.Plan.Seed<<20+uint64(f.n+1)<<8+uint64(f.life))
-	config["known"] = json.RawMessage(f.list.Whole())
+	config["known"] = json.RawMessage(f.list.JSON())
 	settings["Az"], settings["ReplicasOfMe"] = f.Zone, r.Plan.Fronts
 	text, _ = json.Marshal(config)
 	path := filepath.Join(r.dir, f.alias+f.Name+".json")
--- a/internal/standin/bolt.go
+++ b/internal/standin/bolt.go
@@ -19,22 +19,22 @@
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
-	before func(job string, w bolt.What) Act // what happens instead of an answer, if anything
-	takes  time.Duration                     // a statement
-	full   bool                              // turns everything away unseen
+	before func(job string, w bolt.MessageType) Behavior // what happens instead of an answer, if anything
+	takes  time.Duration                                 // a statement
+	full   bool                                          // turns everything away unseen
 	closed bool
 }
 
-// Act is what a store does with a message instead of answering it rightly.
-type Act uint8
+// Behavior is what a store does with a message instead of answering it rightly.
+type Behavior uint8
 
 const (
-	Answer  Act = iota // as it should
-	Hang               // says nothing more on this connection
-	Refuse             // turns it away unseen
-	Break              // closes without carrying it out
-	RunLost            // carries it out and closes
-	Spoil              // carries it out and answers nonsense
+	Respond           Behavior = iota // as it should
+	Hang                              // says nothing more on this connection
+	Reject                            // turns it away unseen
+	Disconnect                        // closes without carrying it out
+	RunThenDisconnect                 // carries it out and closes
+	Corrupt                           // carries it out and answers nonsense
 )
 
 // NewBolt starts a store of a group on a loopback address.
@@ -51,14 +51,18 @@
 // Addr is where it listens.
 func (b *Bolt) Addr() string { return b.l.Addr().String() }
 
-// Does sets what happens to messages; nil: all are answered.
-func (b *Bolt) Does(f func(job string, w bolt.What) Act) { b.mu.Lock(); b.before = f; b.mu.Unlock() }
+// SetBehavior sets what happens to messages; nil: all are answered.
+func (b *Bolt) SetBehavior(f func(job string, w bolt.MessageType) Behavior) {
+	b.mu.Lock()
+	b.before = f
+	b.mu.Unlock()
+}
 
-// Takes sets how long a statement takes.
-func (b *Bolt) Takes(d time.Duration) { b.mu.Lock(); b.takes = d; b.mu.Unlock() }
+// SetDelay sets how long a statement takes.
+func (b *Bolt) SetDelay(d time.Duration) { b.mu.Lock(); b.takes = d; b.mu.Unlock() }
 
-// Full has the store turn everything away unseen, or no more.
-func (b *Bolt) Full(full bool) { b.mu.Lock(); b.full = full; b.mu.Unlock() }
+// SetFull has the store turn everything away unseen, or no more.
+func (b *Bolt) SetFull(full bool) { b.mu.Lock(); b.full = full; b.mu.Unlock() }
 
 // Close stops it: connections break, and new ones are refused.
 func (b *Bolt) Close() {
@@ -84,7 +88,7 @@
 			b.conns[c] = true
 		}
 		b.mu.Unlock()
-		go (&serving{b: b, c: c, r: bolt.Reader{Most: 1 << 20}}).serve()
+		go (&serving{b: b, c: c, r: bolt.Reader{MaxSize: 1 << 20}}).serve()
 	}
 }
 
@@ -137,13 +141,13 @@
 	}
 	if s.v == bolt.Manifest {
 		s.c.Write(bolt.AppendManifest(nil))
-		if !s.more(func() (n int, err error) { s.v, n, err = bolt.Chosen(s.in); return n, err }) {
+		if !s.more(func() (n int, err error) { s.v, n, err = bolt.ReadChosenVersion(s.in); return n, err }) {
 			return
 		}
 	} else if s.c.Write(bolt.AppendVersion(nil, s.v)); s.v == 0 {
 		return
 	}
-	s.state = bolt.Start(s.v)
+	s.state = bolt.InitialState(s.v)
 	for {
 		going := true
 		if !s.more(func() (int, error) {
@@ -162,7 +166,7 @@
 	}
 }
 
-func (s *serving) fail(w bolt.What, code, text string) bool {
+func (s *serving) fail(w bolt.MessageType, code, text string) bool {
 	s.out = bolt.AppendFailure(s.out, s.v, code, text)
 	s.state = s.state.After(w, false, false, 0)
 	return s.state != bolt.Defunct
@@ -172,60 +176,60 @@
 func (s *serving) take(body []byte) bool {
 	r, err := bolt.ReadRequest(body)
 	if err != nil {
-		s.out = bolt.AppendFailure(s.out, s.v, bolt.Format, err.Error())
+		s.out = bolt.AppendFailure(s.out, s.v, bolt.InvalidFormat, err.Error())
 		s.c.Write(s.out)
 		return false
 	}
-	carried, ignored := s.state.Takes(s.v, r.What)
+	carried, ignored := s.state.Accepts(s.v, r.Type)
 	if ignored {
-		s.out = bolt.AppendBare(s.out, bolt.Ignored)
+		s.out = bolt.AppendEmpty(s.out, bolt.Ignored)
 		return true
 	}
 	if !carried {
-		s.out = bolt.AppendFailure(s.out, s.v, bolt.Invalid, "unexpected "+r.What.String())
+		s.out = bolt.AppendFailure(s.out, s.v, bolt.Invalid, "unexpected "+r.Type.String())
 		s.c.Write(s.out)
 		return false
 	}
-	if (r.What == bolt.Run || r.What == bolt.BeginTx) && s.state == bolt.Ready {
-		if r.What == bolt.Run && string(r.Query) == "CALL micatrack.report()" { // a probe
+	if (r.Type == bolt.Run || r.Type == bolt.BeginTx) && s.state == bolt.Ready {
+		if r.Type == bolt.Run && string(r.Query) == "CALL micatrack.report()" { // a probe
 			s.records, s.job, s.writes = 1, s.report(), false
-			s.state = s.state.After(r.What, true, false, 1)
+			s.state = s.state.After(r.Type, true, false, 1)
 			s.out = bolt.AppendSuccess(s.out, 1, fields)
 			return true
 		}
-		t, err := r.Extra.Terms()
-		if err == bolt.ErrFaultyBookmark {
-			return s.fail(r.What, bolt.BadBookmark, err.Error())
+		t, err := r.Extra.ParseRequest()
+		if err == bolt.ErrInvalidBookmark {
+			return s.fail(r.Type, bolt.InvalidBookmark, err.Error())
 		}
 		if err != nil {
-			return s.fail(r.What, bolt.Invalid, err.Error())
+			return s.fail(r.Type, bolt.Invalid, err.Error())
 		}
 		s.job, s.mark, s.after, s.writes, s.records, s.open = string(t.ID), string(t.Key), t.ReadAfter, false, 0, 0
 	}
-	act := Answer
+	act := Respond
 	s.b.mu.Lock()
 	before, takes, full := s.b.before, s.b.takes, s.b.full
 	s.b.mu.Unlock()
 	if before != nil {
-		act = before(s.job, r.What)
+		act = before(s.job, r.Type)
 	}
 	switch {
 	case act == Hang:
 		time.Sleep(time.Minute)
 		return false
-	case act == Break:
+	case act == Disconnect:
 		return false
-	case act == Refuse, full && (r.What == bolt.Run || r.What == bolt.BeginTx):
-		return s.fail(r.What, bolt.Unavailable, "the store is full")
+	case act == Reject, full && (r.Type == bolt.Run || r.Type == bolt.BeginTx):
+		return s.fail(r.Type, bolt.Unavailable, "the store is full")
 	}
-	if r.What == bolt.Run {
+	if r.Type == bolt.Run {
 		time.Sleep(takes)
 	}
 	going := s.carry(r)
 	switch act {
-	case RunLost:
+	case RunThenDisconnect:
 		return false
-	case Spoil:
+	case Corrupt:
 		s.out = append(s.out[:0], "\x00\x03\xff\xff\xff\x00\x00"...)
 	}
 	return going
@@ -257,7 +261,7 @@
 // carry does what the message asks for.
 func (s *serving) carry(r bolt.Request) bool {
 	was := s.state
-	switch r.What {
+	switch r.Type {
 	case bolt.Hello:
 		s.out = bolt.AppendSuccess(s.out, 2, func(b []byte) []byte {
 			return bolt.AppendPair(bolt.AppendPair(b, "server", "Neo4j/5.0.0"), "connection_id", "bolt-1")
@@ -267,7 +271,7 @@
 	case bolt.Run:
 		if writes(string(r.Query)) {
 			if primary, _ := s.b.group.Primary(); primary != s.b.Name {
-				return s.fail(r.What, bolt.NotALeader, "this is no primary")
+				return s.fail(r.Type, bolt.NotALeader, "this is no primary")
 			}
 			s.writes = true
 		}
@@ -277,13 +281,13 @@
 		}
 		if was == bolt.Ready && !s.writes || was != bolt.Ready && !writes(string(r.Query)) {
 			if _, ok := s.b.group.Read(s.b.Name, s.job, s.after); !ok {
-				return s.fail(r.What, bolt.BehindMark, "this store has not come so far")
+				return s.fail(r.Type, bolt.BookmarkTimeout, "this store has not come so far")
 			}
 		}
 		if was == bolt.Ready && s.writes {
 			position, ok := s.b.group.Write(s.b.Name, s.job, s.mark)
 			if !ok {
-				return s.fail(r.What, bolt.NotALeader, "this is no primary")
+				return s.fail(r.Type, bolt.NotALeader, "this is no primary")
 			}
 			s.after = position
 		}
@@ -291,15 +295,15 @@
 		s.out = bolt.AppendSuccess(s.out, 1, fields)
 	case bolt.Pull, bolt.Discard:
 		n := s.records
-		if r.Many > 0 {
-			n = min(n, int(r.Many))
+		if r.Limit > 0 {
+			n = min(n, int(r.Limit))
 		}
 		for i := range n {
-			if r.What == bolt.Pull {
+			if r.Type == bolt.Pull {
 				var at int
-				s.out, at = bolt.Begin(s.out)
+				s.out, at = bolt.BeginMessage(s.out)
 				s.out = bolt.AppendList(bolt.AppendStruct(s.out, byte(bolt.Record), 1), 1)
-				s.out = bolt.End(bolt.AppendString(s.out, s.job), at)
+				s.out = bolt.EndMessage(bolt.AppendString(s.out, s.job), at)
 			}
 			if i%1024 == 1023 { // a large result goes out as it is made
 				if _, err := s.c.Write(s.out); err != nil {
@@ -310,7 +314,7 @@
 		}
 		if s.records -= n; s.records > 0 {
 			s.out = bolt.AppendSuccess(s.out, 1, func(b []byte) []byte { return bolt.AppendBool(bolt.AppendString(b, "has_more"), true) })
-			s.state = s.state.After(r.What, true, true, s.open)
+			s.state = s.state.After(r.Type, true, true, s.open)
 			return true
 		}
 		s.open--
@@ -319,7 +323,7 @@
 		if s.writes {
 			position, ok := s.b.group.Write(s.b.Name, s.job, s.mark)
 			if !ok {
-				return s.fail(r.What, bolt.NotALeader, "this is no primary any more")
+				return s.fail(r.Type, bolt.NotALeader, "this is no primary any more")
 			}
 			s.after = position
 		}
@@ -331,7 +335,7 @@
 	default:
 		s.out = bolt.AppendSuccess(s.out, 0, nil)
 	}
-	s.state = s.state.After(r.What, true, false, max(s.open, 0))
+	s.state = s.state.After(r.Type, true, false, max(s.open, 0))
 	return true
 }
 
--- a/internal/standin/bolt_test.go
+++ b/internal/standin/bolt_test.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	g := NewGroup(1, 3*time.Second, "primary", "replica")
-	g.Lag("replica", 300*time.Millisecond)
+	g.SetLag("replica", 300*time.Millisecond)
 	p, err := NewBolt("primary", g)
 	if err != nil {
 		t.Fatal(err)
@@ -60,13 +60,13 @@
 	calls := 0
 	got, err := s.ExecuteWrite(ctx, func(tx neo4j.ManagedTransaction) (any, error) {
 		if calls++; calls == 1 { // a transient failure, and the driver's own repeat behind it
-			p.Does(func(job string, w bolt.What) Act {
+			p.SetBehavior(func(job string, w bolt.MessageType) Behavior {
 				if w == bolt.Run {
-					return Refuse
+					return Reject
 				}
-				return Answer
+				return Respond
 			})
-			defer p.Does(nil)
+			defer p.SetBehavior(nil)
 		}
 		res, err := tx.Run(ctx, "CREATE (n)", nil)
 		if err != nil {
@@ -107,8 +107,8 @@
 	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, terms("d", "save")); err == nil {
 		t.Error("a replica takes a write")
 	}
-	told := []Told{{Job: "a", Delivered: true}, {Job: "b", Write: true, Delivered: true}, {Job: "c", Delivered: true, After: position},
-		{Job: "d", Write: true, Back: true}}
+	told := []Outcome{{RequestID: "a", Delivered: true}, {RequestID: "b", Write: true, Delivered: true}, {RequestID: "c", Delivered: true, After: position},
+		{RequestID: "d", Write: true, Rejected: true}}
 	if broken := g.Check(told, time.Second); broken != nil {
 		t.Errorf("%v in %+v", broken, g.Ledger())
 	}
@@ -121,13 +121,13 @@
 	g.Write("p", "twice", "")
 	g.Write("p", "first", "m")
 	g.Write("p", "second", "m")
-	g.Lag("r", time.Hour)
+	g.SetLag("r", time.Hour)
 	stale, _ := g.Read("r", "stale", 0)
-	g.Drain("r")
+	g.MarkDraining("r")
 	time.Sleep(2 * time.Millisecond)
 	g.Read("r", "late", 0)
-	broken := g.Check([]Told{{Job: "ghost", Delivered: true}, {Job: "twice", Write: true, Back: true}, {Job: "stale", Delivered: true, After: stale + 1},
-		{Job: "stale", Delivered: true}}, time.Millisecond)
+	broken := g.Check([]Outcome{{RequestID: "ghost", Delivered: true}, {RequestID: "twice", Write: true, Rejected: true}, {RequestID: "stale", Delivered: true, After: stale + 1},
+		{RequestID: "stale", Delivered: true}}, time.Millisecond)
 	if len(broken) != 6 {
 		t.Errorf("%d: %q", len(broken), broken)
 	}
--- a/internal/standin/collector.go
+++ b/internal/standin/collector.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Acted is one act that the holder of a lease did at the collector.
-type Acted struct {
+// Operation is one act that the holder of a lease did at the collector.
+type Operation struct {
 	Token        uint64
-	By           string
+	Holder       string
 	Began, Ended time.Time // by the collector's clock
 	Refused      bool
 }
@@ -24,7 +24,7 @@
 	mu     sync.Mutex
 	takes  time.Duration
 	newest uint64
-	acts   []Acted
+	acts   []Operation
 }
 
 // NewCollector starts one on a loopback address. An act takes so long there.
@@ -43,11 +43,11 @@
 	c.server.Close()
 }
 
-// Acts gives all, in the order in which they began.
-func (c *Collector) Acts() []Acted {
+// Operations gives all, in the order in which they began.
+func (c *Collector) Operations() []Operation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Acted(nil), c.acts...)
+	return append([]Operation(nil), c.acts...)
 }
 
 func (c *Collector) take(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 	}
 	c.mu.Lock()
 	k := len(c.acts)
-	c.acts = append(c.acts, Acted{Token: token, By: s.By, Began: time.Now(), Refused: token < c.newest})
+	c.acts = append(c.acts, Operation{Token: token, Holder: s.By, Began: time.Now(), Refused: token < c.newest})
 	refused := c.acts[k].Refused
 	c.newest = max(c.newest, token)
 	c.mu.Unlock()
@@ -79,12 +79,12 @@
 
 // Overlaps gives those pairs of acts that were under way at once under different tokens, and those that began under an
 // older token than one before; none of them refused.
-func Overlaps(acts []Acted) (pairs [][2]Acted) {
+func Overlaps(acts []Operation) (pairs [][2]Operation) {
 	for k := range acts {
 		for n := k + 1; n < len(acts); n++ {
 			a, b := acts[k], acts[n]
 			if !a.Refused && !b.Refused && (b.Token < a.Token || a.Token != b.Token && (a.Ended.IsZero() || b.Began.Before(a.Ended))) {
-				pairs = append(pairs, [2]Acted{a, b})
+				pairs = append(pairs, [2]Operation{a, b})
 			}
 		}
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// Line is one store as discovery lists it.
-type Line struct {
+// Server is one store as discovery lists it.
+type Server struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
 	Zone     string  `json:"zone"`
 	Kind     string  `json:"kind"`
-	Cell     uint64  `json:"cell"`
+	Group    uint64  `json:"cell"`
 	State    string  `json:"state"` // active, leaving or left
 	Weight   float64 `json:"weight"`
 	Started  int64   `json:"started_ms"`
@@ -23,31 +23,31 @@
 	Protocol string  `json:"protocol,omitempty"` // "bolt"; without it PostgreSQL's
 }
 
-// List answers calls for the list of stores, and watches on it.
-type List struct {
+// ServerList answers calls for the list of stores, and watches on it.
+type ServerList struct {
 	mu      sync.Mutex
 	changed *sync.Cond
 	version int
-	lines   []Line
+	lines   []Server
 	done    bool
 }
 
-// NewList makes a list of these stores.
-func NewList(lines ...Line) *List {
-	d := &List{lines: lines, version: 1}
+// NewServerList makes a list of these stores.
+func NewServerList(lines ...Server) *ServerList {
+	d := &ServerList{lines: lines, version: 1}
 	d.changed = sync.NewCond(&d.mu)
 	return d
 }
 
 // Discovery is a list that listens on a loopback address.
 type Discovery struct {
-	*List
+	*ServerList
 	server *httptest.Server
 }
 
 // NewDiscovery starts it.
-func NewDiscovery(lines ...Line) *Discovery {
-	l := NewList(lines...)
+func NewDiscovery(lines ...Server) *Discovery {
+	l := NewServerList(lines...)
 	return &Discovery{l, httptest.NewServer(l)}
 }
 
@@ -64,8 +64,8 @@
 	d.server.Close()
 }
 
-// Change edits the list and tells it to all that watch.
-func (d *List) Change(edit func(lines []Line) []Line) {
+// Update edits the list and tells it to all that watch.
+func (d *ServerList) Update(edit func(lines []Server) []Server) {
 	d.mu.Lock()
 	d.lines = edit(d.lines)
 	d.version++
@@ -73,14 +73,14 @@
 	d.mu.Unlock()
 }
 
-// Whole gives the list as JSON.
-func (d *List) Whole() []byte {
+// JSON gives the list as JSON.
+func (d *ServerList) JSON() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.text()
 }
 
-func (d *List) text() []byte {
+func (d *ServerList) text() []byte {
 	b, err := json.Marshal(map[string]any{"version": d.version, "full": true, "servers": d.lines})
 	if err != nil {
 		panic(err) // plain strings and numbers
@@ -89,7 +89,7 @@
 }
 
 // ServeHTTP answers with the list, and with the whole of it again after each change.
-func (d *List) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (d *ServerList) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for at := -1; ; {
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -10,13 +10,13 @@
 
 // Entry is one thing that a store did.
 type Entry struct {
-	At       time.Time
-	Store    string
-	Job      string // its id, or its mark where it has none
-	Mark     string
-	Write    bool
-	Dropped  bool  // a repeat that was told from its mark and not run again
-	Position int64 // Unix tenths of a millisecond: of the commit, or that a read has seen
+	At             time.Time
+	Store          string
+	RequestID      string // its id, or its mark where it has none
+	IdempotencyKey string
+	Write          bool
+	Duplicate      bool  // a repeat that was told from its mark and not run again
+	Position       int64 // Unix tenths of a millisecond: of the commit, or that a read has seen
 }
 
 // Group is a primary and its replicas: one log, and how far each has applied it.
@@ -48,13 +48,13 @@
 	return g
 }
 
-// Clock has the group go by another clock than the machine's, from before it is used.
-func (g *Group) Clock(now func() time.Time) { g.now = now }
+// SetClock has the group go by another clock than the machine's, from before it is used.
+func (g *Group) SetClock(now func() time.Time) { g.now = now }
 
 func tenths(t time.Time) int64 { return t.UnixNano() / 100_000 }
 
-// Lag has a replica apply the log that much later.
-func (g *Group) Lag(store string, by time.Duration) {
+// SetLag has a replica apply the log that much later.
+func (g *Group) SetLag(store string, by time.Duration) {
 	g.mu.Lock()
 	g.reached[store] = g.applied(store, g.now())
 	g.lags[store] = by
@@ -70,8 +70,8 @@
 	g.mu.Unlock()
 }
 
-// Drain notes when a front was told that a store drains.
-func (g *Group) Drain(store string) {
+// MarkDraining notes when a front was told that a store drains.
+func (g *Group) MarkDraining(store string) {
 	g.mu.Lock()
 	g.drains[store] = g.now()
 	g.mu.Unlock()
@@ -107,7 +107,7 @@
 	if position = g.applied(store, now); position < after {
 		return position, false
 	}
-	g.ledger = append(g.ledger, Entry{At: now, Store: store, Job: job, Position: position})
+	g.ledger = append(g.ledger, Entry{At: now, Store: store, RequestID: job, Position: position})
 	return position, true
 }
 
@@ -120,9 +120,9 @@
 		return 0, false
 	}
 	now := g.now()
-	e := Entry{At: now, Store: store, Job: job, Mark: mark, Write: true}
+	e := Entry{At: now, Store: store, RequestID: job, IdempotencyKey: mark, Write: true}
 	if first, seen := g.marks[mark]; seen && mark != "" && now.Sub(first.At) < g.window {
-		e.Dropped, e.Position = true, first.Position
+		e.Duplicate, e.Position = true, first.Position
 	} else {
 		g.last = max(tenths(now), g.last+1)
 		e.Position = g.last
@@ -134,12 +134,12 @@
 	return e.Position, true
 }
 
-// Found gives the position of a job's write; 0: it did none.
-func (g *Group) Found(job string) (position int64) {
+// WritePosition gives the position of a job's write; 0: it did none.
+func (g *Group) WritePosition(job string) (position int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for k := len(g.ledger) - 1; k >= 0; k-- {
-		if e := &g.ledger[k]; e.Job == job && e.Write {
+		if e := &g.ledger[k]; e.RequestID == job && e.Write {
 			return e.Position
 		}
 	}
@@ -153,41 +153,41 @@
 	return append([]Entry(nil), g.ledger...)
 }
 
-// Told is what a client of the front was told in the end, for Check.
-type Told struct {
-	Job       string
-	Mark      string // numbered
-	Write     bool
-	Repeats   bool // a client tried it again after a turn-back: the tries are one job
-	Delivered bool
-	Back      bool  // turned back: it must not have run
-	After     int64 // a read had to see it
+// Outcome is what a client of the front was told in the end, for Check.
+type Outcome struct {
+	RequestID      string
+	IdempotencyKey string // numbered
+	Write          bool
+	Retried        bool // a client tried it again after a turn-back: the tries are one job
+	Delivered      bool
+	Rejected       bool  // turned back: it must not have run
+	After          int64 // a read had to see it
 }
 
 // Check holds the ledger against what clients were told and gives the broken rules: an effect twice, a turn-back of
 // what ran, a delivery of what did not, a stale read, and work begun at a store after its drain's grace.
-func (g *Group) Check(answers []Told, grace time.Duration) (broken []string) {
+func (g *Group) Check(answers []Outcome, grace time.Duration) (broken []string) {
 	ran, effects := map[string][]Entry{}, map[string]int{}
 	for _, e := range g.Ledger() {
-		ran[e.Job] = append(ran[e.Job], e)
-		if e.Write && !e.Dropped {
-			if e.Mark != "" {
-				effects["mark "+e.Mark]++
+		ran[e.RequestID] = append(ran[e.RequestID], e)
+		if e.Write && !e.Duplicate {
+			if e.IdempotencyKey != "" {
+				effects["mark "+e.IdempotencyKey]++
 			} else {
-				effects["job "+e.Job]++
+				effects["job "+e.RequestID]++
 			}
 		}
 		g.mu.Lock()
 		told, drains := g.drains[e.Store]
 		g.mu.Unlock()
 		if drains && e.At.Sub(told) > grace {
-			broken = append(broken, fmt.Sprintf("%s ran at %s %v after its drain was told", e.Job, e.Store, e.At.Sub(told)))
+			broken = append(broken, fmt.Sprintf("%s ran at %s %v after its drain was told", e.RequestID, e.Store, e.At.Sub(told)))
 		}
 	}
 	for _, e := range g.Ledger() { // in the ledger's order
-		key := "job " + e.Job
-		if e.Mark != "" {
-			key = "mark " + e.Mark
+		key := "job " + e.RequestID
+		if e.IdempotencyKey != "" {
+			key = "mark " + e.IdempotencyKey
 		}
 		if n := effects[key]; n > 1 {
 			broken = append(broken, fmt.Sprintf("%s had its effect %d times", key, n))
@@ -196,20 +196,20 @@
 	}
 	seen := map[string]bool{}
 	for _, a := range answers {
-		if seen[a.Job] {
-			broken = append(broken, a.Job+" was answered twice")
+		if seen[a.RequestID] {
+			broken = append(broken, a.RequestID+" was answered twice")
 		}
-		seen[a.Job] = true
-		entries := ran[a.Job]
+		seen[a.RequestID] = true
+		entries := ran[a.RequestID]
 		switch {
 		case a.Delivered && len(entries) == 0:
-			broken = append(broken, a.Job+" was delivered and never ran")
-		case a.Back && a.Write && a.Mark == "" && len(entries) > 0:
-			broken = append(broken, a.Job+" ran and was turned back")
+			broken = append(broken, a.RequestID+" was delivered and never ran")
+		case a.Rejected && a.Write && a.IdempotencyKey == "" && len(entries) > 0:
+			broken = append(broken, a.RequestID+" ran and was turned back")
 		}
 		if a.Delivered && !a.Write && len(entries) > 0 {
 			if e := entries[len(entries)-1]; e.Position < a.After {
-				broken = append(broken, fmt.Sprintf("%s was answered from %d and had to see %d", a.Job, e.Position, a.After))
+				broken = append(broken, fmt.Sprintf("%s was answered from %d and had to see %d", a.RequestID, e.Position, a.After))
 			}
 		}
 	}
--- a/internal/standin/postgres.go
+++ b/internal/standin/postgres.go
@@ -24,7 +24,7 @@
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
-	before func(job string) Act
+	before func(job string) Behavior
 	takes  time.Duration
 	cores  chan struct{} // places for jobs that run; nil: as many as come
 	closed bool
@@ -62,17 +62,21 @@
 // Probes tells how often it was asked for its position.
 func (p *Postgres) Probes() int64 { return p.probes.Load() }
 
-// Does sets what happens to jobs; nil: all are answered. It may be called from any connection.
-func (p *Postgres) Does(f func(job string) Act) { p.mu.Lock(); p.before = f; p.mu.Unlock() }
+// SetBehavior sets what happens to jobs; nil: all are answered. It may be called from any connection.
+func (p *Postgres) SetBehavior(f func(job string) Behavior) { p.mu.Lock(); p.before = f; p.mu.Unlock() }
 
-// Takes sets how long a job takes.
-func (p *Postgres) Takes(d time.Duration) { p.mu.Lock(); p.takes = d; p.mu.Unlock() }
+// SetDelay sets how long a job takes.
+func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.takes = d; p.mu.Unlock() }
 
-// Cores sets how many jobs run at a time; the others wait for a place.
-func (p *Postgres) Cores(n int) { p.mu.Lock(); p.cores = make(chan struct{}, n); p.mu.Unlock() }
+// SetConcurrency sets how many jobs run at a time; the others wait for a place.
+func (p *Postgres) SetConcurrency(n int) {
+	p.mu.Lock()
+	p.cores = make(chan struct{}, n)
+	p.mu.Unlock()
+}
 
-// Sever breaks all connections that there are.
-func (p *Postgres) Sever() {
+// CloseConnections breaks all connections that there are.
+func (p *Postgres) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -87,7 +91,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Sever()
+	p.CloseConnections()
 }
 
 func (p *Postgres) serve(c net.Conn) {
@@ -106,7 +110,7 @@
 	} else if _, err := io.CopyN(io.Discard, c, int64(n)-4); err != nil {
 		return
 	}
-	if _, err := c.Write(Welcome()); err != nil {
+	if _, err := c.Write(StartupResponse()); err != nil {
 		return
 	}
 	head := make([]byte, 5)
@@ -129,15 +133,15 @@
 }
 
 func (p *Postgres) answer(c net.Conn, text []byte) bool {
-	if string(text) == Probe {
+	if string(text) == ProbeQuery {
 		p.probes.Add(1)
-		_, err := c.Write(p.group.Answer(p.Name, text))
+		_, err := c.Write(p.group.Execute(p.Name, text))
 		return err == nil
 	}
 	p.mu.Lock()
 	before, takes, cores := p.before, p.takes, p.cores
 	p.mu.Unlock()
-	act := Answer
+	act := Respond
 	if s, err := pgwire.ParseQuery(text); err == nil && before != nil {
 		act = before(string(s.ID))
 	}
@@ -145,10 +149,10 @@
 	case Hang:
 		time.Sleep(10 * time.Second)
 		return false
-	case Refuse:
-		_, err := c.Write(Full())
+	case Reject:
+		_, err := c.Write(FullResponse())
 		return err == nil
-	case Break:
+	case Disconnect:
 		return false
 	}
 	if cores != nil {
@@ -156,11 +160,11 @@
 		defer func() { <-cores }()
 	}
 	time.Sleep(takes)
-	answer := p.group.Answer(p.Name, text)
+	answer := p.group.Execute(p.Name, text)
 	switch act {
-	case RunLost:
+	case RunThenDisconnect:
 		return false
-	case Spoil:
+	case Corrupt:
 		answer = []byte("D\x7f\xff\xff\xff\x00\x01noise")
 	}
 	_, err := c.Write(answer)
@@ -168,20 +172,20 @@
 }
 
 // Probe is the statement that asks a store for its position and role.
-const Probe = "SHOW load"
+const ProbeQuery = "SHOW load"
 
-// Welcome is what a store says to a new connection.
-func Welcome() []byte { return pgwire.AppendReady([]byte("R\x00\x00\x00\x08\x00\x00\x00\x00")) }
+// StartupResponse is what a store says to a new connection.
+func StartupResponse() []byte { return pgwire.AppendReady([]byte("R\x00\x00\x00\x08\x00\x00\x00\x00")) }
 
-// Full is what a store says that turns a job away unseen.
-func Full() []byte {
+// FullResponse is what a store says that turns a job away unseen.
+func FullResponse() []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.TooManyConnections, "full", ""))
 }
 
-// Answer carries out a statement at one of the group's stores, now, and gives all that the store says to it.
-func (g *Group) Answer(store string, text []byte) []byte {
+// Execute carries out a statement at one of the group's stores, now, and gives all that the store says to it.
+func (g *Group) Execute(store string, text []byte) []byte {
 	position := g.Position(store)
-	if string(text) == Probe {
+	if string(text) == ProbeQuery {
 		role := "0"
 		if name, _ := g.Primary(); name == store {
 			role = "1"
--- a/internal/world/load.go
+++ b/internal/world/load.go
@@ -23,7 +23,7 @@
 
 // Done is one request as its client saw it end.
 type Done struct {
-	standin.Told
+	standin.Outcome
 	Front    string
 	Kind     int
 	Group    int
@@ -81,11 +81,11 @@
 	k, g := &w.Kinds[kind], int(f.chance.Below(int64(len(w.Groups))))
 	w.requests++
 	a := &asked{session: int(f.chance.Below(sessions)), Done: Done{Front: f.Name, Kind: kind, Group: g, At: w.Now,
-		Told: standin.Told{Job: fmt.Sprint("j", w.requests), Write: k.Write}}}
-	text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=%d,cluster=%d", a.Job, k.Class, w.requests%5, w.Patience/Millisecond, g+1)
+		Outcome: standin.Outcome{RequestID: fmt.Sprint("j", w.requests), Write: k.Write}}}
+	text := fmt.Sprintf("/* id=%s,c=%s,t=t%d,d=%d,cluster=%d", a.RequestID, k.Class, w.requests%5, w.Patience/Millisecond, g+1)
 	if k.Keyed {
-		a.Mark = "m" + a.Job
-		text += ",k=" + a.Mark
+		a.IdempotencyKey = "m" + a.RequestID
+		text += ",k=" + a.IdempotencyKey
 	}
 	if k.Fenced {
 		if a.After = w.after[g][a.session]; a.After > 0 {
@@ -166,10 +166,10 @@
 func (a *asked) end(w *World, lost bool) {
 	a.Took, a.Lost = w.Now-a.At, lost
 	if !lost {
-		a.Delivered, a.Back = a.code == "", a.code == pgwire.TooManyConnections
+		a.Delivered, a.Rejected = a.code == "", a.code == pgwire.TooManyConnections
 	}
 	if a.Delivered && a.Write {
-		p := w.Groups[a.Group].Found(a.Job)
+		p := w.Groups[a.Group].WritePosition(a.RequestID)
 		w.after[a.Group][a.session] = max(w.after[a.Group][a.session], p)
 	}
 	w.Done = append(w.Done, a.Done)
@@ -177,10 +177,10 @@
 
 // Check holds all requests against the ledgers, over all fronts together, and gives the rules that were broken.
 func (w *World) Check(grace Time) (broken []string) {
-	told := make([][]standin.Told, len(w.Groups))
+	told := make([][]standin.Outcome, len(w.Groups))
 	for _, d := range w.Done {
 		if !d.Lost {
-			told[d.Group] = append(told[d.Group], d.Told)
+			told[d.Group] = append(told[d.Group], d.Outcome)
 		}
 	}
 	for g, group := range w.Groups {
@@ -188,13 +188,13 @@
 		seen := map[string]int64{}
 		for _, e := range group.Ledger() {
 			if !e.Write {
-				seen[e.Job] = e.Position
+				seen[e.RequestID] = e.Position
 			}
 		}
 		for _, d := range w.Done {
 			bound := w.Kinds[d.Kind].Bound
-			if d.Group == g && d.Delivered && bound > 0 && seen[d.Job] < w.sent[d.Job]-bound {
-				broken = append(broken, fmt.Sprintf("%s was answered from %d ms before it was sent", d.Job, (w.sent[d.Job]-seen[d.Job])/10))
+			if d.Group == g && d.Delivered && bound > 0 && seen[d.RequestID] < w.sent[d.RequestID]-bound {
+				broken = append(broken, fmt.Sprintf("%s was answered from %d ms before it was sent", d.RequestID, (w.sent[d.RequestID]-seen[d.RequestID])/10))
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 			t.InTime++
 		case d.Delivered:
 			t.Late++
-		case d.Back:
+		case d.Rejected:
 			t.Back++
 		default:
 			t.Off++
--- a/internal/world/store.go
+++ b/internal/world/store.go
@@ -98,7 +98,7 @@
 				return
 			}
 			l.buf, l.greeted = l.buf[binary.BigEndian.Uint32(l.buf):], true
-			l.push(standin.Welcome())
+			l.push(standin.StartupResponse())
 			continue
 		}
 		kind, body, n, err := pgwire.ParseMessage(l.buf, pgwire.MaxQuerySize)
@@ -117,9 +117,9 @@
 }
 
 func (s *Store) asked(j work) {
-	if string(j.text) == standin.Probe {
+	if string(j.text) == standin.ProbeQuery {
 		s.Probes++
-		j.l.push(s.Group.Answer(s.Name, j.text))
+		j.l.push(s.Group.Execute(s.Name, j.text))
 		return
 	}
 	s.Attempts++
@@ -127,7 +127,7 @@
 	s.bears(j.l.f.knows[s.Name] >= s.upAt)
 	if s.w.Queue > 0 && len(s.waits) >= s.w.Queue {
 		s.Full++
-		j.l.push(standin.Full())
+		j.l.push(standin.FullResponse())
 		return
 	}
 	if q, err := pgwire.ParseQuery(j.text); err == nil {
@@ -150,7 +150,7 @@
 				return
 			}
 			s.busy--
-			answer, breaks := s.Group.Answer(s.Name, j.text), false
+			answer, breaks := s.Group.Execute(s.Name, j.text), false
 			if s.Spoils != nil {
 				answer, breaks = s.Spoils(answer)
 			}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -162,14 +162,14 @@
 			names, where = p.spread(g)
 		}
 		group := standin.NewGroup(uint64(g+1), 3*time.Second, names...)
-		group.Clock(clock)
+		group.SetClock(clock)
 		w.Groups = append(w.Groups, group)
 		w.after = append(w.after, make([]int64, sessions))
 		for k, name := range names {
 			s := &Store{Node: Node{Name: name, Zone: where[k], Region: p.region(where[k])}, Group: group, w: w, addr: fmt.Sprintf("127.0.0.1:%d", len(w.Stores)+1),
 				conns: map[*link]bool{}}
 			if k > 0 {
-				group.Lag(name, time.Duration(p.Lag)*100*time.Microsecond)
+				group.SetLag(name, time.Duration(p.Lag)*100*time.Microsecond)
 			}
 			w.Stores = append(w.Stores, s)
 			w.byAddr[s.addr] = s
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -62,11 +62,11 @@
 	h := fnv.New64a()
 	for _, g := range w.Groups {
 		for _, e := range g.Ledger() {
-			fmt.Fprint(h, e.At.UnixNano(), e.Store, e.Job, e.Position)
+			fmt.Fprint(h, e.At.UnixNano(), e.Store, e.RequestID, e.Position)
 		}
 	}
 	for _, d := range w.Done {
-		fmt.Fprint(h, d.Job, d.At, d.Took, d.Lost, d.Delivered)
+		fmt.Fprint(h, d.RequestID, d.At, d.Took, d.Lost, d.Delivered)
 	}
 	return h.Sum64()
 }
@@ -248,12 +248,12 @@
 	for g, group := range w.Groups {
 		where := map[string]string{}
 		for _, e := range group.Ledger() {
-			where[e.Job] = e.Store
+			where[e.RequestID] = e.Store
 		}
 		lead, _ := group.Primary()
 		for _, d := range w.Done {
 			if k := &w.Kinds[d.Kind]; d.Group == g && d.Delivered && d.At >= at && (k.Bound > 0 || k.Fenced) {
-				if served++; where[d.Job] == lead {
+				if served++; where[d.RequestID] == lead {
 					primary++
 				}
 			}
