--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -86,11 +86,11 @@
 	if err != nil {
 		return Options{}, fmt.Errorf("operators' file: %w", err)
 	}
-	o, err := Parse(text)
+	options, err := Parse(text)
 	if err != nil {
 		return Options{}, fmt.Errorf("operators' file %s: %w", path, err)
 	}
-	return o, nil
+	return options, nil
 }
 
 // Parse reads the file's text.
@@ -99,58 +99,58 @@
 	if err != nil {
 		return Options{}, fmt.Errorf("/: no JSON: %w", err)
 	}
-	schema, defaults, err := compiled()
+	schema, defaults, err := compileSchema()
 	if err != nil {
 		return Options{}, err
 	}
 	if err := schema.Validate(value); err != nil {
-		return Options{}, explain(err)
+		return Options{}, describeErrors(err)
 	}
-	o := defaults
-	if err := json.Unmarshal(text, &o); err != nil {
+	options := defaults
+	if err := json.Unmarshal(text, &options); err != nil {
 		return Options{}, err
 	}
-	return o, nil
+	return options, nil
 }
 
-// compiled gives the schema and the values that it names as defaults, which stand nowhere else.
-func compiled() (*jsonschema.Schema, Options, error) {
-	var o Options
+// compileSchema gives the schema and the values that it names as defaults, which stand nowhere else.
+func compileSchema() (*jsonschema.Schema, Options, error) {
+	var options Options
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
-		return nil, o, err
+		return nil, options, err
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("micatrack:operators", document); err != nil {
-		return nil, o, err
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource("micatrack:operators", document); err != nil {
+		return nil, options, err
 	}
-	s, err := c.Compile("micatrack:operators")
+	schema, err := compiler.Compile("micatrack:operators")
 	if err != nil {
-		return nil, o, err
+		return nil, options, err
 	}
-	var parts func(s *jsonschema.Schema) map[string]any
-	parts = func(s *jsonschema.Schema) map[string]any {
-		found := map[string]any{}
-		for key, q := range s.Properties {
-			if q.Default != nil {
-				found[key] = *q.Default
-			} else if inside := parts(q); len(inside) > 0 {
-				found[key] = inside
+	var collectDefaults func(schema *jsonschema.Schema) map[string]any
+	collectDefaults = func(schema *jsonschema.Schema) map[string]any {
+		defaults := map[string]any{}
+		for key, property := range schema.Properties {
+			if property.Default != nil {
+				defaults[key] = *property.Default
+			} else if nested := collectDefaults(property); len(nested) > 0 {
+				defaults[key] = nested
 			}
 		}
-		return found
+		return defaults
 	}
-	text, err := json.Marshal(parts(s))
+	text, err := json.Marshal(collectDefaults(schema))
 	if err != nil {
-		return nil, o, err
+		return nil, options, err
 	}
-	return s, o, json.Unmarshal(text, &o)
+	return schema, options, json.Unmarshal(text, &options)
 }
 
-// explain gives one line for the faults of a file: where each is and what was expected.
-func explain(err error) error {
-	var fault *jsonschema.ValidationError
-	if !errors.As(err, &fault) {
+// describeErrors gives one line for the faults of a file: where each is and what was expected.
+func describeErrors(err error) error {
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
 		return err
 	}
 	printer := message.NewPrinter(language.English)
@@ -163,15 +163,15 @@
 		if len(e.Causes) > 0 {
 			return
 		}
-		at := "/" + strings.Join(e.InstanceLocation, "/")
+		location := "/" + strings.Join(e.InstanceLocation, "/")
 		if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 			for _, name := range unknown.Properties {
-				lines = append(lines, fmt.Sprintf("%s: unknown key", strings.TrimSuffix(at, "/")+"/"+name))
+				lines = append(lines, fmt.Sprintf("%s: unknown key", strings.TrimSuffix(location, "/")+"/"+name))
 			}
 			return
 		}
-		lines = append(lines, fmt.Sprintf("%s: %s", at, e.ErrorKind.LocalizedString(printer)))
+		lines = append(lines, fmt.Sprintf("%s: %s", location, e.ErrorKind.LocalizedString(printer)))
 	}
-	walk(fault)
+	walk(invalid)
 	return errors.New(strings.Join(lines, "; "))
 }
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestFaultsNameTheKeyAndWhatWasExpected(t *testing.T) {
+func TestErrorsNameKeyAndExpectation(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"door":{"on":true,"jobs":1}}`:       "/door/jobs: minimum: got 1, want 16",
 		`{"door":{"on":"yes"}}`:               "/door/on: got string, want boolean",
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -11,33 +11,33 @@
 // The messages are those of peers.proto. They are written and read field by field with the library's own wire
 // functions: generated code would allocate for each fact of each message, and takes in what this must bound.
 
-const version = 1
+const protocolVersion = 1
 
 // digestField is the number of a Whole's digest; 11 to 13 are of leases, the watch and the configuration.
-const digestField = 14
+const fieldDigest = 14
 
 var (
-	errShape   = errors.New("a message of an unknown shape")
-	errFleet   = errors.New("a message of another fleet")
-	errVersion = errors.New("a message of another version")
+	errMalformed    = errors.New("a message of an unknown shape")
+	errOtherFleet   = errors.New("a message of another fleet")
+	errOtherVersion = errors.New("a message of another version")
 )
 
-func appendText(dst []byte, field protowire.Number, b []byte) []byte {
+func appendBytes(dst []byte, field protowire.Number, b []byte) []byte {
 	if len(b) == 0 {
 		return dst
 	}
 	return protowire.AppendBytes(protowire.AppendTag(dst, field, protowire.BytesType), b)
 }
 
-func appendNumber(dst []byte, field protowire.Number, v uint64) []byte {
+func appendUint(dst []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return dst
 	}
 	return protowire.AppendVarint(protowire.AppendTag(dst, field, protowire.VarintType), v)
 }
 
-// appendInside writes an embedded message, whose length stands before it.
-func appendInside(dst []byte, field protowire.Number, write func(dst []byte) []byte) []byte {
+// appendEmbedded writes an embedded message, whose length stands before it.
+func appendEmbedded(dst []byte, field protowire.Number, write func(dst []byte) []byte) []byte {
 	dst = protowire.AppendTag(dst, field, protowire.BytesType)
 	at := len(dst)
 	dst = write(append(dst, 0, 0)) // two bytes of length hold 16,383
@@ -47,56 +47,56 @@
 }
 
 func appendFact(dst []byte, field protowire.Number, f *membership.Fact) []byte {
-	return appendInside(dst, field, func(dst []byte) []byte {
-		dst = appendText(appendText(appendText(dst, 1, f.Name), 2, f.Zone), 3, f.Addr)
-		return appendText(appendNumber(appendNumber(dst, 4, f.Incarnation), 5, uint64(f.State)), 6, f.By)
+	return appendEmbedded(dst, field, func(dst []byte) []byte {
+		dst = appendBytes(appendBytes(appendBytes(dst, 1, f.Name), 2, f.Zone), 3, f.Addr)
+		return appendBytes(appendUint(appendUint(dst, 4, f.Incarnation), 5, uint64(f.State)), 6, f.By)
 	})
 }
 
 // AppendMessage writes a message of a fleet.
 func AppendMessage(dst []byte, fleet string, m *membership.Message) []byte {
-	dst = appendNumber(dst, 1, version)
+	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
-	dst = appendNumber(appendNumber(dst, 3, uint64(m.Kind)), 4, m.Seq)
+	dst = appendUint(appendUint(dst, 3, uint64(m.Kind)), 4, m.Seq)
 	dst = appendFact(dst, 5, &m.Sender)
-	dst = appendText(appendText(appendText(dst, 6, m.To), 7, m.Target), 8, m.TargetAddr)
+	dst = appendBytes(appendBytes(appendBytes(dst, 6, m.To), 7, m.Target), 8, m.TargetAddr)
 	for k := range m.Facts {
 		dst = appendFact(dst, 9, &m.Facts[k])
 	}
 	for k := range m.Notes {
 		n := &m.Notes[k]
-		dst = appendInside(dst, 10, func(dst []byte) []byte {
-			dst = appendNumber(appendText(dst, 1, n.Key), 2, n.Version)
-			return appendText(appendNumber(dst, 3, uint64(max(n.Age, 0))), 4, n.Body)
+		dst = appendEmbedded(dst, 10, func(dst []byte) []byte {
+			dst = appendUint(appendBytes(dst, 1, n.Key), 2, n.Version)
+			return appendBytes(appendUint(dst, 3, uint64(max(n.Age, 0))), 4, n.Body)
 		})
 	}
-	return appendText(dst, digestField, m.Digest)
+	return appendBytes(dst, fieldDigest, m.Digest)
 }
 
-// fields calls take for each field of a message, in its order; a field that take does not know is passed over, and
+// forEachField calls take for each field of a message, in its order; a field that take does not know is passed over, and
 // so kept out.
-func fields(b []byte, take func(n protowire.Number, number uint64, text []byte) error) error {
+func forEachField(b []byte, handle func(n protowire.Number, number uint64, data []byte) error) error {
 	for len(b) > 0 {
-		n, t, used := protowire.ConsumeTag(b)
-		if used < 0 {
-			return errShape
+		n, t, size := protowire.ConsumeTag(b)
+		if size < 0 {
+			return errMalformed
 		}
-		b = b[used:]
+		b = b[size:]
 		var number uint64
-		var text []byte
+		var data []byte
 		switch t {
 		case protowire.VarintType:
-			number, used = protowire.ConsumeVarint(b)
+			number, size = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			text, used = protowire.ConsumeBytes(b)
+			data, size = protowire.ConsumeBytes(b)
 		default:
-			used = protowire.ConsumeFieldValue(n, t, b)
+			size = protowire.ConsumeFieldValue(n, t, b)
 		}
-		if used < 0 {
-			return errShape
+		if size < 0 {
+			return errMalformed
 		}
-		b = b[used:]
-		if err := take(n, number, text); err != nil {
+		b = b[size:]
+		if err := handle(n, number, data); err != nil {
 			return err
 		}
 	}
@@ -104,23 +104,23 @@
 }
 
 func readFact(b []byte) (f membership.Fact, err error) {
-	err = fields(b, func(n protowire.Number, number uint64, text []byte) error {
+	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
 		case 1:
-			f.Name = text
+			f.Name = data
 		case 2:
-			f.Zone = text
+			f.Zone = data
 		case 3:
-			f.Addr = text
+			f.Addr = data
 		case 4:
 			f.Incarnation = number
 		case 5:
 			if number > uint64(membership.Left) {
-				return errShape
+				return errMalformed
 			}
 			f.State = membership.State(number)
 		case 6:
-			f.By = text
+			f.By = data
 		}
 		return nil
 	})
@@ -128,18 +128,18 @@
 }
 
 func readNote(b []byte) (o membership.Note, err error) {
-	err = fields(b, func(n protowire.Number, number uint64, text []byte) error {
+	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
 		case 1:
-			o.Key = text
+			o.Key = data
 		case 2:
 			o.Version = number
 		case 3:
 			if o.Age = membership.Time(number); number > 1<<40 {
-				return errShape
+				return errMalformed
 			}
 		case 4:
-			o.Body = text
+			o.Body = data
 		}
 		return nil
 	})
@@ -150,61 +150,61 @@
 // nothing.
 func ReadMessage(b []byte, fleet string, m *membership.Message) error {
 	*m = membership.Message{Facts: m.Facts[:0], Notes: m.Notes[:0]}
-	told, named := uint64(0), false
-	err := fields(b, func(n protowire.Number, number uint64, text []byte) (err error) {
+	messageVersion, fleetMatches := uint64(0), false
+	err := forEachField(b, func(n protowire.Number, number uint64, data []byte) (err error) {
 		switch n {
 		case 1:
-			told = number
+			messageVersion = number
 		case 2:
-			if named = string(text) == fleet; !named {
-				return errFleet
+			if fleetMatches = string(data) == fleet; !fleetMatches {
+				return errOtherFleet
 			}
 		case 3:
 			if number > uint64(membership.SyncResponse) {
-				return errShape
+				return errMalformed
 			}
 			m.Kind = membership.Kind(number)
 		case 4:
 			m.Seq = number
 		case 5:
-			m.Sender, err = readFact(text)
+			m.Sender, err = readFact(data)
 		case 6:
-			m.To = text
+			m.To = data
 		case 7:
-			m.Target = text
+			m.Target = data
 		case 8:
-			m.TargetAddr = text
+			m.TargetAddr = data
 		case 9:
 			if len(m.Facts) >= membership.MaxFacts {
-				return errShape
+				return errMalformed
 			}
 			var f membership.Fact
-			f, err = readFact(text)
+			f, err = readFact(data)
 			m.Facts = append(m.Facts, f)
 		case 10:
 			if len(m.Notes) >= membership.MaxNotes {
-				return errShape
+				return errMalformed
 			}
 			var o membership.Note
-			o, err = readNote(text)
+			o, err = readNote(data)
 			m.Notes = append(m.Notes, o)
-		case digestField:
-			if len(text) != membership.DigestBytes {
-				return errShape
+		case fieldDigest:
+			if len(data) != membership.DigestBytes {
+				return errMalformed
 			}
-			m.Digest = text
+			m.Digest = data
 		}
 		return err
 	})
 	switch {
 	case err != nil:
 		return err
-	case told != version:
-		return errVersion
-	case !named:
-		return errFleet
+	case messageVersion != protocolVersion:
+		return errOtherVersion
+	case !fleetMatches:
+		return errOtherFleet
 	case m.Kind == 0:
-		return errShape
+		return errMalformed
 	}
 	return nil
 }
--- a/internal/peers/config_test.go
+++ b/internal/peers/config_test.go
@@ -11,15 +11,15 @@
 )
 
 // TestConfigMessages: what is written is read, whatever else comes is refused or within bounds.
-func TestConfigMessages(t *testing.T) {
+func TestConfigMessageRoundTrip(t *testing.T) {
 	m := ConfigMessage{ToControl: true, Addr: "127.0.0.1:7400", Body: bytes.Repeat([]byte{7}, config.MaxMessage)}
-	text := AppendConfig(nil, "f", &m)
-	got, err := ReadConfig(text, "f")
+	data := AppendConfig(nil, "f", &m)
+	got, err := ReadConfig(data, "f")
 	if err != nil || !got.ToControl || got.FromControl || got.Addr != m.Addr || !bytes.Equal(got.Body, m.Body) {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if len(text) > datagram {
-		t.Errorf("%d bytes are no datagram", len(text))
+	if len(data) > maxDatagram {
+		t.Errorf("%d bytes are no datagram", len(data))
 	}
 	for name, bad := range map[string]ConfigMessage{
 		"no address":       {Body: []byte{1}},
@@ -33,16 +33,16 @@
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if _, err := ReadConfig(text, "g"); err == nil {
+	if _, err := ReadConfig(data, "g"); err == nil {
 		t.Error("another fleet's is taken")
 	}
-	chance := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
-		b := bytes.Clone(text[:1+chance.IntN(len(text))])
-		for range 1 + chance.IntN(4) {
-			b[chance.IntN(min(len(b), 60))] = byte(chance.Uint32())
+		b := bytes.Clone(data[:1+rng.IntN(len(data))])
+		for range 1 + rng.IntN(4) {
+			b[rng.IntN(min(len(b), 60))] = byte(rng.Uint32())
 		}
-		if m, err := ReadConfig(b, "f"); err == nil && (len(m.Body) > config.MaxMessage || len(m.Addr) > mostText) {
+		if m, err := ReadConfig(b, "f"); err == nil && (len(m.Body) > config.MaxMessage || len(m.Addr) > maxTextBytes) {
 			t.Fatalf("out of bounds: %d bytes, %q", len(m.Body), m.Addr)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // TestConfigBetweenTwo: messages reach the part that they are for, also where a long name of the fleet takes
 // them off datagrams; requests are answered; without the configuration switched on nothing of it is taken.
-func TestConfigBetweenTwo(t *testing.T) {
+func TestConfigDelivery(t *testing.T) {
 	fleet := strings.Repeat("n", 64)
 	open := func() *Transport {
 		p, err := Open("127.0.0.1:0", fleet, func() {})
@@ -70,16 +70,16 @@
 			m := ConfigMessage{ToControl: toControl, Addr: a.Addr(), Body: body}
 			a.SendConfig(b.Addr(), &m)
 			a.SendConfig(off.Addr(), &m)
-			into := front
+			target := front
 			if toControl {
-				into = control
+				target = control
 			}
 			var got ConfigMessage
 			end := time.Now().Add(5 * time.Second)
 			for ; got.Addr == "" && time.Now().Before(end); time.Sleep(time.Millisecond) {
 				b.Receive(nil, nil)
 				select {
-				case got = <-into:
+				case got = <-target:
 				default:
 				}
 			}
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	back, err := a.Request(b.Addr(), long)
-	if err != nil || !bytes.Equal(back, append([]byte("answer to "), long...)) {
-		t.Errorf("%.40q, %v", back, err)
+	reply, err := a.Request(b.Addr(), long)
+	if err != nil || !bytes.Equal(reply, append([]byte("answer to "), long...)) {
+		t.Errorf("%.40q, %v", reply, err)
 	}
 	if _, err := a.Request(off.Addr(), []byte("?")); err != ErrNoAnswer {
 		t.Errorf("where nothing answers: %v", err)
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -20,76 +20,78 @@
 }
 
 const (
-	mostSeats = 16
-	mostText  = 64 // bytes of a name or an address
+	maxVoters    = 16
+	maxTextBytes = 64 // bytes of a name or an address
 )
 
-// appendLease writes the frame round a body.
-func appendLease(dst []byte, fleet string, body []byte) []byte {
-	dst = appendNumber(dst, 1, version)
+// appendLeaseFrame writes the frame round a body.
+func appendLeaseFrame(dst []byte, fleet string, body []byte) []byte {
+	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
-	return appendText(appendNumber(dst, 3, kindLease), 11, body)
+	return appendBytes(appendUint(dst, 3, kindLease), 11, body)
 }
 
-// leaseOf gives the body of a message of this fleet's leases; not ok: it is no such message.
-func leaseOf(b []byte, fleet string) (body []byte, ok bool) { return framed(b, fleet, kindLease, 11) }
+// leaseBody gives the body of a message of this fleet's leases; not ok: it is no such message.
+func leaseBody(b []byte, fleet string) (body []byte, ok bool) {
+	return messageBody(b, fleet, kindLease, 11)
+}
 
-// framed gives what stands in one field of a message of this fleet and of a kind.
-func framed(b []byte, fleet string, want uint64, field protowire.Number) (body []byte, ok bool) {
-	told, named, kind := uint64(0), false, uint64(0)
-	err := fields(b, func(n protowire.Number, number uint64, text []byte) error {
+// messageBody gives what stands in one field of a message of this fleet and of a kind.
+func messageBody(b []byte, fleet string, want uint64, field protowire.Number) (body []byte, ok bool) {
+	messageVersion, fleetMatches, kind := uint64(0), false, uint64(0)
+	err := forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
 		case 1:
-			told = number
+			messageVersion = number
 		case 2:
-			named = string(text) == fleet
+			fleetMatches = string(data) == fleet
 		case 3:
 			if kind = number; kind != want {
-				return errShape
+				return errMalformed
 			}
 		case field:
-			body = text
+			body = data
 		}
 		return nil
 	})
-	return body, err == nil && told == version && named && kind == want && body != nil
+	return body, err == nil && messageVersion == protocolVersion && fleetMatches && kind == want && body != nil
 }
 
-// short reads the texts of a message.
+// boundText reads the texts of a message.
 // Danger: what an asker says of itself is kept for as long as it waits, and a frame may hold four million bytes.
-func short(take func(n protowire.Number, number uint64, text []byte)) func(n protowire.Number, number uint64, text []byte) error {
-	return func(n protowire.Number, number uint64, text []byte) error {
-		if len(text) > mostText {
-			return errShape
+func boundText(handle func(n protowire.Number, number uint64, data []byte)) func(n protowire.Number, number uint64, data []byte) error {
+	return func(n protowire.Number, number uint64, data []byte) error {
+		if len(data) > maxTextBytes {
+			return errMalformed
 		}
-		take(n, number, text)
+		handle(n, number, data)
 		return nil
 	}
 }
 
 // AppendLease writes the body of a message of leases.
 func AppendLease(dst []byte, m *LeaseMessage) []byte {
-	dst = appendText(appendNumber(appendNumber(dst, 1, m.From), 2, m.To), 3, m.Log)
-	dst = appendNumber(dst, 6, m.InitialVotersHash)
+	dst = appendBytes(appendUint(appendUint(dst, 1, m.From), 2, m.To), 3, m.Log)
+	dst = appendUint(dst, 6, m.InitialVotersHash)
 	if a := m.Request; a != nil {
-		dst = appendInside(dst, 4, func(dst []byte) []byte {
-			dst = appendText(appendText(appendNumber(dst, 1, uint64(a.Op)), 2, []byte(a.Name)), 3, []byte(a.From.Name))
-			dst = appendNumber(appendNumber(appendNumber(dst, 4, a.From.Life), 5, a.Token), 6, a.Seq)
-			return appendNumber(appendText(appendNumber(dst, 7, a.ForwardedBy), 8, []byte(a.Addr)), 9, a.AckedSeq)
+		dst = appendEmbedded(dst, 4, func(dst []byte) []byte {
+			dst = appendBytes(appendBytes(appendUint(dst, 1, uint64(a.Op)), 2, []byte(a.Name)), 3, []byte(a.From.Name))
+			dst = appendUint(appendUint(appendUint(dst, 4, a.From.Life), 5, a.Token), 6, a.Seq)
+			return appendUint(appendBytes(appendUint(dst, 7, a.ForwardedBy), 8, []byte(a.Addr)), 9, a.AckedSeq)
 		})
 	}
 	if r := m.Reply; r != nil {
-		dst = appendInside(dst, 5, func(dst []byte) []byte {
-			dst = appendText(appendText(dst, 1, []byte(r.Name)), 2, []byte(r.To.Name))
-			dst = appendNumber(appendNumber(appendNumber(dst, 3, r.To.Life), 4, r.Seq), 5, r.Token)
-			dst = appendNumber(appendText(dst, 6, []byte(r.Holder.Name)), 7, r.Holder.Life)
-			return appendText(appendNumber(dst, 8, uint64(r.QueuePosition)), 9, []byte(m.Addr))
+		dst = appendEmbedded(dst, 5, func(dst []byte) []byte {
+			dst = appendBytes(appendBytes(dst, 1, []byte(r.Name)), 2, []byte(r.To.Name))
+			dst = appendUint(appendUint(appendUint(dst, 3, r.To.Life), 4, r.Seq), 5, r.Token)
+			dst = appendUint(appendBytes(dst, 6, []byte(r.Holder.Name)), 7, r.Holder.Life)
+			return appendBytes(appendUint(dst, 8, uint64(r.QueuePosition)), 9, []byte(m.Addr))
 		})
 	}
 	for k := range m.Voters {
 		s := &m.Voters[k]
-		dst = appendInside(dst, 7, func(dst []byte) []byte {
-			return appendText(appendText(appendNumber(dst, 1, s.ID), 2, []byte(s.Name)), 3, []byte(s.Addr))
+		dst = appendEmbedded(dst, 7, func(dst []byte) []byte {
+			return appendBytes(appendBytes(appendUint(dst, 1, s.ID), 2, []byte(s.Name)), 3, []byte(s.Addr))
 		})
 	}
 	return dst
@@ -97,52 +99,52 @@
 
 // ReadLease takes the body of a message of leases apart. Lengths of names are lease's to judge.
 func ReadLease(b []byte) (m LeaseMessage, err error) {
-	err = fields(b, func(n protowire.Number, number uint64, text []byte) (err error) {
+	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) (err error) {
 		switch n {
 		case 1:
 			m.From = number
 		case 2:
 			m.To = number
 		case 3:
-			m.Log = text
+			m.Log = data
 		case 4:
 			m.Request = &lease.Request{}
-			err = readAsk(text, m.Request)
+			err = readRequest(data, m.Request)
 		case 5:
 			m.Reply = &lease.Reply{}
-			err = readReply(text, m.Reply, &m.Addr)
+			err = readReply(data, m.Reply, &m.Addr)
 		case 6:
 			m.InitialVotersHash = number
 		case 7:
 			var s lease.VoterInfo
-			if err = readSeat(text, &s); err == nil && len(m.Voters) >= mostSeats {
-				err = errShape
+			if err = readVoter(data, &s); err == nil && len(m.Voters) >= maxVoters {
+				err = errMalformed
 			}
 			m.Voters = append(m.Voters, s)
 		}
 		return err
 	})
-	parts := 0
-	for _, there := range [...]bool{m.Log != nil, m.Request != nil, m.Reply != nil} {
-		if there {
-			parts++
+	bodies := 0
+	for _, present := range [...]bool{m.Log != nil, m.Request != nil, m.Reply != nil} {
+		if present {
+			bodies++
 		}
 	}
-	if err == nil && parts != 1 {
-		err = errShape
+	if err == nil && bodies != 1 {
+		err = errMalformed
 	}
 	return m, err
 }
 
-func readAsk(b []byte, a *lease.Request) error {
-	err := fields(b, short(func(n protowire.Number, number uint64, text []byte) {
+func readRequest(b []byte, a *lease.Request) error {
+	err := forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
 			a.Op = lease.Op(min(number, 255))
 		case 2:
-			a.Name = string(text)
+			a.Name = string(data)
 		case 3:
-			a.From.Name = string(text)
+			a.From.Name = string(data)
 		case 4:
 			a.From.Life = number
 		case 5:
@@ -152,37 +154,37 @@
 		case 7:
 			a.ForwardedBy = number
 		case 8:
-			a.Addr = string(text)
+			a.Addr = string(data)
 		case 9:
 			a.AckedSeq = number
 		}
 	}))
 	if err == nil && a.Op > lease.Release {
-		err = errShape
+		err = errMalformed
 	}
 	return err
 }
 
-func readSeat(b []byte, s *lease.VoterInfo) error {
-	return fields(b, short(func(n protowire.Number, number uint64, text []byte) {
+func readVoter(b []byte, s *lease.VoterInfo) error {
+	return forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
 			s.ID = number
 		case 2:
-			s.Name = string(text)
+			s.Name = string(data)
 		case 3:
-			s.Addr = string(text)
+			s.Addr = string(data)
 		}
 	}))
 }
 
 func readReply(b []byte, r *lease.Reply, addr *string) error {
-	return fields(b, short(func(n protowire.Number, number uint64, text []byte) {
+	return forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
-			r.Name = string(text)
+			r.Name = string(data)
 		case 2:
-			r.To.Name = string(text)
+			r.To.Name = string(data)
 		case 3:
 			r.To.Life = number
 		case 4:
@@ -190,13 +192,13 @@
 		case 5:
 			r.Token = number
 		case 6:
-			r.Holder.Name = string(text)
+			r.Holder.Name = string(data)
 		case 7:
 			r.Holder.Life = number
 		case 8:
 			r.QueuePosition = int(min(number, 1<<20))
 		case 9:
-			*addr = string(text)
+			*addr = string(data)
 		}
 	}))
 }
--- a/internal/peers/lease_test.go
+++ b/internal/peers/lease_test.go
@@ -11,7 +11,7 @@
 
 // TestLeaseAndWatchMessages: what is written is read; another fleet's, one that is cut anywhere and one with a text longer than a
 // name are not.
-func TestLeaseAndWatchMessages(t *testing.T) {
+func TestLeaseAndPositionMessages(t *testing.T) {
 	who := lease.Instance{Name: "f1", Life: 7}
 	for _, m := range []LeaseMessage{
 		{From: 1, To: 2, Log: []byte("log"), InitialVotersHash: 9},
@@ -19,19 +19,19 @@
 		{From: 1, To: 3, Reply: &lease.Reply{Name: "l", To: who, Seq: 4, Token: 3, Holder: who, QueuePosition: 2}, Addr: "10.0.0.1:1",
 			Voters: []lease.VoterInfo{{ID: 1, Name: "f0", Addr: "10.0.0.2:1"}}},
 	} {
-		frame := appendLease(nil, "ours", AppendLease(nil, &m))
-		body, ok := leaseOf(frame, "ours")
+		frame := appendLeaseFrame(nil, "ours", AppendLease(nil, &m))
+		body, ok := leaseBody(frame, "ours")
 		if got, err := ReadLease(body); !ok || err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%+v is read as %+v, %v", m, got, err)
 		}
-		if _, ok := leaseOf(frame, "theirs"); ok {
+		if _, ok := leaseBody(frame, "theirs"); ok {
 			t.Error("another fleet's is taken")
 		}
 		for n := range body {
 			ReadLease(body[:n]) // whatever it makes of it
 		}
 	}
-	long := strings.Repeat("x", mostText+1)
+	long := strings.Repeat("x", maxTextBytes+1)
 	for _, m := range []LeaseMessage{
 		{Request: &lease.Request{Op: lease.Acquire, Name: long, From: who}}, {Request: &lease.Request{Op: lease.Acquire, Name: "l", From: who, Addr: long}},
 		{Request: &lease.Request{Op: lease.Release + 1, Name: "l", From: who}}, {Reply: &lease.Reply{Name: "l", To: lease.Instance{Name: long}}},
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestMessagesComeBack: what is written is read as it was, and each cut or flipped form is told apart or harmless.
-func TestMessagesComeBack(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Seq: rapid.Uint64().Draw(t, "seq"), Sender: drawFact(t)}
 		for range rapid.IntRange(0, 5).Draw(t, "facts") {
@@ -33,21 +33,21 @@
 			m.Notes = append(m.Notes, membership.Note{Key: []byte("k"), Version: rapid.Uint64().Draw(t, "version"),
 				Age: rapid.Int64Range(0, 1<<40).Draw(t, "age"), Body: rapid.SliceOfN(rapid.Byte(), 1, membership.MaxBodyBytes).Draw(t, "body")})
 		}
-		text := AppendMessage(nil, "f", m)
+		data := AppendMessage(nil, "f", m)
 		var back membership.Message
-		if err := ReadMessage(text, "f", &back); err != nil {
+		if err := ReadMessage(data, "f", &back); err != nil {
 			t.Fatal(err)
 		}
 		if a, b := fmt.Sprintf("%v", *m), fmt.Sprintf("%v", back); a != b {
 			t.Fatalf("%s\n%s", a, b)
 		}
-		if err := ReadMessage(text, "g", &back); err != errFleet {
+		if err := ReadMessage(data, "g", &back); err != errOtherFleet {
 			t.Errorf("of another fleet: %v", err)
 		}
-		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
-		ReadMessage(text[:cut], "f", &back)
-		text[cut] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		ReadMessage(text, "f", &back)
+		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
+		ReadMessage(data[:cut], "f", &back)
+		data[cut] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		ReadMessage(data, "f", &back)
 		if len(back.Facts) > membership.MaxFacts {
 			t.Error("too many facts")
 		}
@@ -55,7 +55,7 @@
 }
 
 // TestForeignDatagrams: what is long, cut, of another fleet or version, or no message at all is counted and dropped.
-func TestForeignDatagrams(t *testing.T) {
+func TestInvalidDatagramsAreDropped(t *testing.T) {
 	woken := make(chan struct{}, 1024)
 	p, err := Open("127.0.0.1:0", "f", func() { woken <- struct{}{} })
 	if err != nil {
@@ -91,7 +91,7 @@
 }
 
 // TestWholeExchange: 4,096 members of the longest names go over and come back, and the loop waits for neither.
-func TestWholeExchange(t *testing.T) {
+func TestFullSync(t *testing.T) {
 	a, err := Open("127.0.0.1:0", "f", func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 }
 
 // TestNoAddressElsewhere: it listens on loopback and private addresses alone, and sends nowhere else.
-func TestNoAddressElsewhere(t *testing.T) {
+func TestOnlyLocalAddresses(t *testing.T) {
 	for _, addr := range []string{"0.0.0.0:0", "[::]:0", "192.0.2.1:0", "host:1"} {
 		if p, err := Open(addr, "f", func() {}); err == nil {
 			p.Close()
@@ -150,11 +150,11 @@
 	fact := membership.Fact{Name: []byte("front-17"), Zone: []byte("zone-a"), Addr: []byte("10.0.0.17:7400"), Incarnation: 1 << 40}
 	m := &membership.Message{Kind: membership.Gossip, Sender: fact, Facts: []membership.Fact{fact, fact, fact},
 		Notes: []membership.Note{{Key: []byte("efront-17"), Version: 1, Body: make([]byte, 60)}}}
-	text := AppendMessage(nil, "fleet", m)
+	data := AppendMessage(nil, "fleet", m)
 	var into membership.Message
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := ReadMessage(text, "fleet", &into); err != nil {
+		if err := ReadMessage(data, "fleet", &into); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/peers/watch.go
+++ b/internal/peers/positions.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	kindWatch  = 9
-	mostMoment = 1 << 60 // a position, or a need
+	kindPosition = 9
+	maxPosition  = 1 << 60 // a position, or a need
 )
 
 // AppendQuery and AppendAnswer write messages of the watch, whole.
 func AppendQuery(dst []byte, fleet string, q *positions.Query) []byte {
-	return appendWatch(dst, fleet, func(dst []byte) []byte {
-		dst = appendNumber(appendNumber(appendNumber(dst, 1, q.Seq), 2, q.Group), 3, uint64(max(q.MinPosition, 0)))
-		return appendText(appendText(dst, 4, []byte(q.Addr)), 6, []byte(q.Store))
+	return appendPositionMessage(dst, fleet, func(dst []byte) []byte {
+		dst = appendUint(appendUint(appendUint(dst, 1, q.Seq), 2, q.Group), 3, uint64(max(q.MinPosition, 0)))
+		return appendBytes(appendBytes(dst, 4, []byte(q.Addr)), 6, []byte(q.Store))
 	})
 }
 
 func AppendAnswer(dst []byte, fleet string, a *positions.Answer) []byte {
-	return appendWatch(dst, fleet, func(dst []byte) []byte {
-		dst = appendNumber(appendNumber(dst, 1, a.Seq), 2, a.Group)
+	return appendPositionMessage(dst, fleet, func(dst []byte) []byte {
+		dst = appendUint(appendUint(dst, 1, a.Seq), 2, a.Group)
 		for k := range a.Positions {
 			s := &a.Positions[k]
-			dst = appendInside(dst, 5, func(dst []byte) []byte {
-				return appendNumber(appendText(dst, 1, []byte(s.Store)), 2, uint64(max(s.Position, 0)))
+			dst = appendEmbedded(dst, 5, func(dst []byte) []byte {
+				return appendUint(appendBytes(dst, 1, []byte(s.Store)), 2, uint64(max(s.Position, 0)))
 			})
 		}
 		return dst
 	})
 }
 
-func appendWatch(dst []byte, fleet string, body func(dst []byte) []byte) []byte {
-	dst = appendNumber(dst, 1, version)
+func appendPositionMessage(dst []byte, fleet string, body func(dst []byte) []byte) []byte {
+	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
-	return appendInside(appendNumber(dst, 3, kindWatch), 12, body)
+	return appendEmbedded(appendUint(dst, 3, kindPosition), 12, body)
 }
 
 // ReadPositionMessage takes a message of the watch apart: a question, which names its asker's address, or an answer.
 func ReadPositionMessage(b []byte, fleet string) (q *positions.Query, a *positions.Answer, err error) {
-	body, ok := framed(b, fleet, kindWatch, 12)
+	body, ok := messageBody(b, fleet, kindPosition, 12)
 	if !ok {
-		return nil, nil, errShape
+		return nil, nil, errMalformed
 	}
 	var seq, group, need uint64
 	var addr, store string
-	var seen []positions.StorePosition
-	err = fields(body, func(n protowire.Number, number uint64, text []byte) error {
+	var storePositions []positions.StorePosition
+	err = forEachField(body, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
 		case 1:
 			seq = number
@@ -56,25 +56,25 @@
 		case 3:
 			need = number
 		case 4:
-			addr = string(text)
+			addr = string(data)
 		case 6:
-			store = string(text)
+			store = string(data)
 		case 5:
 			var s positions.StorePosition
-			err := fields(text, short(func(n protowire.Number, number uint64, text []byte) {
+			err := forEachField(data, boundText(func(n protowire.Number, number uint64, data []byte) {
 				switch n {
 				case 1:
-					s.Store = string(text)
+					s.Store = string(data)
 				case 2:
-					s.Position = positions.Time(min(number, mostMoment))
+					s.Position = positions.Time(min(number, maxPosition))
 				}
 			}))
-			if seen = append(seen, s); err != nil || len(seen) > positions.MaxPositions {
-				return errShape
+			if storePositions = append(storePositions, s); err != nil || len(storePositions) > positions.MaxPositions {
+				return errMalformed
 			}
 		}
-		if n != 5 && len(text) > mostText || need > mostMoment {
-			return errShape
+		if n != 5 && len(data) > maxTextBytes || need > maxPosition {
+			return errMalformed
 		}
 		return nil
 	})
@@ -84,15 +84,15 @@
 	case addr != "":
 		return &positions.Query{Seq: seq, Group: group, MinPosition: positions.Time(need), Store: store, Addr: addr}, nil, nil
 	}
-	return nil, &positions.Answer{Seq: seq, Group: group, Positions: seen}, nil
+	return nil, &positions.Answer{Seq: seq, Group: group, Positions: storePositions}, nil
 }
 
 // SendQuery and Answer send what the watch has to say.
 func (p *Transport) SendQuery(addr string, q positions.Query) {
-	p.raw(addr, AppendQuery(p.buffer(), p.fleet, &q))
+	p.enqueue(addr, AppendQuery(p.getBuffer(), p.fleet, &q))
 }
 func (p *Transport) SendAnswer(addr string, a positions.Answer) {
-	p.raw(addr, AppendAnswer(p.buffer(), p.fleet, &a))
+	p.enqueue(addr, AppendAnswer(p.getBuffer(), p.fleet, &a))
 }
 
 // OnPositions has messages of the watch handed to the loop, by Take.
@@ -100,8 +100,8 @@
 	p.onQuery, p.onAnswer = query, answer
 }
 
-// watched hands on what is a message of the watch.
-func (p *Transport) watched(b []byte) bool {
+// handlePosition hands on what is a message of the watch.
+func (p *Transport) handlePosition(b []byte) bool {
 	if p.onQuery == nil {
 		return false
 	}
@@ -114,6 +114,6 @@
 	default:
 		p.onAnswer(*a)
 	}
-	p.taken.Add(1)
+	p.received.Add(1)
 	return true
 }
