--- a/fleet/positions/positions.go
+++ b/fleet/positions/positions.go
@@ -1,14 +1,16 @@
-// Package watch spares the stores most of the questions that a large fleet would ask them. A front with a few jobs a second
-// knows positions that are too old for nearly every read that has to be recent, so it would ask a likely replica each time; with
-// hundreds of fronts the stores answer more questions than reads. For each group one front, its watcher, is asked instead:
-// it answers from what it knows where that is recent enough, and asks the stores itself where it is not, once for all who
-// wait. It does no I/O, reads no clock and draws from its seed.
+// Package positions reduces the load that position queries of a large fleet put on the stores. A front that serves a few
+// requests a second knows log positions that are too old for nearly every read that needs recent data, so it would query a
+// likely replica each time; with hundreds of fronts, the stores would answer more position queries than reads. Instead, one
+// front per group, the watcher of the group, is queried. It answers from what it knows where that is recent enough, and
+// otherwise queries the stores once for all fronts that wait. The package does no I/O, reads no clock and draws all random
+// numbers from its seed.
 //
-// Which front watches which group follows from rendezvous hashing (Thaler and Ravishankar) over the members that are there;
-// a watcher answers only while it holds the group's lease, so that of two that both think it theirs one asks the stores. No
-// proof hangs on that: what a watcher says is a hint. A read that goes to a store on a peer's word alone has to show in its
-// answer that it has seen enough (balance.Front.Send), so a watcher that lies costs a trip and is then not believed for a cold
-// time. One that is late, gone or cut off costs a part of the time that a read may wait, and then fronts ask for themselves.
+// The watcher of a group is chosen by rendezvous hashing (Thaler and Ravishankar) over the current members. A watcher answers
+// only while it holds the lease of the group, so if two fronts both consider themselves the watcher, only one queries the
+// stores. Correctness does not depend on this: what a watcher reports is a hint. A read that is sent to a store because of a
+// peer's report has to prove in its answer that it has seen enough (balance.Front.Send), so a watcher that reports too high a
+// position costs an attempt, after which positions from peers are ignored for the warm-up time of a store. A watcher that is
+// slow, gone or cut off costs a part of the time that a read may wait; after that, fronts query the stores themselves.
 package positions
 
 import (
@@ -24,131 +26,157 @@
 // Time is a moment or a span in whole tenths of a millisecond.
 type Time = int64
 
-// Bounds.
 const (
-	MaxPositions        = 16   // stores in one answer
-	maxPending          = 256  // questions of this front that are out
-	maxWaiting          = 1024 // askers that wait for this front's stores
-	maxBackoffDoublings = 6    // doublings of the pause in which a watcher that was silent is not asked
-	maxShareFactor      = 4    // times the mean of groups that one front watches at most,
-	maxWatched          = 200  // and in any case; a front's leases are 256
+	// MaxPositions is the maximum number of stores in one answer.
+	MaxPositions = 16
+	// maxPending is the maximum number of unanswered queries of this front to watchers.
+	maxPending = 256
+	// maxWaiting is the maximum number of queries from other fronts that wait for stores to answer this one.
+	maxWaiting = 1024
+	// maxBackoffDoublings bounds how often the time doubles for which a silent watcher is not queried.
+	maxBackoffDoublings = 6
+	// maxShareFactor bounds the groups that one front watches, as a multiple of the mean over all fronts.
+	maxShareFactor = 4
+	// maxWatched bounds the groups that one front watches in any case, because a front can hold at most 256 leases.
+	maxWatched = 200
 )
 
-// StorePosition is what a store has shown.
+// StorePosition is the log position that a store has reached.
 type StorePosition struct {
 	Store    string
 	Position Time
 }
 
-// Query asks for a group's positions. Need is the one that the asker would like to see.
+// Query asks the watcher of a group for the positions of its stores.
 type Query struct {
-	Seq, Group  uint64
-	MinPosition Time
-	Store       string // that has to show it; empty: any of the group
-	Addr        string // of the asker
+	Seq         uint64 // identifies the query; the answer repeats it
+	Group       uint64
+	MinPosition Time   // position that the sender needs
+	Store       string // the store that has to have reached it; empty: any replica of the group
+	Addr        string // address of the sender, for the answer
 }
 
-// Answer is what its watcher says; nothing seen: it does not watch that group.
+// Answer is the answer of a watcher to a Query. Without positions, its sender does not watch the group, took no more queries
+// or knows no position.
 type Answer struct {
-	Seq, Group uint64
-	Positions  []StorePosition
+	Seq       uint64 // that of the query
+	Group     uint64
+	Positions []StorePosition // at most MaxPositions
 }
 
-// Host is what a front does for this package.
+// Host carries out the actions of this package.
 type Host interface {
+	// SendQuery sends a query to the front at addr.
 	SendQuery(addr string, q Query)
+	// SendAnswer sends an answer to the front at addr.
 	SendAnswer(addr string, a Answer)
-	QueryPosition(store string)                   // asks a store itself; Learned or Failed follows
-	ReportPosition(store string, position Time)   // a peer says that it has shown so much
-	PositionResolved(store string, answered bool) // the question is settled; or not, and the store itself is to be asked
+	// QueryPosition queries a store directly. The host calls PositionObserved or QueryFailed with the result.
+	QueryPosition(store string)
+	// ReportPosition passes on the position of a store as another front reports it.
+	ReportPosition(store string, position Time)
+	// PositionResolved ends a call of RequestPosition that returned true. If answered is false, the watcher did not
+	// show the required position and the host has to query the store itself.
+	PositionResolved(store string, answered bool)
+	// AcquireLease starts to acquire a lease and to keep it.
 	AcquireLease(lease string)
+	// ReleaseLease gives a lease up.
 	ReleaseLease(lease string)
+	// HoldsLease reports whether this front holds a lease now.
 	HoldsLease(lease string) bool
 }
 
-// Config is the front itself.
+// Config is the configuration of the front itself.
 type Config struct {
-	Name, Addr    string
-	AnswerTimeout Time // for an answer, at most
-	Period        Time // of the membership protocol
-	StoreTimeout  Time // for a store's answer
-	Seed          uint64
+	Name          string
+	Addr          string // where other fronts reach it
+	AnswerTimeout Time   // maximum wait for the answer of a watcher
+	Period        Time   // of the membership protocol
+	StoreTimeout  Time   // maximum wait for the answer of a store
+	Seed          uint64 // of the random numbers
 }
 
-// group is what is known of one group.
+// group is the state of one group. A group without stores is a free place in Service.groups.
 type group struct {
 	id           uint64
 	stores       []store
-	watcherIndex int    // in members; -1: this front, or nobody
-	watcherName  string // the name of who it was
-	bestName     string // whose weight is the largest, as far as that was worked out; empty: this front
-	bestWeight   uint64 // of it
-	elected      bool
-	watchedHere  bool
-	leaseName    string
-	backoff      int
-	backoffUntil Time // until then its watcher is not asked
-	waiting      []Query
-	queriedAt    Time // the stores, 0: no question is out
+	watcherIndex int     // index of the watcher in members; -1: this front, or none is known
+	watcherName  string  // name of the last watcher other than this front; backoff and backoffUntil are its own
+	bestName     string  // member with the largest weight so far; empty: this front
+	bestWeight   uint64  // weight of that member
+	elected      bool    // bestName and bestWeight are set
+	watchedHere  bool    // this front is the watcher
+	leaseName    string  // lease that a watcher has to hold to answer
+	backoff      int     // number of times that the back-off has doubled
+	backoffUntil Time    // the watcher is not queried before
+	waiting      []Query // queries of other fronts that wait for stores
+	queriedAt    Time    // when stores were first queried for them; 0: no query is pending
 }
 
+// store is the state of one store.
 type store struct {
 	name     string
-	position Time
+	position Time // largest position that it has shown to this front; 0: unknown
 	primary  bool
-	pending  bool // it is being asked
+	pending  bool // a query to it is pending
 }
 
-// pendingQuery is a question of this front.
+// pendingQuery is a query of this front that its watcher has not answered yet.
 type pendingQuery struct {
 	seq         uint64
-	group       int
-	store       string
+	group       int    // index in groups
+	store       string // the store that RequestPosition named
 	minPosition Time
-	anyStore    bool
+	anyStore    bool // any store of the group may have reached minPosition
 	deadline    Time
 }
 
-// Service is one front's part.
+// Service is the part of one front, both as a client of watchers and as a watcher. It is not safe for concurrent use.
 type Service struct {
 	host           Host
 	config         Config
-	now            Time
+	now            Time // of the call in hand
 	rng            random.Source
-	members        []Peer
-	indexOf        map[string]int // in members, by name
-	joined         []string       // members that no group has been weighed against yet
-	groups         []group
-	groupByID      map[uint64]int
-	storeLocations map[string][2]int // group and place in it
-	freeGroups     []int             // places of groups that have no stores any more
+	members        []Peer            // the other fronts
+	indexOf        map[string]int    // index in members, by name
+	joined         []string          // members whose weights no group has taken into account yet
+	groups         []group           // including free places
+	groupByID      map[uint64]int    // index in groups
+	storeLocations map[string][2]int // index of the group in groups and of the store in it, by name
+	freeGroups     []int             // indexes in groups that are free for reuse
 	pending        []pendingQuery
-	waitingTotal   int
-	seq            uint64
-	tickAt         Time
-	stale          bool // members or stores have changed
-	weightCount    uint64
-
-	QueriesSent, AnswersReceived, StoreQueries, Rejected uint64 // for those who look
+	waitingTotal   int    // length of waiting over all groups
+	seq            uint64 // of the last query sent
+	tickAt         Time   // when Tick is due
+	stale          bool   // members or groups have changed since watchers were assigned
+	weightCount    uint64 // number of weights computed, for tests
+
+	// QueriesSent counts the queries sent to watchers.
+	QueriesSent uint64
+	// AnswersReceived counts the answers of watchers that contained positions.
+	AnswersReceived uint64
+	// StoreQueries counts the queries to stores on behalf of other fronts.
+	StoreQueries uint64
+	// Rejected counts answers to no pending query, and queries that this front could not take.
+	Rejected uint64
 }
 
-// New starts without members and stores.
+// New returns a Service without members and stores.
 func New(now Time, config Config, host Host) *Service {
 	s := &Service{host: host, config: config, now: now, rng: random.New(config.Seed), groupByID: map[uint64]int{}, storeLocations: map[string][2]int{}, indexOf: map[string]int{}, tickAt: now}
-	s.seq = uint64(s.rng.Uint32())<<32 | uint64(s.rng.Uint32()) // an answer that nobody asked for has to guess it
+	s.seq = uint64(s.rng.Uint32())<<32 | uint64(s.rng.Uint32()) // random, so that a forged answer has to guess it
 	return s
 }
 
-// Configure takes over how long a watcher's answer and a store's are waited for. Questions that are out keep their time.
+// Configure changes the timeouts for answers of watchers and of stores. Pending queries to watchers keep their deadline.
 func (s *Service) Configure(answerTimeout, storeTimeout Time) {
 	s.config.AnswerTimeout, s.config.StoreTimeout = answerTimeout, storeTimeout
-	s.tickAt = min(s.tickAt, s.now) // it may be due sooner
+	s.tickAt = min(s.tickAt, s.now) // with shorter timeouts, a deadline may pass sooner
 }
 
-// Peer is another front that is there.
+// Peer is another front of the fleet.
 type Peer struct{ Name, Addr string }
 
-// UpdateMembers takes in who is there, this front or not.
+// UpdateMembers replaces the list of members. The list may include this front.
 func (s *Service) UpdateMembers(all []Peer) {
 	s.members = s.members[:0]
 	previous := s.indexOf
@@ -169,7 +197,8 @@
 	s.stale = true
 }
 
-// UpdateStore takes in a store of a group, or that it is none any more.
+// UpdateStore adds a store to the group id, moves it there from another group or updates its role. If present is false,
+// it removes the store; id and primary are then ignored.
 func (s *Service) UpdateStore(name string, id uint64, primary, present bool) {
 	location, known := s.storeLocations[name]
 	if known && (!present || s.groups[location[0]].id != id) {
@@ -208,8 +237,8 @@
 	g.stores = append(g.stores, store{name: name, primary: primary})
 }
 
-// removeGroup gives a group's place back, and its lease.
-// Danger: where groups come and go for good, their leases would be held for ever.
+// removeGroup frees the place of a group and releases its lease. Without this, the leases of groups that were removed for
+// good would be held forever.
 func (s *Service) removeGroup(gi int) {
 	g := &s.groups[gi]
 	if s.finishSurvey(g); g.watchedHere {
@@ -221,17 +250,17 @@
 	s.stale = true
 }
 
-// weight returns the weight of a member for a group.
+// weight returns the rendezvous weight of a member for a group.
 func (s *Service) weight(g *group, name string) uint64 {
 	s.weightCount++
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), g.id))
 }
 
-// elect finds the member with the largest weight for a group: among all if the one before has gone, else among it and those
-// that have come since.
+// elect finds the member with the largest weight for a group: among all members if the previous one has left, otherwise
+// among the previous one and those that have joined since.
 //
-// Danger: at 800 members and 266 groups a whole assignment weighs 212,800 pairs, and members change by the hundred where a
-// zone is lost.
+// It is incremental because a full assignment computes 212,800 weights at 800 members and 266 groups, and members change by
+// the hundred when a zone is lost.
 func (s *Service) elect(g *group) {
 	_, present := s.indexOf[g.bestName]
 	if g.elected && (present || g.bestName == "") {
@@ -248,14 +277,15 @@
 	}
 }
 
-// considerMember has a member take a group from the one before it, if it weighs more.
+// considerMember makes a member the best one of a group if its weight is larger than that of the best one so far.
 func (s *Service) considerMember(g *group, name string) {
 	if weight := s.weight(g, name); weight > g.bestWeight {
 		g.bestName, g.bestWeight = name, weight
 	}
 }
 
-// assignWatchers finds each group's watcher.
+// assignWatchers determines the watcher of each group, and acquires or releases the leases of this front accordingly.
+// It leaves groups beyond this front's share without a watcher.
 func (s *Service) assignWatchers() {
 	s.stale = false
 	watched, share := 0, min(maxShareFactor*len(s.groupByID)/(len(s.members)+1)+1, maxWatched)
@@ -286,8 +316,10 @@
 	s.joined = s.joined[:0]
 }
 
-// RequestPosition is told that this front would ask a store for its position, since a read of its group has to see need (any), or to
-// hear that it is there and has come so far. It tells whether the group's watcher is asked instead; Proxied follows then.
+// RequestPosition is called when this front is about to query the named store for its position. With anyStore, a read needs
+// some store of the group to have reached minPosition; otherwise the query is to find out whether this store is up and has
+// reached it. RequestPosition reports whether the watcher of the group is queried instead; if so, it ends with a call of
+// Host.PositionResolved.
 func (s *Service) RequestPosition(now Time, name string, minPosition Time, anyStore bool) bool {
 	s.now = now
 	location, ok := s.storeLocations[name]
@@ -310,7 +342,8 @@
 	return true
 }
 
-// HandleAnswer takes a watcher's answer in.
+// HandleAnswer processes an answer of a watcher. An answer to no pending query is rejected; positions of stores outside the
+// group of the query are ignored.
 func (s *Service) HandleAnswer(now Time, a Answer) {
 	s.now = now
 	k := slices.IndexFunc(s.pending, func(query pendingQuery) bool { return query.seq == a.Seq })
@@ -338,13 +371,14 @@
 	s.host.PositionResolved(query.store, resolved)
 }
 
-// backOff has a watcher that did not answer left alone, longer each time.
+// backOff stops queries to a watcher that did not answer, for a time that doubles with each failure.
 func (s *Service) backOff(g *group) {
 	g.backoffUntil = s.now + s.config.Period<<g.backoff
 	g.backoff = min(g.backoff+1, maxBackoffDoublings)
 }
 
-// HandleQuery takes another front's question in.
+// HandleQuery processes a query of another front. It answers at once if it can, and without positions if this front does not
+// watch the group, does not hold its lease or has too many queries waiting. Otherwise the query waits for stores.
 func (s *Service) HandleQuery(now Time, q Query) {
 	s.now = now
 	gi, ok := s.groupByID[q.Group]
@@ -365,7 +399,7 @@
 	}
 }
 
-// satisfies tells whether what a question needs is known.
+// satisfies reports whether the known positions show what a query needs.
 func (g *group) satisfies(q *Query) bool {
 	for k := range g.stores {
 		if st := &g.stores[k]; st.position >= q.MinPosition && (st.name == q.Store || q.Store == "" && !st.primary) {
@@ -375,6 +409,7 @@
 	return false
 }
 
+// sendAnswer answers a query with all known positions of the group, at most MaxPositions.
 func (s *Service) sendAnswer(g *group, q Query) {
 	a := Answer{Seq: q.Seq, Group: q.Group}
 	for k := range g.stores {
@@ -385,7 +420,7 @@
 	s.host.SendAnswer(q.Addr, a)
 }
 
-// queryStores asks a group's replicas themselves, or the one store that a question is about.
+// queryStores queries the replicas of a group, or the one store that a query names, unless a query to it is pending.
 func (s *Service) queryStores(g *group, q *Query) {
 	if g.queriedAt == 0 {
 		g.queriedAt = s.now
@@ -404,7 +439,7 @@
 	}
 }
 
-// PositionObserved takes in a position that a store has shown to this front, in whatever way.
+// PositionObserved records a position that a store has shown to this front, whether in answer to a query or otherwise.
 func (s *Service) PositionObserved(now Time, name string, position Time) {
 	s.now = now
 	if location, ok := s.storeLocations[name]; ok {
@@ -415,7 +450,7 @@
 	}
 }
 
-// QueryFailed takes in that a survey came to nothing.
+// QueryFailed records that a query to a store failed.
 func (s *Service) QueryFailed(now Time, name string) {
 	s.now = now
 	if location, ok := s.storeLocations[name]; ok {
@@ -425,7 +460,8 @@
 	}
 }
 
-// answerSatisfied answers those whose need is known now, and the others once no store is left to answer.
+// answerSatisfied answers the waiting queries whose required position is known now, and all others once no query to a store
+// of the group is pending.
 func (s *Service) answerSatisfied(g *group) {
 	if len(g.waiting) == 0 && g.queriedAt == 0 {
 		return
@@ -445,7 +481,7 @@
 	}
 }
 
-// finishSurvey ends a survey: who still waits is told what there is.
+// finishSurvey answers all waiting queries of a group with what is known.
 func (s *Service) finishSurvey(g *group) {
 	g.queriedAt = 0
 	for _, q := range g.waiting {
@@ -455,10 +491,10 @@
 	g.waiting = g.waiting[:0]
 }
 
-// NextTick is when Beat must be called again.
+// NextTick returns the time at which Tick must be called next.
 func (s *Service) NextTick() Time { return s.tickAt }
 
-// Tick ends what took too long.
+// Tick assigns watchers if members or groups have changed, and ends queries whose deadline has passed.
 func (s *Service) Tick(now Time) {
 	s.now = now
 	if s.stale {
@@ -474,7 +510,7 @@
 			s.tickAt = min(s.tickAt, query.deadline)
 			continue
 		}
-		// Danger: a watcher that is gone would cost every read a part of its time.
+		// Without the back-off, a watcher that is gone would cost every read a part of the time that it may wait.
 		s.pending = slices.Delete(s.pending, k, k+1)
 		k--
 		s.backOff(&s.groups[query.group])
--- a/internal/fleetadapter/fleetadapter.go
+++ b/internal/fleetadapter/fleetadapter.go
@@ -1,4 +1,5 @@
-// Package bridge carries what a front's core knows to its fleet, in the words of each. It decides nothing.
+// Package fleetadapter passes what the core of a front knows to the packages of its fleet, and converts between their types.
+// It makes no decisions.
 package fleetadapter
 
 import (
@@ -13,16 +14,16 @@
 	"micatrack/internal/front"
 )
 
-// Adapter is that of one front.
+// Adapter is the adapter of one front. It is not safe for concurrent use.
 type Adapter struct {
 	Zones       *zones.Zones
-	Positions   *positions.Service // nil: off
-	zoneStores  []zones.Store      // scratch
-	knownStores []string
-	members     []positions.Peer
+	Positions   *positions.Service // nil: fronts do not query watchers
+	zoneStores  []zones.Store      // scratch space
+	knownStores []string           // stores that Positions has
+	members     []positions.Peer   // scratch space
 }
 
-// UpdateStores hands a list of stores on.
+// UpdateStores passes on a list of stores, unless it could not be read.
 func (a *Adapter) UpdateStores(now front.Time, l front.StoreList) {
 	if l.Kind == balance.ListFailed {
 		return
@@ -38,7 +39,8 @@
 	}
 }
 
-// updatePositions hands the stores on that speak PostgreSQL's protocol.
+// updatePositions passes the stores that speak the PostgreSQL protocol on to Positions. Unless the list only contains changes, it is
+// complete, and stores that it lacks are removed.
 func (a *Adapter) updatePositions(l front.StoreList) {
 	listed := map[string]bool{}
 	for i := range l.Entries {
@@ -60,7 +62,7 @@
 	a.knownStores = remaining
 }
 
-// UpdateMembers tells the watch who is there, where that has changed.
+// UpdateMembers passes the members that are alive or suspect on to Positions if the members have changed.
 func (a *Adapter) UpdateMembers(f *fleet.Fleet) {
 	if a.Positions == nil || !f.MembersChanged {
 		return
@@ -75,7 +77,7 @@
 	a.Positions.UpdateMembers(a.members)
 }
 
-// RecordOutcome hands on how an attempt or a probe came back, as front.Limits tells it.
+// RecordOutcome passes on the ending of an attempt or a probe. Its parameters are those of the callback in front.Limits.
 func (a *Adapter) RecordOutcome(now front.Time, store string, ending balance.Ending, expected, elapsed front.Time) {
 	outcome := zones.Answered
 	switch ending {
@@ -89,7 +91,7 @@
 		outcome = zones.TimedOut
 	case balance.ConnectionLost, balance.Aborted:
 		outcome = zones.ConnectionLost
-	default: // never sent, or called back: that says nothing of the way there
+	default: // never sent, or cancelled: says nothing about the path to the store
 		return
 	}
 	a.Zones.RecordOutcome(now, store, outcome, elapsed, expected)
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators reads the operators' own file: which subsystems are on, and their bounds. It is checked
-// against the JSON Schema in deploy before anything is taken from it.
+// Package operators reads the operators' file, which turns subsystems on and sets their bounds. The file is validated
+// against the JSON Schema in deploy before any value of it is used.
 package operators
 
 import (
@@ -18,66 +18,71 @@
 	"micatrack/deploy"
 )
 
-// Options is what the operators have switched on. The zero value has everything off.
+// Options is the content of the operators' file. In the zero value everything is off.
 type Options struct {
-	Door  Admission
+	Door  Admission `json:"door"`
 	Bolt  Bolt
 	Fleet Fleet
 }
 
-// Fleet is the talk with other fronts.
+// Fleet configures the communication with other fronts.
 type Fleet struct {
-	On                               bool
-	Name, Listen, Advertise, Control string
-	Seeds                            []string
-	PeriodMS                         int64 `json:"period_ms"`
-	JoinMS                           int64 `json:"join_ms"` // for which a start waits to hear of plans, at most
-	Members                          int   // known at once, at most
-	Lease                            Lease
-	Config                           Config
+	On        bool
+	Name      string // messages of fleets of another name are dropped
+	Listen    string
+	Advertise string
+	Control   string // address for the fleet commands; empty: they cannot reach this front
+	Seeds     []string
+	PeriodMS  int64 `json:"period_ms"`
+	JoinMS    int64 `json:"join_ms"` // maximum time for which a starting front waits for the fleet's plans
+	Members   int   // maximum number of fronts known at once
+	Lease     Lease
+	Config    Config
 }
 
-// Config is the fleet's configuration, kept by the voters of its leases and carried to every front.
+// Config configures the common configuration of the fleet, which the voters of its leases store and all fronts receive.
 type Config struct {
 	On    bool
-	State string // file of the version in force on this front; none: it has no disk
+	State string // file of the version in force on this front; empty: no version is stored
 }
 
-// Lease is what one front does for the whole fleet, and who grants it. Off without voters.
+// Lease configures the leases of the fleet: tasks that one front does for all fronts, and the voters that grant them. Without
+// voters there are none.
 type Lease struct {
 	Voters    []Voter
-	State     string // this front's vote on disk
-	SpanMS    int64  `json:"span_ms"`
-	Drift     float64
-	MarginMS  int64 `json:"margin_ms"`
-	SummaryMS int64 `json:"summary_ms"`
-	Collector string
-	Watch     bool // positions are asked of watchers
+	State     string  // file of this front's vote
+	SpanMS    int64   `json:"span_ms"` // duration of a lease from its last renewal
+	Drift     float64 // maximum relative drift between two clocks
+	MarginMS  int64   `json:"margin_ms"`  // between the end of a lease and the next grant, in addition to the drift
+	SummaryMS int64   `json:"summary_ms"` // interval of summaries of the fleet; 0: none
+	Collector string  // URL to which summaries are posted; empty: they are only logged
+	Watch     bool    // fronts query watchers for the positions of stores
 }
 
 // Voter is a front that grants leases.
 type Voter struct{ Name, Addr string }
 
-// Bolt is the listener for clients that speak Bolt.
+// Bolt configures the listener for clients that speak Bolt.
 type Bolt struct {
-	On                bool
-	Listen, Advertise string
-	DrainMS           int64 `json:"drain_ms"` // for which an open transaction may go on at a store that drains
+	On        bool
+	Listen    string
+	Advertise string // address given in the routing table
+	DrainMS   int64  `json:"drain_ms"` // how long an open transaction may continue on a draining store
 }
 
-// Admission bounds the fair queues at the point of entry.
+// Admission bounds the fair queues of admission control.
 type Admission struct {
 	On        bool
-	Jobs      int     // that wait at once, at most
-	Kilobytes int     // of their statements, at most
-	Customers int     // with a place of their own, beside those that the settings name
-	Places    int     // hashed, shared by all others
-	Strangers float64 // weight of all others, as a part of what those with a place weigh together
-	Further   float64 // further tries admitted for each first try
+	Jobs      int     `json:"jobs"` // maximum number of queued requests
+	Kilobytes int     // maximum size of their statements, in KiB
+	Customers int     `json:"customers"` // number of tenants with their own queue, beside those named in the settings
+	Places    int     `json:"places"`    // number of hashed queues that all other tenants share
+	Strangers float64 `json:"strangers"` // total weight of all other tenants, as a part of that of tenants with their own queue
+	Further   float64 `json:"further"`   // retries admitted for each first attempt
 }
 
-// Read reads the file at path; without a path everything is off. An error names the file, the path of the key
-// and what was expected there.
+// Read reads the file at path. If path is empty, everything is off. An error contains the name of the file, the path of the
+// key and what was expected there.
 func Read(path string) (Options, error) {
 	if path == "" {
 		return Options{}, nil
@@ -93,11 +98,11 @@
 	return options, nil
 }
 
-// Parse reads the file's text.
+// Parse validates and decodes the text of an operators' file.
 func Parse(text []byte) (Options, error) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return Options{}, fmt.Errorf("/: no JSON: %w", err)
+		return Options{}, fmt.Errorf("/: invalid JSON: %w", err)
 	}
 	schema, defaults, err := compileSchema()
 	if err != nil {
@@ -113,7 +118,7 @@
 	return options, nil
 }
 
-// compileSchema gives the schema and the values that it names as defaults, which stand nowhere else.
+// compileSchema returns the schema and its default values, which are not defined anywhere else.
 func compileSchema() (*jsonschema.Schema, Options, error) {
 	var options Options
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
@@ -147,7 +152,8 @@
 	return schema, options, json.Unmarshal(text, &options)
 }
 
-// describeErrors gives one line for the faults of a file: where each is and what was expected.
+// describeErrors returns an error whose text lists all validation errors in one line: the path of each and what was
+// expected.
 func describeErrors(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// TestShippedFileIsOff checks that admission control is off in the shipped file, with its bounds set, and without a file.
 func TestShippedFileIsOff(t *testing.T) {
 	o, err := Read("../../deploy/operators.json")
 	if err != nil || o.Door.On || o.Door.Jobs == 0 || o.Door.Strangers == 0 {
@@ -17,6 +18,8 @@
 	}
 }
 
+// TestErrorsNameKeyAndExpectation checks that errors of Read contain the file, the key and what was expected, and that Parse
+// fills in defaults.
 func TestErrorsNameKeyAndExpectation(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"door":{"on":true,"jobs":1}}`:       "/door/jobs: minimum: got 1, want 16",
@@ -26,7 +29,7 @@
 		`{"door":{}}`:                         "/door: missing property 'on'",
 		`{"door":{"on":true,"strangers":0}}`:  "/door/strangers: exclusiveMinimum",
 		`[]`:                                  "/: got array, want object",
-		`{"door":`:                            "/: no JSON",
+		`{"door":`:                            "/: invalid JSON",
 		`{"door":{"on":true,"jobs":1,"x":2}}`: "; ",
 	} {
 		path := filepath.Join(t.TempDir(), "o.json")
