--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -8,20 +8,24 @@
 	"micatrack/fleet/membership"
 )
 
-// The messages are those of peers.proto. They are written and read field by field with the library's own wire
-// functions: generated code would allocate for each fact of each message, and takes in what this must bound.
+// The messages are defined in peers.proto. They are encoded and decoded field by field with the wire functions of the
+// protobuf library, because generated code would allocate for each fact of each message and would accept repeated fields
+// of any number, which have to be bounded here.
 
+// protocolVersion is the version that every message contains.
 const protocolVersion = 1
 
-// digestField is the number of a Whole's digest; 11 to 13 are of leases, the watch and the configuration.
+// fieldDigest is the field of the digest in a full exchange. Fields 11 to 13 belong to leases, positions and the
+// configuration.
 const fieldDigest = 14
 
 var (
-	errMalformed    = errors.New("a message of an unknown shape")
-	errOtherFleet   = errors.New("a message of another fleet")
-	errOtherVersion = errors.New("a message of another version")
+	errMalformed    = errors.New("malformed message")
+	errOtherFleet   = errors.New("message of another fleet")
+	errOtherVersion = errors.New("message of another protocol version")
 )
 
+// appendBytes writes a bytes or string field, unless it is empty.
 func appendBytes(dst []byte, field protowire.Number, b []byte) []byte {
 	if len(b) == 0 {
 		return dst
@@ -29,6 +33,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(dst, field, protowire.BytesType), b)
 }
 
+// appendUint writes a varint field, unless it is 0.
 func appendUint(dst []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return dst
@@ -36,16 +41,17 @@
 	return protowire.AppendVarint(protowire.AppendTag(dst, field, protowire.VarintType), v)
 }
 
-// appendEmbedded writes an embedded message, whose length stands before it.
+// appendEmbedded writes an embedded message. Its length takes two bytes, so the message can have at most 16,383 bytes.
 func appendEmbedded(dst []byte, field protowire.Number, write func(dst []byte) []byte) []byte {
 	dst = protowire.AppendTag(dst, field, protowire.BytesType)
 	at := len(dst)
-	dst = write(append(dst, 0, 0)) // two bytes of length hold 16,383
+	dst = write(append(dst, 0, 0)) // reserves the length
 	n := len(dst) - at - 2
 	dst[at], dst[at+1] = byte(n)|0x80, byte(n>>7)
 	return dst
 }
 
+// appendFact writes a fact as an embedded message.
 func appendFact(dst []byte, field protowire.Number, f *membership.Fact) []byte {
 	return appendEmbedded(dst, field, func(dst []byte) []byte {
 		dst = appendBytes(appendBytes(appendBytes(dst, 1, f.Name), 2, f.Zone), 3, f.Addr)
@@ -53,7 +59,7 @@
 	})
 }
 
-// AppendMessage writes a message of a fleet.
+// AppendMessage appends the encoding of a membership message of a fleet to dst.
 func AppendMessage(dst []byte, fleet string, m *membership.Message) []byte {
 	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
@@ -73,8 +79,8 @@
 	return appendBytes(dst, fieldDigest, m.Digest)
 }
 
-// forEachField calls take for each field of a message, in its order; a field that take does not know is passed over, and
-// so kept out.
+// forEachField calls handle for each field of a message, in order: with its number, and with its value as a varint or as
+// bytes. Fields that handle does not know are thereby dropped. An error of handle ends the iteration.
 func forEachField(b []byte, handle func(n protowire.Number, number uint64, data []byte) error) error {
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
@@ -103,6 +109,7 @@
 	return nil
 }
 
+// readFact decodes a fact, whose bytes refer to b.
 func readFact(b []byte) (f membership.Fact, err error) {
 	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
@@ -127,27 +134,28 @@
 	return f, err
 }
 
-func readNote(b []byte) (o membership.Note, err error) {
+// readNote decodes a note, whose bytes refer to b.
+func readNote(b []byte) (note membership.Note, err error) {
 	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
 		switch n {
 		case 1:
-			o.Key = data
+			note.Key = data
 		case 2:
-			o.Version = number
+			note.Version = number
 		case 3:
-			if o.Age = membership.Time(number); number > 1<<40 {
+			if note.Age = membership.Time(number); number > 1<<40 {
 				return errMalformed
 			}
 		case 4:
-			o.Body = data
+			note.Body = data
 		}
 		return nil
 	})
-	return o, err
+	return note, err
 }
 
-// ReadMessage takes a message apart into m, whose slices it uses again; what is in them stands in b. On an error m is worth
-// nothing.
+// ReadMessage decodes a membership message of the fleet into m, whose slices it reuses. The bytes in m refer to b. After an
+// error, the content of m is undefined.
 func ReadMessage(b []byte, fleet string, m *membership.Message) error {
 	*m = membership.Message{Facts: m.Facts[:0], Notes: m.Notes[:0]}
 	messageVersion, fleetMatches := uint64(0), false
@@ -185,9 +193,9 @@
 			if len(m.Notes) >= membership.MaxNotes {
 				return errMalformed
 			}
-			var o membership.Note
-			o, err = readNote(data)
-			m.Notes = append(m.Notes, o)
+			var note membership.Note
+			note, err = readNote(data)
+			m.Notes = append(m.Notes, note)
 		case fieldDigest:
 			if len(data) != membership.DigestBytes {
 				return errMalformed
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -10,33 +10,40 @@
 	"micatrack/fleet/config"
 )
 
-// Messages of the configuration (fleet/config). Fronts and control machines share a port, so each message
-// tells for which part of a machine it is, and from which part of which machine.
+// This file handles messages of the configuration (fleet/config) and requests to control machines. The front and the
+// control part of a machine share a port, so each message contains the part that it is for, and the machine and part that
+// sent it.
 
 const (
+	// kindConfig and kindRequest are kinds of messages, in the field of the membership kind.
 	kindConfig  = 10
 	kindRequest = 11
 
+	// fieldConfig and fieldRequest are the fields of their bodies.
 	fieldConfig  = 13
 	fieldRequest = 14
 
-	maxRequestBytes = 1 << 20 // bytes of a request to a control machine, and of its answer
+	// maxRequestBytes bounds a request to a control machine, and its answer.
+	maxRequestBytes = 1 << 20
 )
 
 // ConfigMessage is one message of the configuration.
 type ConfigMessage struct {
-	ToControl   bool   // for the control machine's part of its receiver
-	FromControl bool   // from the control machine's part of its sender
-	Addr        string // at which its sender is reached
-	Body        []byte // as fleet/config writes it
+	ToControl   bool   // it is for the control part of the receiving machine, not for its front
+	FromControl bool   // it comes from the control part of the sending machine, not from its front
+	Addr        string // address of the sender
+	Body        []byte // as encoded by fleet/config; 1 to config.MaxMessage bytes
 }
 
 // Errors of Request.
 var (
-	ErrUnreachable = errors.New("it cannot be reached")
-	ErrNoAnswer    = errors.New("it did not answer")
+	// ErrUnreachable means that the request was not sent.
+	ErrUnreachable = errors.New("control machine unreachable")
+	// ErrNoAnswer means that the request may have been received, but no valid answer arrived.
+	ErrNoAnswer = errors.New("no valid answer from the control machine")
 )
 
+// boolToUint returns 1 for true and 0 for false.
 func boolToUint(set bool) uint64 {
 	if set {
 		return 1
@@ -44,7 +51,7 @@
 	return 0
 }
 
-// AppendConfig writes a message of the configuration, whole.
+// AppendConfig appends the complete encoding of a configuration message to dst.
 func AppendConfig(dst []byte, fleet string, m *ConfigMessage) []byte {
 	dst = appendHeader(dst, fleet, kindConfig)
 	return appendEmbedded(dst, fieldConfig, func(dst []byte) []byte {
@@ -53,8 +60,8 @@
 	})
 }
 
-// ReadConfig takes a message of the configuration apart; its body stands in b.
-// Danger: what is sent on a peer's word must not go to addresses elsewhere.
+// ReadConfig decodes a configuration message, whose body refers to b. It rejects addresses that are neither loopback nor
+// private, because replies are sent there: a message of a peer must not direct traffic to other addresses.
 func ReadConfig(b []byte, fleet string) (m ConfigMessage, err error) {
 	body, ok := messageBody(b, fleet, kindConfig, fieldConfig)
 	if !ok {
@@ -86,16 +93,16 @@
 	return m, nil
 }
 
-// appendHeader writes the fields that every message begins with.
+// appendHeader writes the fields that begin every message: the version, the fleet and the kind.
 func appendHeader(dst []byte, fleet string, kind uint64) []byte {
 	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
 	return appendUint(dst, 3, kind)
 }
 
-// OnConfig has messages of the configuration handed on from now on: those for the front to the loop, by Take;
-// those for a control machine to several goroutines, which must not block and keep nothing. nil: they are
-// dropped.
+// OnConfig sets the functions that handle configuration messages. Receive calls front with those for the front. Several
+// goroutines may call control at once with those for the control machine; it must not block, and must not keep the body. If a
+// function is nil, its messages are dropped.
 func (p *Transport) OnConfig(front, control func(m ConfigMessage)) {
 	p.onConfig = front
 	if control != nil {
@@ -104,15 +111,14 @@
 	p.configEnabled.Store(true)
 }
 
-// OnRequest has requests to this control machine handed to answer, by several goroutines. It has
-// answerWithin.
+// OnRequest sets the function that answers requests to this control machine. Several goroutines may call it at once, and it
+// has to return within HandlerTimeout.
 func (p *Transport) OnRequest(handle func(body []byte) []byte) { p.onRequest.Store(&handle) }
 
-// AnswerWithin is for how long a request may be worked on.
+// HandlerTimeout is the maximum time that the function given to OnRequest may take.
 const HandlerTimeout = ioTimeout - 500*time.Millisecond
 
-// SendConfig sends a message of the configuration: a datagram, or a connection where the names of its frame make
-// it longer.
+// SendConfig sends a configuration message: as a datagram, or over TCP if the names around its body make it longer than one.
 func (p *Transport) SendConfig(addr string, m *ConfigMessage) {
 	b := AppendConfig(p.getBuffer(), p.fleet, m)
 	if len(b) <= maxDatagram {
@@ -123,7 +129,7 @@
 	p.sendStream(addr, AppendConfig(make([]byte, 4), p.fleet, m))
 }
 
-// handleControl hands on what is for this control machine, and tells whether a message was.
+// handleControl passes on a configuration message for this control machine, and reports whether b was one.
 func (p *Transport) handleControl(b []byte) bool {
 	if !p.configEnabled.Load() {
 		return false
@@ -139,7 +145,7 @@
 	return true
 }
 
-// handleFront hands on what is for this front, and tells whether a message was.
+// handleFront passes on a configuration message for this front, and reports whether b was one.
 func (p *Transport) handleFront(b []byte) bool {
 	if p.onConfig == nil {
 		return false
@@ -153,7 +159,8 @@
 	return true
 }
 
-// handleRequest works on a request, and gives the frame of the answer; not ok: it is none.
+// handleRequest answers a request and returns the frame of the answer. ok reports whether data was a request; the answer to
+// one that is too long is nil.
 func (p *Transport) handleRequest(data []byte) (reply []byte, ok bool) {
 	handler := p.onRequest.Load()
 	if handler == nil {
@@ -171,8 +178,8 @@
 	return appendBytes(appendHeader(make([]byte, 4), p.fleet, kindRequest), fieldRequest, (*handler)(body)), true
 }
 
-// Request asks a control machine and waits for its answer; it is not the loop's to call. ErrUnreachable:
-// nothing was sent.
+// Request sends a request to the control machine at addr and waits for its answer, so the main loop must not call it. The
+// error is ErrUnreachable if nothing was sent, and ErrNoAnswer if it was sent but no valid answer arrived.
 func (p *Transport) Request(addr string, body []byte) ([]byte, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil || !isLocal(addrPort.Addr()) {
--- a/internal/peers/config_test.go
+++ b/internal/peers/config_test.go
@@ -10,7 +10,8 @@
 	"micatrack/fleet/config"
 )
 
-// TestConfigMessages: what is written is read, whatever else comes is refused or within bounds.
+// TestConfigMessageRoundTrip checks that an encoded configuration message is decoded unchanged, and that invalid or corrupted
+// ones are rejected or stay within bounds.
 func TestConfigMessageRoundTrip(t *testing.T) {
 	m := ConfigMessage{ToControl: true, Addr: "127.0.0.1:7400", Body: bytes.Repeat([]byte{7}, config.MaxMessage)}
 	data := AppendConfig(nil, "f", &m)
@@ -19,22 +20,22 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if len(data) > maxDatagram {
-		t.Errorf("%d bytes are no datagram", len(data))
+		t.Errorf("the message does not fit into a datagram: %d bytes", len(data))
 	}
 	for name, bad := range map[string]ConfigMessage{
 		"no address":       {Body: []byte{1}},
-		"elsewhere":        {Addr: "8.8.8.8:53", Body: []byte{1}},
+		"a public address": {Addr: "8.8.8.8:53", Body: []byte{1}},
 		"a long address":   {Addr: "127.0.0.1:" + strings.Repeat("0", 80) + "1", Body: []byte{1}},
-		"nothing in it":    {Addr: "127.0.0.1:1"},
-		"too much in it":   {Addr: "127.0.0.1:1", Body: make([]byte, config.MaxMessage+1)},
-		"an address of no": {Addr: "localhost:1", Body: []byte{1}},
+		"an empty body":    {Addr: "127.0.0.1:1"},
+		"a long body":      {Addr: "127.0.0.1:1", Body: make([]byte, config.MaxMessage+1)},
+		"a host name":      {Addr: "localhost:1", Body: []byte{1}},
 	} {
 		if _, err := ReadConfig(AppendConfig(nil, "f", &bad), "f"); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("a message with %s is accepted", name)
 		}
 	}
 	if _, err := ReadConfig(data, "g"); err == nil {
-		t.Error("another fleet's is taken")
+		t.Error("a message of another fleet is accepted")
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
@@ -43,13 +44,14 @@
 			b[rng.IntN(min(len(b), 60))] = byte(rng.Uint32())
 		}
 		if m, err := ReadConfig(b, "f"); err == nil && (len(m.Body) > config.MaxMessage || len(m.Addr) > maxTextBytes) {
-			t.Fatalf("out of bounds: %d bytes, %q", len(m.Body), m.Addr)
+			t.Fatalf("a corrupted message exceeds the bounds: %d bytes, %q", len(m.Body), m.Addr)
 		}
 	}
 }
 
-// TestConfigBetweenTwo: messages reach the part that they are for, also where a long name of the fleet takes
-// them off datagrams; requests are answered; without the configuration switched on nothing of it is taken.
+// TestConfigDelivery checks that configuration messages reach the part of the machine that they are for, also over TCP when a
+// long name of the fleet makes them longer than a datagram, that requests are answered, and that a front without OnConfig and
+// OnRequest handles none of them.
 func TestConfigDelivery(t *testing.T) {
 	fleet := strings.Repeat("n", 64)
 	open := func() *Transport {
@@ -84,18 +86,18 @@
 				}
 			}
 			if got.Addr != a.Addr() || !bytes.Equal(got.Body, body) {
-				t.Errorf("to control %v, %d bytes: %+.60v", toControl, len(body), got)
+				t.Errorf("message to control %v with a body of %d bytes: got %+.60v", toControl, len(body), got)
 			}
 		}
 	}
 	reply, err := a.Request(b.Addr(), long)
 	if err != nil || !bytes.Equal(reply, append([]byte("answer to "), long...)) {
-		t.Errorf("%.40q, %v", reply, err)
+		t.Errorf("answer %.40q, %v", reply, err)
 	}
 	if _, err := a.Request(off.Addr(), []byte("?")); err != ErrNoAnswer {
-		t.Errorf("where nothing answers: %v", err)
+		t.Errorf("request to a front that does not answer: %v", err)
 	}
 	if _, err := a.Request("8.8.8.8:53", []byte("?")); err != ErrUnreachable {
-		t.Errorf("elsewhere: %v", err)
+		t.Errorf("request to a public address: %v", err)
 	}
 }
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -6,37 +6,41 @@
 	"micatrack/fleet/lease"
 )
 
+// kindLease is the kind of lease messages.
 const kindLease = 8
 
-// LeaseMessage is one message of leases: one of Log, Ask and Reply is there. Texts are those of the message that it was read from.
+// LeaseMessage is one message of the lease protocol. Exactly one of Log, Request and Reply is set. Log refers to the bytes
+// that the message was read from.
 type LeaseMessage struct {
-	From, To          uint64 // numbers of voters; 0: none
-	Log               []byte
+	From              uint64 // number of the voter that sends it; 0: no voter
+	To                uint64 // number of the voter that it is for; 0: no voter
+	Log               []byte // an encoded raftpb.Message
 	Request           *lease.Request
 	Reply             *lease.Reply
-	Addr              string            // of the asker that a reply is for
-	InitialVotersHash uint64            // of Log: stands for the voters that its sender began from
-	Voters            []lease.VoterInfo // beside Reply: who votes, where that has changed since the fleet's first start
+	Addr              string            // of a Reply: address of the front that sent the request
+	InitialVotersHash uint64            // of a Log: identifies the voters that its sender started with
+	Voters            []lease.VoterInfo // of a Reply: the voters, if they have changed since the first start of the fleet
 }
 
 const (
 	maxVoters    = 16
-	maxTextBytes = 64 // bytes of a name or an address
+	maxTextBytes = 64 // of a name or an address
 )
 
-// appendLeaseFrame writes the frame round a body.
+// appendLeaseFrame writes a complete lease message around a body.
 func appendLeaseFrame(dst []byte, fleet string, body []byte) []byte {
 	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
 	return appendBytes(appendUint(dst, 3, kindLease), 11, body)
 }
 
-// leaseBody gives the body of a message of this fleet's leases; not ok: it is no such message.
+// leaseBody returns the body of a lease message of the fleet. ok reports whether b is one.
 func leaseBody(b []byte, fleet string) (body []byte, ok bool) {
 	return messageBody(b, fleet, kindLease, 11)
 }
 
-// messageBody gives what stands in one field of a message of this fleet and of a kind.
+// messageBody returns the content of one field of a message. ok reports whether b is a message of the fleet, of the current
+// version and of the wanted kind that has this field.
 func messageBody(b []byte, fleet string, want uint64, field protowire.Number) (body []byte, ok bool) {
 	messageVersion, fleetMatches, kind := uint64(0), false, uint64(0)
 	err := forEachField(b, func(n protowire.Number, number uint64, data []byte) error {
@@ -57,8 +61,9 @@
 	return body, err == nil && messageVersion == protocolVersion && fleetMatches && kind == want && body != nil
 }
 
-// boundText reads the texts of a message.
-// Danger: what an asker says of itself is kept for as long as it waits, and a frame may hold four million bytes.
+// boundText wraps a function for forEachField so that texts longer than maxTextBytes are rejected. Without this bound, much
+// memory could be held: what the sender of a request says about itself is kept while it waits, and a frame may have four
+// million bytes.
 func boundText(handle func(n protowire.Number, number uint64, data []byte)) func(n protowire.Number, number uint64, data []byte) error {
 	return func(n protowire.Number, number uint64, data []byte) error {
 		if len(data) > maxTextBytes {
@@ -69,35 +74,36 @@
 	}
 }
 
-// AppendLease writes the body of a message of leases.
+// AppendLease appends the body of a lease message to dst.
 func AppendLease(dst []byte, m *LeaseMessage) []byte {
 	dst = appendBytes(appendUint(appendUint(dst, 1, m.From), 2, m.To), 3, m.Log)
 	dst = appendUint(dst, 6, m.InitialVotersHash)
-	if a := m.Request; a != nil {
+	if request := m.Request; request != nil {
 		dst = appendEmbedded(dst, 4, func(dst []byte) []byte {
-			dst = appendBytes(appendBytes(appendUint(dst, 1, uint64(a.Op)), 2, []byte(a.Name)), 3, []byte(a.From.Name))
-			dst = appendUint(appendUint(appendUint(dst, 4, a.From.Life), 5, a.Token), 6, a.Seq)
-			return appendUint(appendBytes(appendUint(dst, 7, a.ForwardedBy), 8, []byte(a.Addr)), 9, a.AckedSeq)
+			dst = appendBytes(appendBytes(appendUint(dst, 1, uint64(request.Op)), 2, []byte(request.Name)), 3, []byte(request.From.Name))
+			dst = appendUint(appendUint(appendUint(dst, 4, request.From.Life), 5, request.Token), 6, request.Seq)
+			return appendUint(appendBytes(appendUint(dst, 7, request.ForwardedBy), 8, []byte(request.Addr)), 9, request.AckedSeq)
 		})
 	}
-	if r := m.Reply; r != nil {
+	if reply := m.Reply; reply != nil {
 		dst = appendEmbedded(dst, 5, func(dst []byte) []byte {
-			dst = appendBytes(appendBytes(dst, 1, []byte(r.Name)), 2, []byte(r.To.Name))
-			dst = appendUint(appendUint(appendUint(dst, 3, r.To.Life), 4, r.Seq), 5, r.Token)
-			dst = appendUint(appendBytes(dst, 6, []byte(r.Holder.Name)), 7, r.Holder.Life)
-			return appendBytes(appendUint(dst, 8, uint64(r.QueuePosition)), 9, []byte(m.Addr))
+			dst = appendBytes(appendBytes(dst, 1, []byte(reply.Name)), 2, []byte(reply.To.Name))
+			dst = appendUint(appendUint(appendUint(dst, 3, reply.To.Life), 4, reply.Seq), 5, reply.Token)
+			dst = appendUint(appendBytes(dst, 6, []byte(reply.Holder.Name)), 7, reply.Holder.Life)
+			return appendBytes(appendUint(dst, 8, uint64(reply.QueuePosition)), 9, []byte(m.Addr))
 		})
 	}
 	for k := range m.Voters {
-		s := &m.Voters[k]
+		voter := &m.Voters[k]
 		dst = appendEmbedded(dst, 7, func(dst []byte) []byte {
-			return appendBytes(appendBytes(appendUint(dst, 1, s.ID), 2, []byte(s.Name)), 3, []byte(s.Addr))
+			return appendBytes(appendBytes(appendUint(dst, 1, voter.ID), 2, []byte(voter.Name)), 3, []byte(voter.Addr))
 		})
 	}
 	return dst
 }
 
-// ReadLease takes the body of a message of leases apart. Lengths of names are lease's to judge.
+// ReadLease decodes the body of a lease message. It rejects texts longer than maxTextBytes; package lease checks names
+// further.
 func ReadLease(b []byte) (m LeaseMessage, err error) {
 	err = forEachField(b, func(n protowire.Number, number uint64, data []byte) (err error) {
 		switch n {
@@ -116,11 +122,11 @@
 		case 6:
 			m.InitialVotersHash = number
 		case 7:
-			var s lease.VoterInfo
-			if err = readVoter(data, &s); err == nil && len(m.Voters) >= maxVoters {
+			var voter lease.VoterInfo
+			if err = readVoter(data, &voter); err == nil && len(m.Voters) >= maxVoters {
 				err = errMalformed
 			}
-			m.Voters = append(m.Voters, s)
+			m.Voters = append(m.Voters, voter)
 		}
 		return err
 	})
@@ -136,67 +142,70 @@
 	return m, err
 }
 
-func readRequest(b []byte, a *lease.Request) error {
+// readRequest decodes a request for a lease.
+func readRequest(b []byte, request *lease.Request) error {
 	err := forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
-			a.Op = lease.Op(min(number, 255))
+			request.Op = lease.Op(min(number, 255))
 		case 2:
-			a.Name = string(data)
+			request.Name = string(data)
 		case 3:
-			a.From.Name = string(data)
+			request.From.Name = string(data)
 		case 4:
-			a.From.Life = number
+			request.From.Life = number
 		case 5:
-			a.Token = number
+			request.Token = number
 		case 6:
-			a.Seq = number
+			request.Seq = number
 		case 7:
-			a.ForwardedBy = number
+			request.ForwardedBy = number
 		case 8:
-			a.Addr = string(data)
+			request.Addr = string(data)
 		case 9:
-			a.AckedSeq = number
+			request.AckedSeq = number
 		}
 	}))
-	if err == nil && a.Op > lease.Release {
+	if err == nil && request.Op > lease.Release {
 		err = errMalformed
 	}
 	return err
 }
 
-func readVoter(b []byte, s *lease.VoterInfo) error {
+// readVoter decodes the entry of one voter.
+func readVoter(b []byte, voter *lease.VoterInfo) error {
 	return forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
-			s.ID = number
+			voter.ID = number
 		case 2:
-			s.Name = string(data)
+			voter.Name = string(data)
 		case 3:
-			s.Addr = string(data)
+			voter.Addr = string(data)
 		}
 	}))
 }
 
-func readReply(b []byte, r *lease.Reply, addr *string) error {
+// readReply decodes a reply, and the address of the front that it is for.
+func readReply(b []byte, reply *lease.Reply, addr *string) error {
 	return forEachField(b, boundText(func(n protowire.Number, number uint64, data []byte) {
 		switch n {
 		case 1:
-			r.Name = string(data)
+			reply.Name = string(data)
 		case 2:
-			r.To.Name = string(data)
+			reply.To.Name = string(data)
 		case 3:
-			r.To.Life = number
+			reply.To.Life = number
 		case 4:
-			r.Seq = number
+			reply.Seq = number
 		case 5:
-			r.Token = number
+			reply.Token = number
 		case 6:
-			r.Holder.Name = string(data)
+			reply.Holder.Name = string(data)
 		case 7:
-			r.Holder.Life = number
+			reply.Holder.Life = number
 		case 8:
-			r.QueuePosition = int(min(number, 1<<20))
+			reply.QueuePosition = int(min(number, 1<<20))
 		case 9:
 			*addr = string(data)
 		}
--- a/internal/peers/lease_test.go
+++ b/internal/peers/lease_test.go
@@ -9,8 +9,8 @@
 	"micatrack/fleet/positions"
 )
 
-// TestLeaseAndWatchMessages: what is written is read; another fleet's, one that is cut anywhere and one with a text longer than a
-// name are not.
+// TestLeaseAndPositionMessages checks that encoded lease and position messages are decoded unchanged, that messages of another
+// fleet, with a text that is too long or with an invalid combination of parts are rejected, and that truncated ones do no harm.
 func TestLeaseAndPositionMessages(t *testing.T) {
 	who := lease.Instance{Name: "f1", Life: 7}
 	for _, m := range []LeaseMessage{
@@ -25,10 +25,10 @@
 			t.Errorf("%+v is read as %+v, %v", m, got, err)
 		}
 		if _, ok := leaseBody(frame, "theirs"); ok {
-			t.Error("another fleet's is taken")
+			t.Error("a message of another fleet is accepted")
 		}
 		for n := range body {
-			ReadLease(body[:n]) // whatever it makes of it
+			ReadLease(body[:n]) // must not panic; the result does not matter
 		}
 	}
 	long := strings.Repeat("x", maxTextBytes+1)
@@ -38,7 +38,7 @@
 		{Reply: &lease.Reply{Name: "l"}, Voters: []lease.VoterInfo{{ID: 1, Addr: long}}}, {Reply: &lease.Reply{Name: "l"}, Request: &lease.Request{}}, {},
 	} {
 		if got, err := ReadLease(AppendLease(nil, &m)); err == nil {
-			t.Errorf("%+v is taken", got)
+			t.Errorf("an invalid message is accepted: %+v", got)
 		}
 	}
 	q, a := positions.Query{Seq: 1, Group: 2, MinPosition: 3, Store: "s", Addr: "10.0.0.1:1"}, positions.Answer{Seq: 1, Group: 2, Positions: []positions.StorePosition{{Store: "s", Position: 4}}}
@@ -52,10 +52,10 @@
 		a.Positions = append(a.Positions, a.Positions[0])
 	}
 	if _, _, err := ReadPositionMessage(AppendAnswer(nil, "ours", &a), "ours"); err == nil {
-		t.Error("more stores than an answer may have")
+		t.Error("an answer with too many stores is accepted")
 	}
 	q.Store = long
 	if _, _, err := ReadPositionMessage(AppendQuery(nil, "ours", &q), "ours"); err == nil {
-		t.Error("a long name is taken")
+		t.Error("a query with a long store name is accepted")
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,7 @@
-// Package peers is how the fronts of a fleet talk: UDP datagrams for pings and rumours, TCP for whole exchanges. It
-// decides nothing. What comes in waits, bounded, until the loop takes it, and what goes out waits, bounded, for the
-// system: the loop never does. What cannot be taken, or parsed, is counted and dropped without a line in the log.
+// Package peers is the transport between the fronts of a fleet: UDP datagrams for pings and gossip, and TCP connections for
+// full exchanges and for other messages that are longer than a datagram. It makes no decisions. Received messages wait in a
+// bounded queue until the main loop of the front takes them, and outgoing datagrams wait in a bounded queue for the system, so
+// the loop never blocks. A message that cannot be queued or parsed is counted and dropped, without a log line.
 package peers
 
 import (
@@ -18,57 +19,76 @@
 )
 
 const (
-	maxDatagram  = 1200    // bytes of one, at most
-	queueSize    = 1024    // datagrams that wait for the loop, and as many for the system
-	receiveBatch = 256     // that the loop takes at a time
-	maxFrame     = 4 << 20 // bytes of one side of a whole exchange
-	maxStreams   = 4       // at a time, of each direction
+	maxDatagram  = 1200    // bytes
+	queueSize    = 1024    // datagrams that wait for the loop, and as many that wait for the system
+	receiveBatch = 256     // maximum number of messages that one call of Receive handles
+	maxFrame     = 4 << 20 // bytes of a message over TCP, without its length
+	maxStreams   = 4       // maximum number of connections at once in each direction
 	ioTimeout    = 2 * time.Second
 )
 
-// Counts tells what was dropped, and why.
+// Counts is the number of messages that were sent, received or dropped for some reason.
 type Counts struct {
-	Sent, Taken, Bytes                       int64 // datagrams, datagrams, and bytes of those sent
-	Full, Shape, Fleet, Version, Long, Where int64
+	Sent    int64 // datagrams sent
+	Taken   int64 `json:"Taken"`   // messages received and handled
+	Bytes   int64 `json:"Bytes"`   // bytes of the datagrams sent
+	Full    int64 `json:"Full"`    // dropped because a queue was full or all connections were in use
+	Shape   int64 `json:"Shape"`   // dropped because they were malformed
+	Fleet   int64 `json:"Fleet"`   // dropped because they came from another fleet
+	Version int64 `json:"Version"` // dropped because they had another protocol version
+	Long    int64 `json:"Long"`    // dropped because they were too long
+	Where   int64 `json:"Where"`   // not sent because the address was invalid, or neither loopback nor private
 }
 
-// inboundFrame is one side of a whole exchange that has come in.
+// inboundFrame is a message that was received over TCP.
 type inboundFrame struct {
 	payload []byte
-	reply   chan []byte // nil: none is waited for
+	reply   chan []byte // takes the frame of the reply, or nil for none; nil: the peer expects no reply
 }
 
-// Transport is the sockets of one front.
+// Transport holds the sockets of one front. OnConfig, OnPositions and Receive are for the main loop of the front; the other
+// methods are safe for concurrent use.
 type Transport struct {
 	fleet         string
 	udp           *net.UDPConn
 	tcp           *net.TCPListener
-	wake          func()
+	wake          func() // wakes the loop, which then calls Receive
 	inbound       chan []byte
 	outbound      chan outboundDatagram
 	frames        chan inboundFrame
-	freeBuffers   chan []byte
-	inboundSlots  chan struct{} // for exchanges that come in
-	outboundSlots chan struct{} // for those that go out
-	msg           membership.Message
-	onQuery       func(q positions.Query) // the loop's
+	freeBuffers   chan []byte             // for reuse; of maxDatagram+1 bytes or more
+	inboundSlots  chan struct{}           // bounds accepted connections
+	outboundSlots chan struct{}           // bounds connections that this front opens
+	msg           membership.Message      // scratch space
+	onQuery       func(q positions.Query) // called by the loop
 	onAnswer      func(a positions.Answer)
-	onLease       atomic.Pointer[func(b []byte)] // takes messages of leases; nil: they are dropped
-	onConfig      func(m ConfigMessage)          // the loop's
-
-	onControl     atomic.Pointer[func(m ConfigMessage)]    // takes those for this control machine; nil: they are dropped
-	onRequest     atomic.Pointer[func(body []byte) []byte] // answers requests to it
-	configEnabled atomic.Bool
-
-	sent, received, sentBytes, queueFull, malformed, otherFleet, otherVersion, tooLong, badAddress atomic.Int64
+	onLease       atomic.Pointer[func(b []byte)] // handles lease messages; nil: they are dropped
+	onConfig      func(m ConfigMessage)          // called by the loop
+
+	onControl     atomic.Pointer[func(m ConfigMessage)]    // handles messages for this control machine; nil: they are dropped
+	onRequest     atomic.Pointer[func(body []byte) []byte] // answers requests to this control machine
+	configEnabled atomic.Bool                              // OnConfig was called
+
+	// The counters behind Counts.
+	sent         atomic.Int64
+	received     atomic.Int64
+	sentBytes    atomic.Int64
+	queueFull    atomic.Int64
+	malformed    atomic.Int64
+	otherFleet   atomic.Int64
+	otherVersion atomic.Int64
+	tooLong      atomic.Int64
+	badAddress   atomic.Int64
 }
 
+// outboundDatagram is a datagram that waits to be sent.
 type outboundDatagram struct {
 	to      netip.AddrPort
 	payload []byte
 }
 
-// Open listens on addr, UDP and TCP, which has to be a loopback or private one.
+// Open listens on addr, over UDP and TCP. The address has to be a loopback or private one. Other goroutines call wake when a
+// message is ready for Receive.
 func Open(addr, fleet string, wake func()) (*Transport, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -78,7 +98,7 @@
 		return nil, fmt.Errorf("%s is neither a loopback nor a private address", addr)
 	}
 	udp, tcp, err := listenBoth(addrPort)
-	for n := 0; err != nil && addrPort.Port() == 0 && n < 16; n++ { // the port that one drew may be taken for the other
+	for n := 0; err != nil && addrPort.Port() == 0 && n < 16; n++ { // the port chosen for UDP may be in use for TCP
 		udp, tcp, err = listenBoth(addrPort)
 	}
 	if err != nil {
@@ -93,7 +113,7 @@
 	return p, nil
 }
 
-// listenBoth listens on one port, for datagrams and for connections.
+// listenBoth listens on the same port over UDP and TCP.
 func listenBoth(addrPort netip.AddrPort) (*net.UDPConn, *net.TCPListener, error) {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addrPort))
 	if err != nil {
@@ -107,21 +127,23 @@
 	return udp, tcp, err
 }
 
-// near: a peer's message must not set this front on addresses elsewhere.
+// isLocal reports whether an address is a loopback or private one. Nothing is sent elsewhere, so that a message of a peer
+// cannot direct traffic of this front to other addresses.
 func isLocal(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (p *Transport) Addr() string { return p.tcp.Addr().String() }
 
-// Close ends both sockets.
+// Close closes both sockets.
 func (p *Transport) Close() { p.udp.Close(); p.tcp.Close() }
 
-// Counts tells what has come and gone.
+// Counts returns the current counts.
 func (p *Transport) Counts() Counts {
 	return Counts{p.sent.Load(), p.received.Load(), p.sentBytes.Load(), p.queueFull.Load(), p.malformed.Load(), p.otherFleet.Load(),
 		p.otherVersion.Load(), p.tooLong.Load(), p.badAddress.Load()}
 }
 
+// getBuffer returns an empty buffer with room for more than a datagram, so that one that is too long is noticed.
 func (p *Transport) getBuffer() []byte {
 	select {
 	case b := <-p.freeBuffers:
@@ -131,6 +153,7 @@
 	}
 }
 
+// putBuffer makes a buffer available for reuse.
 func (p *Transport) putBuffer(b []byte) {
 	if cap(b) > maxDatagram {
 		select {
@@ -140,12 +163,12 @@
 	}
 }
 
-// Send puts a datagram in the queue for the system.
+// Send queues a membership message as a datagram.
 func (p *Transport) Send(addr string, m *membership.Message) {
 	p.enqueue(addr, AppendMessage(p.getBuffer(), p.fleet, m))
 }
 
-// enqueue takes a message over.
+// enqueue queues a datagram, or drops and counts it. It takes ownership of b.
 func (p *Transport) enqueue(addr string, b []byte) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil || !isLocal(addrPort.Addr()) {
@@ -166,17 +189,19 @@
 	}
 }
 
+// write sends queued datagrams until the socket is closed.
 func (p *Transport) write() {
-	for o := range p.outbound {
-		if _, err := p.udp.WriteToUDPAddrPort(o.payload, o.to); errors.Is(err, net.ErrClosed) {
+	for d := range p.outbound {
+		if _, err := p.udp.WriteToUDPAddrPort(d.payload, d.to); errors.Is(err, net.ErrClosed) {
 			return
 		}
 		p.sent.Add(1)
-		p.sentBytes.Add(int64(len(o.payload)))
-		p.putBuffer(o.payload)
+		p.sentBytes.Add(int64(len(d.payload)))
+		p.putBuffer(d.payload)
 	}
 }
 
+// read receives datagrams until the socket is closed.
 func (p *Transport) read() {
 	for {
 		b := p.getBuffer()
@@ -208,8 +233,9 @@
 	}
 }
 
-// Receive hands what has come in to the loop, so much at a time. take tells whether a whole exchange is to be
-// answered, with what answer gives.
+// Receive handles at most receiveBatch received messages, and wakes the loop again if there may be more. Membership messages
+// are passed to handle, which reports whether the sender of a full exchange is to get the message that answer returns. The
+// message is valid only during the call.
 func (p *Transport) Receive(handle func(m *membership.Message) bool, answer func() *membership.Message) {
 	for n := range receiveBatch {
 		select {
@@ -218,13 +244,13 @@
 				handle(&p.msg)
 			}
 			p.putBuffer(b)
-		case w := <-p.frames:
+		case frame := <-p.frames:
 			var reply []byte
-			if !p.handleFront(w.payload) && p.parse(w.payload) && handle(&p.msg) && w.reply != nil {
+			if !p.handleFront(frame.payload) && p.parse(frame.payload) && handle(&p.msg) && frame.reply != nil {
 				reply = AppendMessage(make([]byte, 4), p.fleet, answer())
 			}
-			if w.reply != nil {
-				w.reply <- reply // it has room for one
+			if frame.reply != nil {
+				frame.reply <- reply // does not block: the channel has room for one
 			}
 		default:
 			return
@@ -235,6 +261,7 @@
 	}
 }
 
+// parse decodes a membership message into p.msg, counts it and reports whether it was valid.
 func (p *Transport) parse(b []byte) bool {
 	switch err := ReadMessage(b, p.fleet, &p.msg); err {
 	case nil:
@@ -250,6 +277,7 @@
 	return false
 }
 
+// accept serves connections until the listener is closed. Each carries one message and at most one reply.
 func (p *Transport) accept() {
 	for {
 		c, err := p.tcp.AcceptTCP()
@@ -277,16 +305,16 @@
 					writeFrame(c, reply)
 					return
 				}
-				w := inboundFrame{data, make(chan []byte, 1)}
+				frame := inboundFrame{data, make(chan []byte, 1)}
 				select {
-				case p.frames <- w:
+				case p.frames <- frame:
 					p.wake()
 				default:
 					p.queueFull.Add(1)
 					return
 				}
 				select {
-				case reply := <-w.reply:
+				case reply := <-frame.reply:
 					writeFrame(c, reply)
 				case <-time.After(ioTimeout):
 				}
@@ -298,7 +326,7 @@
 	}
 }
 
-// StartSync begins a whole exchange with whoever is at addr; what comes back is taken like a datagram.
+// StartSync starts a full exchange with the front at addr and returns at once. The reply arrives by Receive.
 func (p *Transport) StartSync(addr string, m *membership.Message) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil || !isLocal(addrPort.Addr()) {
@@ -333,10 +361,11 @@
 	}()
 }
 
-// OnLease has messages of leases handed to take from now on, by several goroutines; it must not block, and keeps nothing.
+// OnLease sets the function that handles the bodies of lease messages. Several goroutines may call it at once; it must not
+// block, and must not keep b.
 func (p *Transport) OnLease(handle func(b []byte)) { p.onLease.Store(&handle) }
 
-// handleLease hands on what is a message of this fleet's leases.
+// handleLease passes on a lease message of this fleet, and reports whether b was one.
 func (p *Transport) handleLease(b []byte) bool {
 	body, ok := leaseBody(b, p.fleet)
 	if handle := p.onLease.Load(); ok && handle != nil {
@@ -346,7 +375,7 @@
 	return ok
 }
 
-// SendLease sends a message of leases, as it is written by its package: a datagram, or a connection where it is longer.
+// SendLease sends the body of a lease message, as AppendLease writes it: as a datagram, or over TCP if it is longer.
 func (p *Transport) SendLease(addr string, body []byte) {
 	if b := appendLeaseFrame(p.getBuffer(), p.fleet, body); len(b) <= maxDatagram {
 		p.enqueue(addr, b)
@@ -355,7 +384,8 @@
 	p.sendStream(addr, appendLeaseFrame(make([]byte, 4), p.fleet, body))
 }
 
-// sendStream sends a frame, whose first four bytes are left for its length, on a connection of its own.
+// sendStream sends a frame over a TCP connection of its own and returns at once. The first four bytes are reserved for the
+// length.
 func (p *Transport) sendStream(addr string, data []byte) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil || !isLocal(addrPort.Addr()) {
@@ -377,7 +407,7 @@
 	}()
 }
 
-// dial opens a connection to another front, from the address that it knows this one by.
+// dial opens a connection to another front, from the address by which that front knows this one.
 func (p *Transport) dial(addrPort netip.AddrPort) (net.Conn, error) {
 	from := net.TCPAddr{IP: p.tcp.Addr().(*net.TCPAddr).IP}
 	d := net.Dialer{Timeout: ioTimeout, LocalAddr: &from}
@@ -388,7 +418,7 @@
 	return c, err
 }
 
-// writeFrame writes a frame, whose first four bytes are left for its length.
+// writeFrame sets the length of a frame, for which its first four bytes are reserved, and writes the frame.
 func writeFrame(c net.Conn, data []byte) error {
 	if len(data) < 4 {
 		return errMalformed
@@ -398,6 +428,7 @@
 	return err
 }
 
+// readFrame reads a frame and returns it without its length.
 func readFrame(c net.Conn) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
@@ -407,7 +438,7 @@
 	if n == 0 || n > maxFrame {
 		return nil, errMalformed
 	}
-	// Danger: a length that is told costs nothing, so memory is taken as bytes come.
+	// A peer can claim any length at no cost, so memory is allocated only as bytes arrive.
 	data, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err == nil && len(data) != int(n) {
 		err = io.ErrUnexpectedEOF
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,6 +13,7 @@
 	"micatrack/fleet/membership"
 )
 
+// drawFact draws a random fact.
 func drawFact(t *rapid.T) membership.Fact {
 	text := func(n int, what string) []byte {
 		if b := rapid.SliceOfN(rapid.Byte(), 0, n).Draw(t, what); len(b) > 0 {
@@ -24,7 +25,8 @@
 		By: text(membership.MaxNameBytes, "by"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: membership.State(rapid.IntRange(0, 3).Draw(t, "state"))}
 }
 
-// TestMessagesComeBack: what is written is read as it was, and each cut or flipped form is told apart or harmless.
+// TestMessageRoundTrip checks that encoded membership messages are decoded unchanged, that those of another fleet are
+// rejected, and that truncated or corrupted ones cause no panic and stay within bounds.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Seq: rapid.Uint64().Draw(t, "seq"), Sender: drawFact(t)}
@@ -42,7 +44,7 @@
 			t.Fatalf("%s\n%s", a, b)
 		}
 		if err := ReadMessage(data, "g", &back); err != errOtherFleet {
-			t.Errorf("of another fleet: %v", err)
+			t.Errorf("message of another fleet: %v", err)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 		ReadMessage(data[:cut], "f", &back)
@@ -54,7 +56,8 @@
 	})
 }
 
-// TestForeignDatagrams: what is long, cut, of another fleet or version, or no message at all is counted and dropped.
+// TestInvalidDatagramsAreDropped checks that datagrams that are too long, truncated, of another fleet or version, or no message
+// at all are counted and dropped.
 func TestInvalidDatagramsAreDropped(t *testing.T) {
 	woken := make(chan struct{}, 1024)
 	p, err := Open("127.0.0.1:0", "f", func() { woken <- struct{}{} })
@@ -86,11 +89,11 @@
 		p.Receive(func(*membership.Message) bool { taken++; return false }, nil)
 	}
 	if n := p.Counts(); taken != 1 || n.Taken != 1 || n.Shape != 2 || n.Fleet != 1 || n.Version != 1 || n.Long != 1 {
-		t.Errorf("%d taken, %+v", taken, n)
+		t.Errorf("%d messages handled, counts %+v", taken, n)
 	}
 }
 
-// TestWholeExchange: 4,096 members of the longest names go over and come back, and the loop waits for neither.
+// TestFullSync checks a full exchange of 4,096 members with the longest names. Neither side's loop blocks on it.
 func TestFullSync(t *testing.T) {
 	a, err := Open("127.0.0.1:0", "f", func() {})
 	if err != nil {
@@ -121,16 +124,16 @@
 		a.Receive(func(m *membership.Message) bool { got = len(m.Facts); return false }, nil)
 	}
 	if got != membership.MaxFacts {
-		t.Errorf("%d facts came back", got)
+		t.Errorf("the reply has %d facts", got)
 	}
 }
 
-// TestNoAddressElsewhere: it listens on loopback and private addresses alone, and sends nowhere else.
+// TestOnlyLocalAddresses checks that a front only listens on loopback and private addresses, and only sends to these.
 func TestOnlyLocalAddresses(t *testing.T) {
 	for _, addr := range []string{"0.0.0.0:0", "[::]:0", "192.0.2.1:0", "host:1"} {
 		if p, err := Open(addr, "f", func() {}); err == nil {
 			p.Close()
-			t.Errorf("it listens on %s", addr)
+			t.Errorf("Open accepts %s", addr)
 		}
 	}
 	p, err := Open("127.0.0.1:0", "f", func() {})
@@ -145,7 +148,7 @@
 	}
 }
 
-// BenchmarkRead: a rumour of three facts and a note.
+// BenchmarkRead decodes a gossip message with three facts and a note.
 func BenchmarkRead(b *testing.B) {
 	fact := membership.Fact{Name: []byte("front-17"), Zone: []byte("zone-a"), Addr: []byte("10.0.0.17:7400"), Incarnation: 1 << 40}
 	m := &membership.Message{Kind: membership.Gossip, Sender: fact, Facts: []membership.Fact{fact, fact, fact},
--- a/internal/peers/positions.go
+++ b/internal/peers/positions.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	kindPosition = 9
-	maxPosition  = 1 << 60 // a position, or a need
+	kindPosition = 9       // kind of queries for positions and of their answers
+	maxPosition  = 1 << 60 // maximum of a position in either
 )
 
-// AppendQuery and AppendAnswer write messages of the watch, whole.
+// AppendQuery appends the complete encoding of a query for positions to dst.
 func AppendQuery(dst []byte, fleet string, q *positions.Query) []byte {
 	return appendPositionMessage(dst, fleet, func(dst []byte) []byte {
 		dst = appendUint(appendUint(appendUint(dst, 1, q.Seq), 2, q.Group), 3, uint64(max(q.MinPosition, 0)))
@@ -19,32 +19,35 @@
 	})
 }
 
+// AppendAnswer appends the complete encoding of an answer to such a query to dst.
 func AppendAnswer(dst []byte, fleet string, a *positions.Answer) []byte {
 	return appendPositionMessage(dst, fleet, func(dst []byte) []byte {
 		dst = appendUint(appendUint(dst, 1, a.Seq), 2, a.Group)
 		for k := range a.Positions {
-			s := &a.Positions[k]
+			sp := &a.Positions[k]
 			dst = appendEmbedded(dst, 5, func(dst []byte) []byte {
-				return appendUint(appendBytes(dst, 1, []byte(s.Store)), 2, uint64(max(s.Position, 0)))
+				return appendUint(appendBytes(dst, 1, []byte(sp.Store)), 2, uint64(max(sp.Position, 0)))
 			})
 		}
 		return dst
 	})
 }
 
+// appendPositionMessage writes the message around a query or an answer.
 func appendPositionMessage(dst []byte, fleet string, body func(dst []byte) []byte) []byte {
 	dst = appendUint(dst, 1, protocolVersion)
 	dst = protowire.AppendString(protowire.AppendTag(dst, 2, protowire.BytesType), fleet)
 	return appendEmbedded(appendUint(dst, 3, kindPosition), 12, body)
 }
 
-// ReadPositionMessage takes a message of the watch apart: a question, which names its asker's address, or an answer.
+// ReadPositionMessage decodes a query for positions or an answer, and returns the one with a nil for the other. A query is
+// recognized by the address of its sender, which an answer does not have.
 func ReadPositionMessage(b []byte, fleet string) (q *positions.Query, a *positions.Answer, err error) {
 	body, ok := messageBody(b, fleet, kindPosition, 12)
 	if !ok {
 		return nil, nil, errMalformed
 	}
-	var seq, group, need uint64
+	var seq, group, minPosition uint64
 	var addr, store string
 	var storePositions []positions.StorePosition
 	err = forEachField(body, func(n protowire.Number, number uint64, data []byte) error {
@@ -54,26 +57,26 @@
 		case 2:
 			group = number
 		case 3:
-			need = number
+			minPosition = number
 		case 4:
 			addr = string(data)
 		case 6:
 			store = string(data)
 		case 5:
-			var s positions.StorePosition
+			var sp positions.StorePosition
 			err := forEachField(data, boundText(func(n protowire.Number, number uint64, data []byte) {
 				switch n {
 				case 1:
-					s.Store = string(data)
+					sp.Store = string(data)
 				case 2:
-					s.Position = positions.Time(min(number, maxPosition))
+					sp.Position = positions.Time(min(number, maxPosition))
 				}
 			}))
-			if storePositions = append(storePositions, s); err != nil || len(storePositions) > positions.MaxPositions {
+			if storePositions = append(storePositions, sp); err != nil || len(storePositions) > positions.MaxPositions {
 				return errMalformed
 			}
 		}
-		if n != 5 && len(data) > maxTextBytes || need > maxPosition {
+		if n != 5 && len(data) > maxTextBytes || minPosition > maxPosition {
 			return errMalformed
 		}
 		return nil
@@ -82,25 +85,27 @@
 	case err != nil:
 		return nil, nil, err
 	case addr != "":
-		return &positions.Query{Seq: seq, Group: group, MinPosition: positions.Time(need), Store: store, Addr: addr}, nil, nil
+		return &positions.Query{Seq: seq, Group: group, MinPosition: positions.Time(minPosition), Store: store, Addr: addr}, nil, nil
 	}
 	return nil, &positions.Answer{Seq: seq, Group: group, Positions: storePositions}, nil
 }
 
-// SendQuery and Answer send what the watch has to say.
+// SendQuery sends a query for positions as a datagram.
 func (p *Transport) SendQuery(addr string, q positions.Query) {
 	p.enqueue(addr, AppendQuery(p.getBuffer(), p.fleet, &q))
 }
+
+// SendAnswer sends the answer to such a query as a datagram.
 func (p *Transport) SendAnswer(addr string, a positions.Answer) {
 	p.enqueue(addr, AppendAnswer(p.getBuffer(), p.fleet, &a))
 }
 
-// OnPositions has messages of the watch handed to the loop, by Take.
+// OnPositions sets the functions that Receive calls with queries for positions and their answers.
 func (p *Transport) OnPositions(query func(q positions.Query), answer func(a positions.Answer)) {
 	p.onQuery, p.onAnswer = query, answer
 }
 
-// handlePosition hands on what is a message of the watch.
+// handlePosition passes on a query for positions or an answer, and reports whether b was one.
 func (p *Transport) handlePosition(b []byte) bool {
 	if p.onQuery == nil {
 		return false
