--- a/cmd/micatrack/config.go
+++ b/cmd/micatrack/config.go
@@ -17,189 +17,196 @@
 )
 
 const (
-	maxCommand = 512 << 10       // bytes of a command to the control address
-	loopWithin = 2 * time.Second // that the loop may take to answer one
+	maxCommandBytes = 512 << 10       // largest body of a command to the control address
+	loopTimeout     = 2 * time.Second // longest wait for the event loop while a command is served
 )
 
-// configured is a front's part in the fleet's configuration. It is the loop's, but for what the commands ask.
-type configured struct {
-	t       *together
-	o       *orders
-	front   *configuration.Front
-	control *configuration.Control
-	service configuration.Service
-	addr    string // where other machines reach this one
-	move    func(addr string)
-	target  string // address of discovery that is to be followed; empty: no other one
+// fleetConfig is a front's part in the fleet's configuration. It belongs to the event loop, except for the methods that
+// serve commands and control messages.
+type fleetConfig struct {
+	node          *fleetNode
+	current       *frontConfig           // the configuration that the front uses now
+	front         *configuration.Front   // receives versions and puts them in force on this front
+	control       *configuration.Control // stores and distributes versions; used by the voter's goroutine only
+	service       configuration.Service  // finds the control machine that executes an operator's request
+	addr          string                 // address at which other machines reach this one
+	setDiscovery  func(addr string)      // switches to another address of discovery
+	nextDiscovery string                 // address of discovery to switch to in the next step; empty if unchanged
 }
 
-// hosted gives what a voter keeps beside its leases. Danger: a voter without it could not take the others'
-// entries, so it is there also where this front's file does not switch the configuration on; nothing is
-// handed out then.
-func hosted(t *together, o *orders, addr string) *configuration.Control {
-	f := &o.operators.Fleet
+// newConfigControl returns the state machine that a voter hosts beside its leases. Without it, a voter could not accept
+// the other voters' log entries; so it exists even if this front's file leaves the configuration disabled, and then it
+// distributes no versions.
+func newConfigControl(node *fleetNode, cfg *frontConfig, addr string) *configuration.Control {
+	f := &cfg.operators.Fleet
 	options := configuration.ControlOptions{
-		Fleet: f.Name, Name: o.name, Addr: addr, Seed: o.settings.Seed, ServeVersions: f.Config.On,
+		Fleet: f.Name, Name: cfg.name, Addr: addr, Seed: cfg.settings.Seed, ServeVersions: f.Config.On,
 	}
-	control := configuration.NewControl(options, t.peers, t.log)
+	control := configuration.NewControl(options, node.peers, node.log)
 	control.SetFrontDelivery(func(body []byte) {
-		if f := t.handsTo.Load(); f != nil {
+		if f := node.configFront.Load(); f != nil {
 			f.ReceiveFromControl(body)
 		}
 	})
 	return control
 }
 
-// configure opens a front's part in the configuration.
-func configure(t *together, o *orders, life uint64, addr string, control *configuration.Control) *configured {
-	if o.trouble != "" {
-		t.log.Error("the fleet's configuration on disk is left aside", "error", o.trouble)
+// newFleetConfig opens a front's part in the fleet's configuration and registers its message handlers.
+func newFleetConfig(node *fleetNode, cfg *frontConfig, incarnation uint64, addr string, control *configuration.Control) *fleetConfig {
+	if cfg.storedError != "" {
+		node.log.Error("the fleet's configuration on disk is ignored", "error", cfg.storedError)
 	}
-	c := &configured{t: t, o: o, control: control, addr: addr}
-	f := &o.operators.Fleet
+	c := &fleetConfig{node: node, current: cfg, control: control, addr: addr}
+	f := &cfg.operators.Fleet
 	options := configuration.FrontOptions{
-		Fleet: f.Name, Name: o.name, Zone: o.settings.Zone, Addr: addr, Incarnation: life, Seed: o.settings.Seed,
-		Path: f.Config.State, Stored: o.stored,
+		Fleet: f.Name, Name: cfg.name, Zone: cfg.settings.Zone, Addr: addr, Incarnation: incarnation, Seed: cfg.settings.Seed,
+		Path: f.Config.State, Stored: cfg.stored,
 	}
-	c.front = configuration.NewFront(options, t.now, t.peers, c, t.wake, t.log)
-	t.handsTo.Store(c.front)
-	c.service.Ask = c.ask
-	if !t.deputy.HasVoter() {
-		t.peers.OnConfig(c.front.Receive, nil)
+	c.front = configuration.NewFront(options, node.now, node.peers, c, node.wake, node.log)
+	node.configFront.Store(c.front)
+	c.service.Ask = c.sendRequest
+	if !node.leases.HasVoter() {
+		node.peers.OnConfig(c.front.Receive, nil)
 		return c
 	}
-	t.peers.OnConfig(c.front.Receive, c.takeControl)
-	t.peers.OnRequest(c.answerRequest)
+	node.peers.OnConfig(c.front.Receive, c.handleControlMessage)
+	node.peers.OnRequest(c.handleRequest)
 	return c
 }
 
-// takeControl hands a message to the control part; several goroutines call it.
-func (c *configured) takeControl(m peers.ConfigMessage) {
+// handleControlMessage passes a peer's message to the control part in the voter's goroutine. It is safe for concurrent
+// use, and copies the message's body.
+func (c *fleetConfig) handleControlMessage(m peers.ConfigMessage) {
 	m.Body = slices.Clone(m.Body)
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.Receive(now, m) })
 }
 
-// answerRequest has the control part work on a request, and waits for the answer.
-func (c *configured) answerRequest(body []byte) []byte {
-	text, err := json.Marshal(c.work(body))
+// handleRequest executes an encoded request in this machine's control part and returns the encoded answer, nil if it
+// cannot be encoded.
+func (c *fleetConfig) handleRequest(body []byte) []byte {
+	text, err := json.Marshal(c.execute(body))
 	if err != nil {
 		return nil
 	}
 	return text
 }
 
-func (c *configured) work(body []byte) configuration.Answer {
+// execute runs an encoded request in the control part and waits up to peers.HandlerTimeout for the answer. After that the outcome
+// is unknown.
+func (c *fleetConfig) execute(body []byte) configuration.Answer {
 	r, err := configuration.ReadRequest(body)
 	if err != nil {
 		return configuration.Answer{Outcome: configuration.Refused, Error: err.Error()}
 	}
-	told := make(chan configuration.Answer, 2)
-	put := c.t.deputy.RunOnVoter(func(now front.Time, leader string) {
-		c.control.Handle(now, &r, leader, func(a configuration.Answer) { told <- a })
+	answers := make(chan configuration.Answer, 2)
+	queued := c.node.leases.RunOnVoter(func(now front.Time, leader string) {
+		c.control.Handle(now, &r, leader, func(a configuration.Answer) { answers <- a })
 	})
-	if !put {
+	if !queued {
 		return configuration.Answer{Outcome: configuration.NotHandled}
 	}
 	select {
-	case a := <-told:
+	case a := <-answers:
 		return a
 	case <-time.After(peers.HandlerTimeout):
 		return configuration.Answer{Outcome: configuration.Unknown}
 	}
 }
 
-// ask asks one control machine, this one without the network.
-func (c *configured) ask(addr string, request []byte) ([]byte, error) {
-	if addr == c.addr && c.t.deputy.HasVoter() {
-		return c.answerRequest(request), nil
+// sendRequest sends a request to the control machine at addr and returns its answer. A request to this machine does not
+// use the network.
+func (c *fleetConfig) sendRequest(addr string, request []byte) ([]byte, error) {
+	if addr == c.addr && c.node.leases.HasVoter() {
+		return c.handleRequest(request), nil
 	}
-	return c.t.peers.Request(addr, request)
+	return c.node.peers.Request(addr, request)
 }
 
-// turn is the configuration's part of a turn of the loop.
-func (c *configured) turn(now front.Time) {
+// step is the configuration's part of one iteration of the event loop.
+func (c *fleetConfig) step(now front.Time) {
 	c.front.Poll(now)
-	if c.target != "" && c.move != nil {
-		if c.target != c.o.discovery {
-			c.o.discovery = c.target
-			c.move(c.target)
+	if c.nextDiscovery != "" && c.setDiscovery != nil {
+		if c.nextDiscovery != c.current.discovery {
+			c.current.discovery = c.nextDiscovery
+			c.setDiscovery(c.nextDiscovery)
 		}
-		c.target = ""
+		c.nextDiscovery = ""
 	}
 }
 
-// PutInForce has the front go by a version's texts, as a whole or not at all.
-func (c *configured) PutInForce(texts []config.ScopeText) error {
-	fresh, err := c.o.under(texts)
+// PutInForce applies a version's texts to the running front. On an error nothing has changed.
+func (c *fleetConfig) PutInForce(texts []config.ScopeText) error {
+	fresh, err := c.current.withVersion(texts)
 	if err != nil {
 		return err
 	}
-	if err := c.t.reconfigure(c.o, &fresh); err != nil {
+	if err := c.node.reconfigure(c.current, &fresh); err != nil {
 		return err
 	}
-	c.target = fresh.discovery
-	fresh.discovery = c.o.discovery // until the loop has moved there
-	*c.o = fresh
+	c.nextDiscovery = fresh.discovery
+	fresh.discovery = c.current.discovery // step switches to the new address
+	*c.current = fresh
 	return nil
 }
 
-// reader reads the front's files as a start would, but with the version that is in force now.
-// Danger: the version's file may be on its way to the disk, and a reload would go back to an older address.
-func (c *configured) reader(read reader) reader {
-	return func() (orders, error) {
+// withVersionInForce returns a reader of the front's files that then applies the version in force now, instead of the
+// stored version that a start would apply. The version in force may not have been written to disk yet, and a reload would
+// then go back to an older address of discovery.
+func (c *fleetConfig) withVersionInForce(read configReader) configReader {
+	return func() (frontConfig, error) {
 		fresh, err := read()
 		if err != nil {
 			return fresh, err
 		}
-		return fresh.under(c.front.InForce())
+		return fresh.withVersion(c.front.InForce())
 	}
 }
 
-// Peers tells who is there: the voters, and the fronts that membership has alive. It tells the control part
+// Peers returns the voters, and the fronts that membership has as alive or suspect. It passes them to the control part
 // too.
-func (c *configured) Peers() (there config.Peers) {
-	for _, s := range c.t.deputy.Voters() {
-		there.Controls = append(there.Controls, config.Peer{Name: s.Name, Addr: s.Addr})
+func (c *fleetConfig) Peers() (known config.Peers) {
+	for _, s := range c.node.leases.Voters() {
+		known.Controls = append(known.Controls, config.Peer{Name: s.Name, Addr: s.Addr})
 	}
-	for _, m := range c.t.Members.List() {
+	for _, m := range c.node.Members.List() {
 		if m.State <= membership.Suspect {
-			there.Fronts = append(there.Fronts, config.Peer{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
+			known.Fronts = append(known.Fronts, config.Peer{Name: m.Name, Zone: m.Zone, Addr: m.Addr})
 		}
 	}
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.SetPeers(now, there) })
-	return there
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.SetPeers(now, known) })
+	return known
 }
 
-// DeliverToControl hands a message of this front to the control part of this machine, if there is one.
-func (c *configured) DeliverToControl(body []byte) bool {
-	if !c.t.deputy.HasVoter() {
+// DeliverToControl passes a message of this front to this machine's control part. It returns false if there is none.
+func (c *fleetConfig) DeliverToControl(body []byte) bool {
+	if !c.node.leases.HasVoter() {
 		return false
 	}
-	c.t.deputy.RunOnVoter(func(now front.Time, _ string) { c.control.ReceiveFromFront(now, body) })
+	c.node.leases.RunOnVoter(func(now front.Time, _ string) { c.control.ReceiveFromFront(now, body) })
 	return true
 }
 
-// fromFleet puts the version that this front had last in the place of its files' parts. What cannot be taken
-// is left aside.
-func (o *orders) fromFleet() {
-	stored, err := configuration.Load(o.operators.Fleet.Config.State)
+// applyStored replaces parts of the files' configuration with the version that this front stored last. A version that
+// cannot be read or applied is ignored, and storedError says why.
+func (cfg *frontConfig) applyStored() {
+	stored, err := configuration.Load(cfg.operators.Fleet.Config.State)
 	if err != nil {
-		o.trouble = err.Error()
+		cfg.storedError = err.Error()
 		return
 	}
-	fresh, err := o.under(stored.Texts)
+	fresh, err := cfg.withVersion(stored.Texts)
 	if err != nil {
-		o.trouble = err.Error()
+		cfg.storedError = err.Error()
 		return
 	}
-	*o = fresh
-	o.stored = stored
+	*cfg = fresh
+	cfg.stored = stored
 }
 
-// answer serves the commands about the fleet's configuration.
-func (c *configured) answer(mux *http.ServeMux) {
+// registerHandlers adds the HTTP handler for the commands that execute requests about the fleet's configuration.
+func (c *fleetConfig) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST /config", func(w http.ResponseWriter, r *http.Request) {
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCommand))
+		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCommandBytes))
 		var request configuration.Request
 		if err == nil {
 			request, err = configuration.ReadRequest(text)
@@ -208,7 +215,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		controls, err := c.controls()
+		controls, err := c.controlAddrs()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusGatewayTimeout)
 			return
@@ -218,40 +225,41 @@
 	})
 }
 
-var errLoop = errors.New("the front does not answer")
+// errLoopTimeout reports that the event loop accepted no call or did not answer within loopTimeout.
+var errLoopTimeout = errors.New("the front does not answer")
 
-// controls asks the loop for the control machines' addresses.
-func (c *configured) controls() ([]string, error) {
-	told := make(chan []string, 1)
+// controlAddrs has the event loop list the control machines' addresses.
+func (c *fleetConfig) controlAddrs() ([]string, error) {
+	addrs := make(chan []string, 1)
 	ask := func() {
 		var list []string
-		for _, s := range c.t.deputy.Voters() {
+		for _, s := range c.node.leases.Voters() {
 			list = append(list, s.Addr)
 		}
-		told <- list
+		addrs <- list
 	}
 	select {
-	case c.t.asks <- ask:
-		c.t.wake()
+	case c.node.calls <- ask:
+		c.node.wake()
 	default:
-		return nil, errLoop
+		return nil, errLoopTimeout
 	}
 	select {
-	case list := <-told:
+	case list := <-addrs:
 		return list, nil
-	case <-time.After(loopWithin):
-		return nil, errLoop
+	case <-time.After(loopTimeout):
+		return nil, errLoopTimeout
 	}
 }
 
-// withoutConfig answers the same commands where the configuration is not switched on.
-func withoutConfig(mux *http.ServeMux) {
-	no := func(w http.ResponseWriter, _ *http.Request) {
+// registerConfigDisabled adds handlers that refuse the same commands if the configuration is disabled.
+func registerConfigDisabled(mux *http.ServeMux) {
+	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "fleet.config is not switched on", http.StatusConflict)
 	}
-	mux.HandleFunc("GET /config", no)
-	mux.HandleFunc("POST /config", no)
+	mux.HandleFunc("GET /config", refuse)
+	mux.HandleFunc("POST /config", refuse)
 }
 
-// handsTo is where this machine's control part leaves messages for its front.
-type handsTo = atomic.Pointer[configuration.Front]
+// frontPointer holds the front to which this machine's control part delivers messages; the voter's goroutine reads it.
+type frontPointer = atomic.Pointer[configuration.Front]
