--- a/fleet/positions/positions_test.go
+++ b/fleet/positions/positions_test.go
@@ -124,7 +124,7 @@
 		}
 		delete(host.resolved, store)
 		s.Tick(now + s.config.AnswerTimeout)
-		if ok, reported := host.resolved[store]; !reported || ok {
+		if ok, ended := host.resolved[store]; !ended || ok {
 			t.Fatal("a query without an answer does not end")
 		}
 		if s.RequestPosition(s.now+1, store, s.now, true) {
