--- a/fleet/config/agent.go
+++ b/fleet/config/agent.go
@@ -31,15 +31,15 @@
 // Agent holds one front's configuration. Not safe for use from several goroutines.
 type Agent struct {
 	node
-	host      AgentHost
-	options   AgentOptions
-	versions  chain
-	inForce   Version
-	state     FrontState
-	reason    string
-	newest    proof // that the version in force was the fleet's newest
-	count     uint64
-	refreshAt Time
+	host         AgentHost
+	options      AgentOptions
+	versions     chain
+	inForce      Version
+	state        FrontState
+	reason       string
+	inForceProof proof // that the version in force was the fleet's newest
+	reportSeq    uint64
+	reportAt     Time
 }
 
 // NewAgent starts an agent. A version in Kept is put in force before it returns.
@@ -48,43 +48,43 @@
 	a.node = newNode(now, options.Fleet, options.Name, options.Seed, host.Send)
 	a.budget = newBudget(now, frontRate, frontBurst)
 	a.chain = &a.versions
-	a.children.most = maxChildren
+	a.children.limit = maxFrontChildren
 	a.upstreams = []*upstream{{reportsTo: true}, {}}
-	a.node.adopted, a.node.confirmed = a.adopt, a.confirm
+	a.node.onVersion, a.node.onConfirmed = a.activate, a.confirmNewest
 	a.restore(options.Persisted)
-	a.tell()
+	a.updateReport()
 	return a
 }
 
 // What an agent keeps: a mark, a checksum over the fleet's name and the document, and the document.
 const (
-	keptMark = 0xC6
-	keptHead = 1 + sumSize // bytes before the document
+	persistedMagic      = 0xC6
+	persistedHeaderSize = 1 + checksumSize // bytes before the document
 )
 
-func keptOf(fleet string, document []byte) []byte {
-	kept := binary.LittleEndian.AppendUint32([]byte{keptMark}, checksum(fleet, document))
-	return append(kept, document...)
+func encodePersisted(fleet string, document []byte) []byte {
+	persisted := binary.LittleEndian.AppendUint32([]byte{persistedMagic}, checksum(fleet, document))
+	return append(persisted, document...)
 }
 
-// readKept gives the document in what was kept, nil if it is spoilt or another fleet's.
-func readKept(fleet string, kept []byte) []byte {
-	if len(kept) <= keptHead || kept[0] != keptMark {
+// decodePersisted gives the document in what was kept, nil if it is spoilt or another fleet's.
+func decodePersisted(fleet string, persisted []byte) []byte {
+	if len(persisted) <= persistedHeaderSize || persisted[0] != persistedMagic {
 		return nil
 	}
-	if binary.LittleEndian.Uint32(kept[1:]) != checksum(fleet, kept[keptHead:]) {
+	if binary.LittleEndian.Uint32(persisted[1:]) != checksum(fleet, persisted[persistedHeaderSize:]) {
 		return nil
 	}
-	return bytes.Clone(kept[keptHead:])
+	return bytes.Clone(persisted[persistedHeaderSize:])
 }
 
 // restore puts what was kept in force. Danger: a spoilt disk; a start without a version is better than with
 // half of one.
-func (a *Agent) restore(kept []byte) {
-	if len(kept) == 0 {
+func (a *Agent) restore(persisted []byte) {
+	if len(persisted) == 0 {
 		return
 	}
-	encoded := readKept(a.options.Fleet, kept)
+	encoded := decodePersisted(a.options.Fleet, persisted)
 	if encoded == nil {
 		a.host.Log("configuration on disk is spoilt or another fleet's: starts without one")
 		return
@@ -95,32 +95,32 @@
 		return
 	}
 	a.versions.add(0, document.Version, encoded, nil)
-	a.adopt(document)
+	a.activate(document)
 }
 
-// adopt puts a version in force, or says why not. Danger: a front that acts on parts of two versions; the
+// activate puts a version in force, or says why not. Danger: a front that acts on parts of two versions; the
 // host is asked once, with all texts of the one.
-func (a *Agent) adopt(document *Document) {
+func (a *Agent) activate(document *Document) {
 	texts := document.TextsFor(a.options.Name, a.options.Zone)
-	if reason := a.tooNew(texts); reason != "" {
-		a.hold(StateHeld, document.Version, reason)
+	if reason := a.programTooOld(texts); reason != "" {
+		a.keepInForce(StateHeld, document.Version, reason)
 		return
 	}
 	if err := a.host.PutInForce(document.Version, texts); err != nil {
-		a.hold(StateRefused, document.Version, oneLine(err.Error()))
+		a.keepInForce(StateRefused, document.Version, oneLine(err.Error()))
 		return
 	}
 	a.inForce, a.state, a.reason = document.Version, StateInForce, ""
-	a.newest = proof{} // it is proven by the next answer
+	a.inForceProof = proof{} // it is proven by the next answer
 	if a.proof.has {
-		a.newest = a.proof
+		a.inForceProof = a.proof
 	}
-	a.host.Persist(keptOf(a.options.Fleet, a.versions.document))
-	a.tell()
+	a.host.Persist(encodePersisted(a.options.Fleet, a.versions.document))
+	a.updateReport()
 }
 
-// tooNew tells which text needs a newer program than this one.
-func (a *Agent) tooNew(texts []ScopeText) string {
+// programTooOld tells which text needs a newer program than this one.
+func (a *Agent) programTooOld(texts []ScopeText) string {
 	for _, t := range texts {
 		if t.Program > a.options.Program {
 			own := a.options.Program
@@ -130,26 +130,26 @@
 	return ""
 }
 
-// hold goes on with the version in force, and says why.
-func (a *Agent) hold(state FrontState, version Version, reason string) {
-	a.state, a.reason = state, reason[:min(len(reason), maxWords)]
+// keepInForce goes on with the version in force, and says why.
+func (a *Agent) keepInForce(state FrontState, version Version, reason string) {
+	a.state, a.reason = state, reason[:min(len(reason), maxReportReason)]
 	a.host.Log(fmt.Sprintf("configuration %d is not in force, %d stays: %s", version, a.inForce, a.reason))
-	a.tell()
+	a.updateReport()
 }
 
-// confirm takes in that a version was the newest at a moment.
-func (a *Agent) confirm(at Time, newest Version) {
+// confirmNewest takes in that a version was the newest at a moment.
+func (a *Agent) confirmNewest(at Time, newest Version) {
 	if a.inForce != 0 && newest <= a.inForce {
-		a.newest.prove(at)
+		a.inForceProof.record(at)
 	}
 }
 
-// tell makes this front's report anew, and forgets others that have gone elsewhere.
-func (a *Agent) tell() {
-	a.reports.forget(a.now, forgetReports)
-	a.count++
-	a.refreshAt = a.now + refreshSpan - refreshSpan/10 + a.source.Below(refreshSpan/5)
-	a.reports.put(a.now, report{id: a.id(), life: a.options.Incarnation, count: a.count, inForce: a.inForce,
+// updateReport makes this front's report anew, and forgets others that have gone elsewhere.
+func (a *Agent) updateReport() {
+	a.reports.expire(a.now, reportTTL)
+	a.reportSeq++
+	a.reportAt = a.now + reportRefresh - reportRefresh/10 + a.source.Below(reportRefresh/5)
+	a.reports.add(a.now, report{id: a.id(), incarnation: a.options.Incarnation, seq: a.reportSeq, inForce: a.inForce,
 		received: a.chain.version, state: a.state, program: a.options.Program, reason: a.reason})
 }
 
@@ -162,19 +162,19 @@
 // Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
 func (a *Agent) Receive(now Time, from string, message []byte) {
 	a.now = now
-	a.take(from, message)
+	a.receive(from, message)
 }
 
 // Next is when Beat must be called again.
-func (a *Agent) Next() Time { return min(a.next(), max(a.refreshAt, a.now+1)) }
+func (a *Agent) Next() Time { return min(a.nextTick(), max(a.reportAt, a.now+1)) }
 
 // Tick does what is due.
 func (a *Agent) Tick(now Time) {
 	a.now = now
-	if now >= a.refreshAt {
-		a.tell()
+	if now >= a.reportAt {
+		a.updateReport()
 	}
-	a.beat()
+	a.tick()
 }
 
 // InForce gives the version in force, 0 if there is none.
@@ -185,13 +185,13 @@
 // Danger: a process can be stopped between this look at the clock and its act; what is acted on has to
 // compare versions.
 func (a *Agent) ProofFresh(now Time) bool {
-	return a.inForce != 0 && a.newest.has && now-a.newest.at <= ProofTTL
+	return a.inForce != 0 && a.inForceProof.has && now-a.inForceProof.at <= ProofTTL
 }
 
 // Status tells what this front has.
 func (a *Agent) Status(now Time) AgentStatus {
 	return AgentStatus{InForce: a.inForce, Received: a.chain.version, State: a.state, Reason: a.reason,
-		Age: a.newest.age(now), ProofFresh: a.ProofFresh(now), Upstream: a.upstreams[0].addr, Dropped: a.dropped}
+		Age: a.inForceProof.age(now), ProofFresh: a.ProofFresh(now), Upstream: a.upstreams[0].addr, Dropped: a.dropped}
 }
 
 // AgentStatus is one front's own view.
--- a/fleet/config/budget.go
+++ b/fleet/config/budget.go
@@ -3,41 +3,41 @@
 // budget paces what is sent, as a token bucket. Received bytes are taken from it too, so that a machine which
 // receives much sends less.
 type budget struct {
-	rate   int64 // bytes a second
-	burst  int64 // bytes
-	tokens int64 // bytes times Second; below zero after much was received
-	at     Time
+	rate       int64 // bytes a second
+	burst      int64 // bytes
+	tokens     int64 // bytes times Second; below zero after much was received
+	refilledAt Time
 }
 
 // Bounds of traffic, sent and received together, headers of IP and UDP included.
 const (
-	frontRate    = 1_200 // bytes a second; with frontBurst about 20,000 in any ten seconds
-	frontBurst   = 8_000
-	controlRate  = 40_000 // a control machine does nothing else
-	controlBurst = 80_000
-	headerSize   = 28    // bytes of IP version 4 and UDP
-	smallReserve = 1_000 // bytes that chunks leave to small messages
-	largeReserve = 2_000 // the same where a payload has many chunks, so that it does not use up the burst
-	maxDebt      = 8_000 // bytes
+	frontRate      = 1_200 // bytes a second; with frontBurst about 20,000 in any ten seconds
+	frontBurst     = 8_000
+	controlRate    = 40_000 // a control machine does nothing else
+	controlBurst   = 80_000
+	packetOverhead = 28    // bytes of IP version 4 and UDP
+	smallReserve   = 1_000 // bytes that chunks leave to small messages
+	largeReserve   = 2_000 // the same where a payload has many chunks, so that it does not use up the burst
+	maxDebt        = 8_000 // bytes
 )
 
 func newBudget(now Time, rate, burst int64) budget {
-	return budget{rate: rate, burst: burst, tokens: burst * Second, at: now}
+	return budget{rate: rate, burst: burst, tokens: burst * Second, refilledAt: now}
 }
 
 func (b *budget) refill(now Time) {
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
-	elapsed := min(now-b.at, 60*Second)
+	elapsed := min(now-b.refilledAt, 60*Second)
 	b.tokens = min(b.tokens+elapsed*b.rate, b.burst*Second)
-	b.at = now
+	b.refilledAt = now
 }
 
 // spend takes the bytes of one message.
 func (b *budget) spend(now Time, size int) {
 	b.refill(now)
-	b.tokens = max(b.tokens-int64(size+headerSize)*Second, -maxDebt*Second)
+	b.tokens = max(b.tokens-int64(size+packetOverhead)*Second, -maxDebt*Second)
 }
 
 // allows tells whether a small message may go.
@@ -46,9 +46,9 @@
 	return b.tokens > 0
 }
 
-// reserve gives the bytes that a chunk of a payload of so many chunks leaves.
-func reserve(chunks int) int {
-	if chunks > smallPayload {
+// chunkReserve gives the bytes that a chunk of a payload of so many chunks leaves.
+func chunkReserve(chunks int) int {
+	if chunks > smallPayloadChunks {
 		return largeReserve
 	}
 	return smallReserve
@@ -60,8 +60,8 @@
 	return b.tokens >= int64(reserve+size)*Second
 }
 
-// chunkAt is when so many bytes may go and leave a reserve.
-func (b *budget) chunkAt(now Time, size, reserve int) Time {
+// chunkAllowedAt is when so many bytes may go and leave a reserve.
+func (b *budget) chunkAllowedAt(now Time, size, reserve int) Time {
 	b.refill(now)
 	missing := int64(reserve+size)*Second - b.tokens
 	if missing <= 0 {
@@ -70,8 +70,8 @@
 	return now + missing/b.rate + 1
 }
 
-// spent gives which part of the burst is used up, in thousandths.
-func (b *budget) spent(now Time) int64 {
+// usedPermille gives which part of the burst is used up, in thousandths.
+func (b *budget) usedPermille(now Time) int64 {
 	b.refill(now)
 	return 1000 - max(b.tokens, 0)*1000/(b.burst*Second)
 }
--- a/fleet/config/chain.go
+++ b/fleet/config/chain.go
@@ -4,13 +4,13 @@
 // delta.
 type chain struct {
 	version  Version
-	document []byte // encoded
-	steps    []step // each begins where the one before ended; the last ends at version
-	size     int    // bytes of the steps
+	document []byte      // encoded
+	steps    []chainStep // each begins where the one before ended; the last ends at version
+	size     int         // bytes of the steps
 }
 
-// step leads from one version's encoded document to a later one's.
-type step struct {
+// chainStep leads from one version's encoded document to a later one's.
+type chainStep struct {
 	from, to Version
 	delta    *delta
 }
@@ -27,18 +27,18 @@
 	if from != c.version || from == 0 || d == nil {
 		c.steps, c.size = nil, 0
 	} else {
-		c.steps = append(c.steps, step{from, to, d})
-		c.size += d.bytes()
+		c.steps = append(c.steps, chainStep{from, to, d})
+		c.size += d.memorySize()
 	}
 	for len(c.steps) > maxSteps || c.size > maxStepBytes {
-		c.size -= c.steps[0].delta.bytes()
+		c.size -= c.steps[0].delta.memorySize()
 		c.steps = c.steps[1:]
 	}
 	c.version, c.document = to, document
 }
 
-// knows tells whether a delta from a version can be made.
-func (c *chain) knows(from Version) bool {
+// hasDeltaFrom tells whether a delta from a version can be made.
+func (c *chain) hasDeltaFrom(from Version) bool {
 	if from == c.version {
 		return false
 	}
@@ -62,7 +62,7 @@
 		case s.from == from:
 			joined = s.delta
 		case joined != nil:
-			joined = joined.then(s.delta)
+			joined = joined.compose(s.delta)
 		}
 	}
 	return joined
--- a/fleet/config/delta.go
+++ b/fleet/config/delta.go
@@ -24,20 +24,20 @@
 }
 
 const (
-	deltaBlock  = 16                  // bytes that have to be alike before a copy is looked at
-	maxDelta    = MaxDocument + 4<<10 // bytes of an encoded delta
-	minDeflate  = 128                 // bytes below which a payload is not worth compressing
-	payloadRaw  = 0
-	payloadFlat = 1
+	deltaBlockSize  = 16                  // bytes that have to be alike before a copy is looked at
+	maxDelta        = MaxDocument + 4<<10 // bytes of an encoded delta
+	minDeflate      = 128                 // bytes below which a payload is not worth compressing
+	payloadRaw      = 0
+	payloadDeflated = 1
 )
 
 // makeDelta finds how old becomes new. The same texts lead to the same delta.
 func makeDelta(old, new []byte) *delta {
 	d := &delta{size: len(new), sum: xxhash.Sum64(new)}
-	places := blockPlaces(old)
+	offsets := blockOffsets(old)
 	begin := 0 // of what is not written yet
-	for at := 0; at+deltaBlock <= len(new); {
-		offset, has := places[[deltaBlock]byte(new[at:at+deltaBlock])]
+	for at := 0; at+deltaBlockSize <= len(new); {
+		offset, has := offsets[[deltaBlockSize]byte(new[at:at+deltaBlockSize])]
 		if !has {
 			at++
 			continue
@@ -53,16 +53,16 @@
 	return d
 }
 
-// blockPlaces gives where each block of a text stands first.
-func blockPlaces(text []byte) map[[deltaBlock]byte]int {
-	places := make(map[[deltaBlock]byte]int, len(text)/deltaBlock)
-	for at := 0; at+deltaBlock <= len(text); at += deltaBlock {
-		block := [deltaBlock]byte(text[at : at+deltaBlock])
-		if _, has := places[block]; !has {
-			places[block] = at
+// blockOffsets gives where each block of a text stands first.
+func blockOffsets(text []byte) map[[deltaBlockSize]byte]int {
+	offsets := make(map[[deltaBlockSize]byte]int, len(text)/deltaBlockSize)
+	for at := 0; at+deltaBlockSize <= len(text); at += deltaBlockSize {
+		block := [deltaBlockSize]byte(text[at : at+deltaBlockSize])
+		if _, has := offsets[block]; !has {
+			offsets[block] = at
 		}
 	}
-	return places
+	return offsets
 }
 
 func commonPrefix(x, y []byte) int {
@@ -132,21 +132,21 @@
 	return text, nil
 }
 
-// then gives the delta that does what d and after it next does.
-func (d *delta) then(next *delta) *delta {
+// compose gives the delta that does what d and after it next does.
+func (d *delta) compose(next *delta) *delta {
 	joined := &delta{size: next.size, sum: next.sum}
 	for _, op := range next.ops {
 		if op.insert != nil {
 			joined.insert(op.insert)
 		} else {
-			joined.copyThrough(d, op.offset, op.length)
+			joined.copyComposed(d, op.offset, op.length)
 		}
 	}
 	return joined
 }
 
-// copyThrough adds what a copy from the text that first leads to means for the text before it.
-func (d *delta) copyThrough(first *delta, offset, length int) {
+// copyComposed adds what a copy from the text that first leads to means for the text before it.
+func (d *delta) copyComposed(first *delta, offset, length int) {
 	begin := 0 // of an operation's part in the text between
 	for _, op := range first.ops {
 		from, to := max(offset, begin), min(offset+length, begin+op.length)
@@ -162,8 +162,8 @@
 	}
 }
 
-// bytes estimates the memory that a delta holds.
-func (d *delta) bytes() int {
+// memorySize estimates the memory that a delta holds.
+func (d *delta) memorySize() int {
 	total := 64
 	for _, op := range d.ops {
 		total += 48 + len(op.insert)
@@ -171,8 +171,8 @@
 	return total
 }
 
-// payload encodes a delta as it is sent and logged, compressed where that is shorter.
-func (d *delta) payload() []byte {
+// encode encodes a delta as it is sent and logged, compressed where that is shorter.
+func (d *delta) encode() []byte {
 	raw := binary.AppendUvarint([]byte{payloadRaw}, uint64(d.size))
 	raw = binary.LittleEndian.AppendUint64(raw, d.sum)
 	for _, op := range d.ops {
@@ -195,7 +195,7 @@
 
 func deflate(text []byte) []byte {
 	var out bytes.Buffer
-	out.WriteByte(payloadFlat)
+	out.WriteByte(payloadDeflated)
 	writer, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
 		return text // the level is a sound one
@@ -223,7 +223,7 @@
 	raw := payload[1:]
 	switch payload[0] {
 	case payloadRaw:
-	case payloadFlat:
+	case payloadDeflated:
 		raw, err = inflate(raw)
 	default:
 		err = fmt.Errorf("%w: a delta of an unknown form", ErrMalformed)
--- a/fleet/config/distributor.go
+++ b/fleet/config/distributor.go
@@ -19,21 +19,21 @@
 // the Log must be changed by the same one.
 type Distributor struct {
 	node
-	host      DistributorHost
-	log       *Log
-	leads     bool
-	served    Version // the newest that children were told of
-	appliedAt Time    // when it was
-	rollout   rollout
+	host        DistributorHost
+	log         *Log
+	isLeader    bool
+	announced   Version // the newest that children were told of
+	announcedAt Time    // when it was
+	rollout     rollout
 }
 
 // NewDistributor starts a distributor. log is the state that entries are applied to beside it.
 func NewDistributor(now Time, options DistributorOptions, log *Log, host DistributorHost) *Distributor {
-	d := &Distributor{host: host, log: log, appliedAt: now, served: log.Newest()}
+	d := &Distributor{host: host, log: log, announcedAt: now, announced: log.Newest()}
 	d.node = newNode(now, options.Fleet, options.Name, options.Seed, host.Send)
 	d.budget = newBudget(now, controlRate, controlBurst)
 	d.chain = &log.chain
-	d.children.most = controlMost
+	d.children.limit = maxControlChildren
 	return d
 }
 
@@ -47,9 +47,9 @@
 // does is reached (none: not known).
 func (d *Distributor) SetLeader(now Time, leads bool, leader string) {
 	d.now = now
-	if leads != d.leads {
-		d.leads = leads
-		d.appliedAt = now // an earlier leader may have served it; a wait that is too long does no harm
+	if leads != d.isLeader {
+		d.isLeader = leads
+		d.announcedAt = now // an earlier leader may have served it; a wait that is too long does no harm
 		d.rollout = rollout{}
 	}
 	if leads || leader == "" {
@@ -60,7 +60,7 @@
 		return
 	}
 	d.upstreams = []*upstream{{reportsTo: true, fixed: true, addr: leader, nextAt: now}}
-	d.reports.again(now)
+	d.reports.resendAll(now)
 }
 
 // LeadershipConfirmed tells that a read by quorum, asked at the moment asked, has found this machine to lead, and that
@@ -68,36 +68,36 @@
 // fleet's. Ask about once a second while this machine leads.
 func (d *Distributor) LeadershipConfirmed(now, asked Time) {
 	d.now = now
-	d.proof.prove(asked)
+	d.proof.record(asked)
 }
 
 // LogChanged tells that entries were applied to the log, or a snapshot was restored.
 func (d *Distributor) LogChanged(now Time) {
 	d.now = now
-	if d.log.Newest() == d.served {
+	if d.log.Newest() == d.announced {
 		return
 	}
-	d.served, d.appliedAt = d.log.Newest(), now
-	d.rollout = rollout{since: now}
-	d.newVersion()
+	d.announced, d.announcedAt = d.log.Newest(), now
+	d.rollout = rollout{stepSince: now}
+	d.scheduleOffer()
 }
 
 // Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
 func (d *Distributor) Receive(now Time, from string, message []byte) {
 	d.now = now
-	d.take(from, message)
+	d.receive(from, message)
 }
 
 // Next is when Beat must be called again.
-func (d *Distributor) Next() Time { return min(d.next(), max(d.rollout.lookAt, d.now+1)) }
+func (d *Distributor) Next() Time { return min(d.nextTick(), max(d.rollout.checkAt, d.now+1)) }
 
 // Tick does what is due.
 func (d *Distributor) Tick(now Time) {
 	d.now = now
-	d.beat()
-	d.reports.forget(now, forgetFronts)
-	if now >= d.rollout.lookAt {
-		d.rollout.lookAt = now + rolloutSpan
-		d.lookAtRollout()
+	d.tick()
+	d.reports.expire(now, frontTTL)
+	if now >= d.rollout.checkAt {
+		d.rollout.checkAt = now + rolloutInterval
+		d.checkRollout()
 	}
 }
--- a/fleet/config/document.go
+++ b/fleet/config/document.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// size gives the bytes of all texts together.
-func (d *Document) size() int {
+// textBytes gives the bytes of all texts together.
+func (d *Document) textBytes() int {
 	total := 0
 	for _, t := range d.Texts {
 		total += len(t.Text)
@@ -101,20 +101,20 @@
 	return total
 }
 
-// fits tells what bound the document breaks.
-func (d *Document) fits() error {
+// checkSize tells what bound the document breaks.
+func (d *Document) checkSize() error {
 	if len(d.Texts) > MaxScopes {
 		return fmt.Errorf("%w: %d scopes, at most %d", ErrTooLarge, len(d.Texts), MaxScopes)
 	}
-	if size := d.size(); size > MaxTextBytes {
+	if size := d.textBytes(); size > MaxTextBytes {
 		return fmt.Errorf("%w: all texts together have %d bytes, at most %d", ErrTooLarge, size, MaxTextBytes)
 	}
 	return nil
 }
 
-// copy gives a document that can be changed without changing this one. Texts are shared: they are never
+// clone gives a document that can be changed without changing this one. Texts are shared: they are never
 // written to.
-func (d *Document) copy() *Document {
+func (d *Document) clone() *Document {
 	twin := *d
 	twin.Texts = slices.Clone(d.Texts)
 	return &twin
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := d.fits(); err != nil || d.Version == 0 {
+	if err := d.checkSize(); err != nil || d.Version == 0 {
 		return nil, fmt.Errorf("%w: a document over its bounds or without a version", ErrMalformed)
 	}
 	return d, nil
@@ -226,7 +226,7 @@
 		}
 		return nil
 	})
-	if err == nil && (!t.Scope.sound() || len(t.Text) > MaxTextBytes) {
+	if err == nil && (!t.Scope.valid() || len(t.Text) > MaxTextBytes) {
 		err = fmt.Errorf("%w: a scope's name or its text", ErrMalformed)
 	}
 	return t, err
@@ -243,7 +243,7 @@
 		case stageStep:
 			s.Step = Step(min(f.value, math.MaxUint8))
 		default:
-			err = s.Plan.take(f)
+			err = s.Plan.readField(f)
 		}
 		return err
 	})
@@ -253,27 +253,27 @@
 	return s, err
 }
 
-// take takes one field of a plan in.
-func (p *Plan) take(f field) (err error) {
+// readField takes one field of a plan in.
+func (p *Plan) readField(f field) (err error) {
 	switch f.number {
 	case stageFront:
 		p.Front, err = f.text(MaxName)
 	case stageZone:
 		p.Zone, err = f.text(MaxName)
 	case stageSoak:
-		p.Soak, err = f.span(maxSoak)
+		p.Soak, err = f.duration(maxSoak)
 	case stageLimit:
-		p.Limit, err = f.span(maxLimit)
+		p.Limit, err = f.duration(maxLimit)
 	}
 	return err
 }
 
-// step gives the step that comes behind one, 0 if all fronts come next.
-func (p *Plan) step(behind Step) Step {
-	if behind < StepFront && p.Front != "" {
+// nextStep gives the step that comes behind one, 0 if all fronts come next.
+func (p *Plan) nextStep(current Step) Step {
+	if current < StepFront && p.Front != "" {
 		return StepFront
 	}
-	if behind < StepZone && p.Zone != "" {
+	if current < StepZone && p.Zone != "" {
 		return StepZone
 	}
 	return 0
--- a/fleet/config/entry.go
+++ b/fleet/config/entry.go
@@ -6,7 +6,7 @@
 )
 
 // entryMark is the first byte of each entry. Entries of package lease begin with 1.
-const entryMark = 0xC5
+const entryMagic = 0xC5
 
 // entry is one change of a Log, as it stands in the replicated log.
 type entry struct {
@@ -37,10 +37,10 @@
 
 // IsEntry tells whether bytes of the shared replicated log are an entry of this package. Those of package
 // lease are not.
-func IsEntry(entry []byte) bool { return len(entry) > 0 && entry[0] == entryMark }
+func IsEntry(entry []byte) bool { return len(entry) > 0 && entry[0] == entryMagic }
 
 func (e *entry) encode() []byte {
-	dst := e.appendHead([]byte{entryMark})
+	dst := e.appendHeader([]byte{entryMagic})
 	dst = appendText(dst, entryScope, e.scope)
 	dst = appendNumber(dst, entryProgram, uint64(e.program))
 	dst = appendText(dst, entryPatch, e.patch)
@@ -50,8 +50,8 @@
 	return dst
 }
 
-// appendHead appends what history keeps of an entry.
-func (e *entry) appendHead(dst []byte) []byte {
+// appendHeader appends what history keeps of an entry.
+func (e *entry) appendHeader(dst []byte) []byte {
 	dst = appendNumber(dst, entryKind, uint64(e.kind))
 	dst = appendNumber(dst, entryBase, uint64(e.base))
 	dst = appendNumber(dst, entryTo, uint64(e.to))
@@ -65,20 +65,20 @@
 		return nil, fmt.Errorf("%w: an entry of an unknown shape", ErrMalformed)
 	}
 	e := &entry{}
-	if err := eachField(encoded[1:], e.take); err != nil {
+	if err := eachField(encoded[1:], e.readField); err != nil {
 		return nil, err
 	}
 	if e.kind < KindChange || e.kind > KindAbort {
 		return nil, fmt.Errorf("%w: an entry of an unknown kind", ErrMalformed)
 	}
-	if e.kind == KindChange && !e.scope.sound() {
+	if e.kind == KindChange && !e.scope.valid() {
 		return nil, fmt.Errorf("%w: a scope's name", ErrMalformed)
 	}
 	return e, nil
 }
 
-// take takes one field in.
-func (e *entry) take(f field) (err error) {
+// readField takes one field in.
+func (e *entry) readField(f field) (err error) {
 	switch f.number {
 	case entryKind:
 		e.kind = Kind(min(f.value, math.MaxUint8))
@@ -100,7 +100,7 @@
 		e.patch = f.bytes
 	case entryPlan:
 		e.plan = &Plan{}
-		err = eachField(f.bytes, e.plan.take)
+		err = eachField(f.bytes, e.plan.readField)
 	}
 	return err
 }
--- a/fleet/config/fleet_test.go
+++ b/fleet/config/fleet_test.go
@@ -8,25 +8,25 @@
 
 // Bounds that the users have set.
 const (
-	lastFront  = 6 * Second
-	mostTalk   = 3000 // bytes a second, sent and received, in the worst ten seconds
-	startsTalk = 20   // seconds after the world's start that are told apart
+	maxPropagation = 6 * Second
+	maxTrafficRate = 3000 // bytes a second, sent and received, in the worst ten seconds
+	warmupSeconds  = 20   // seconds after the world's start that are told apart
 )
 
-// delays gathers, for each change, how long after its commit each front had it in force.
-type delays struct {
+// propagation gathers, for each change, how long after its commit each front had it in force.
+type propagation struct {
 	committed []Time // by version
 	all, last []Time
 	late      int // fronts that were up all the while and did not have it within lastFront
 }
 
-// follow notes each change from its commit on.
-func follow(w *world) *delays {
-	d := &delays{committed: make([]Time, 1)}
+// trackPropagation notes each change from its commit on.
+func trackPropagation(w *world) *propagation {
+	d := &propagation{committed: make([]Time, 1)}
 	reached := map[*machine]Version{}
-	w.onForce = func(m *machine, v Version) {
+	w.onInForce = func(m *machine, v Version) {
 		for k := reached[m] + 1; k <= v; k++ {
-			if since := d.committed[k]; since >= m.since {
+			if since := d.committed[k]; since >= m.startedAt {
 				d.all = append(d.all, w.now-since)
 				d.last[k-1] = max(d.last[k-1], w.now-since)
 			}
@@ -36,14 +36,14 @@
 	return d
 }
 
-func (d *delays) commit(w *world, scope Scope, text string, plan *Plan) Version {
+func (d *propagation) commit(w *world, scope Scope, text string, plan *Plan) Version {
 	d.committed = append(d.committed, w.now)
 	d.last = append(d.last, 0)
 	v := w.change(scope, text, plan)
 	began := w.now
-	w.at(w.now+lastFront, func() {
+	w.at(w.now+maxPropagation, func() {
 		for _, m := range w.fronts {
-			if !m.down && m.since <= began && m.agent.InForce() < v && (w.cut == nil || !w.cut(w.leader(), m)) {
+			if !m.down && m.startedAt <= began && m.agent.InForce() < v && (w.cut == nil || !w.cut(w.leader(), m)) {
 				d.late++
 			}
 		}
@@ -51,35 +51,35 @@
 	return v
 }
 
-// of gives a part in a thousand of sorted spans, in milliseconds.
-func of(spans []Time, part int) Time {
+// permille gives a part in a thousand of sorted spans, in milliseconds.
+func permille(spans []Time, part int) Time {
 	slices.Sort(spans)
 	return spans[(len(spans)-1)*part/1000] / Millisecond
 }
 
-// talk gives the fronts' worst ten seconds, in bytes a second: the median front's and the worst front's.
-func (w *world) talk(from int) (median, most int64) {
+// trafficRates gives the fronts' worst ten seconds, in bytes a second: the median front's and the worst front's.
+func (w *world) trafficRates(from int) (median, most int64) {
 	var worst []int64
 	for _, m := range w.fronts {
-		worst = append(worst, m.worst(from))
+		worst = append(worst, m.worstRate(from))
 	}
 	slices.Sort(worst)
 	return worst[len(worst)/2], worst[len(worst)-1]
 }
 
-// lose has machines go at once, and come back together after a while.
-func (w *world) lose(span Time, machines []*machine) {
+// stopFor has machines go at once, and come back together after a while.
+func (w *world) stopFor(span Time, machines []*machine) {
 	for _, m := range machines {
 		m.stop()
 	}
-	w.lead()
+	w.updateLeader()
 	w.at(w.now+span, func() {
 		for _, m := range machines {
 			if m.down {
 				w.start(m)
 			}
 		}
-		w.lead()
+		w.updateLeader()
 	})
 }
 
@@ -94,53 +94,53 @@
 
 // fullSize is how many fronts the largest plays have.
 func fullSize() int {
-	if raced {
+	if raceEnabled {
 		return 120
 	}
 	return 800
 }
 
-func long() bool { return os.Getenv("MICATRACK_LONG") != "" }
+func longRun() bool { return os.Getenv("MICATRACK_LONG") != "" }
 
-func TestHardCase7EightHundredFronts(t *testing.T) {
+func TestLargeFleetWithLossAndRestarts(t *testing.T) {
 	changes, restarts := 12, 3
-	if long() {
+	if longRun() {
 		changes, restarts = 3100, 640
 	}
 	w := newWorld(t, 7, 5, fullSize(), 6)
 	w.loss = 50
 	for k := 0; k < len(w.fronts); k += 10 {
-		w.fronts[k].slow = 300 * Millisecond
+		w.fronts[k].extraDelay = 300 * Millisecond
 	}
-	w.run(startsTalk * Second)
-	d := follow(w)
+	w.run(warmupSeconds * Second)
+	d := trackPropagation(w)
 	for k := range changes {
 		d.commit(w, "settings", settings(40, k%40, k), nil)
 		if k*restarts/changes != (k+1)*restarts/changes {
 			m := w.fronts[w.source.Below(int64(len(w.fronts)))]
 			m.stop()
-			w.lose(2*Second, []*machine{m})
+			w.stopFor(2*Second, []*machine{m})
 		}
 		switch k {
 		case changes / 3:
-			w.lose(60*Second, w.fronts[60:80]) // a rack
+			w.stopFor(60*Second, w.fronts[60:80]) // a rack
 		case changes * 2 / 3:
-			w.lose(120*Second, w.inZone("zone3"))
+			w.stopFor(120*Second, w.inZone("zone3"))
 		}
 		w.run(4 * Second)
 	}
-	w.run(lastFront)
-	median, most := w.talk(startsTalk)
+	w.run(maxPropagation)
+	median, most := w.trafficRates(warmupSeconds)
 	t.Logf("%d changes: in force at the median front after %d ms, at 99 of 100 after %d ms, at the last after %d ms (median change %d ms)",
-		changes, of(d.all, 500), of(d.all, 990), of(d.last, 1000), of(d.last, 500))
-	t.Logf("worst ten seconds of a front: median %d B/s, most %d B/s; of control machine 0 %d B/s", median, most, w.controls[0].worst(startsTalk))
-	if d.late > 0 || of(d.last, 1000) > lastFront/Millisecond {
-		t.Errorf("%d fronts later than %d ms", d.late, lastFront/Millisecond)
+		changes, permille(d.all, 500), permille(d.all, 990), permille(d.last, 1000), permille(d.last, 500))
+	t.Logf("worst ten seconds of a front: median %d B/s, most %d B/s; of control machine 0 %d B/s", median, most, w.controls[0].worstRate(warmupSeconds))
+	if d.late > 0 || permille(d.last, 1000) > maxPropagation/Millisecond {
+		t.Errorf("%d fronts later than %d ms", d.late, maxPropagation/Millisecond)
 	}
-	if most > mostTalk {
+	if most > maxTrafficRate {
 		t.Errorf("%d bytes a second", most)
 	}
-	w.check()
+	w.reportFailures()
 }
 
 // TestAllFrontsStartAtOnce: nobody has a disk, so each needs the whole snapshot.
@@ -155,14 +155,14 @@
 		m.stop()
 		w.start(m)
 	}
-	from := w.second()
-	took := w.runUntil(120*Second, func() bool { return w.everyone(v, nil) })
-	payload := newPayload(0, v, w.leader().log.chain.deltaFrom(0).payload())
-	median, most := w.talk(from)
+	from := w.currentSecond()
+	took := w.runUntil(120*Second, func() bool { return w.allInForce(v, nil) })
+	payload := newPayload(0, v, w.leader().log.chain.deltaFrom(0).encode())
+	median, most := w.trafficRates(from)
 	t.Logf("%d bytes, %d as carried: all %d have it %d ms after their start; worst ten seconds median %d B/s, most %d B/s",
 		len(text), payload.size(), len(w.fronts), took/Millisecond, median, most)
-	if took < 0 || most > mostTalk {
+	if took < 0 || most > maxTrafficRate {
 		t.Errorf("%d ms, %d B/s", took/Millisecond, most)
 	}
-	w.check()
+	w.reportFailures()
 }
--- a/fleet/config/history.go
+++ b/fleet/config/history.go
@@ -10,7 +10,7 @@
 
 type record struct {
 	Record
-	before []byte // a payload: from this version's document to the one before
+	previousDelta []byte // a payload: from this version's document to the one before
 }
 
 const maxHistoryBytes = 512 << 10 // of all records, encoded
@@ -23,27 +23,27 @@
 
 // add notes a new version. The oldest go where there are too many.
 func (h *history) add(v Version, e *entry, before []byte) {
-	r := record{before: before, Record: Record{Version: v, Kind: e.kind, Scope: e.scope, To: e.to}}
+	r := record{previousDelta: before, Record: Record{Version: v, Kind: e.kind, Scope: e.scope, To: e.to}}
 	r.Author, r.Reason, r.At = e.author, e.reason, e.at
 	h.records = append(h.records, r)
-	h.size += r.bytes()
+	h.size += r.estimatedSize()
 	for len(h.records) > MaxHistory || h.size > maxHistoryBytes && len(h.records) > 1 {
-		h.size -= h.records[0].bytes()
+		h.size -= h.records[0].estimatedSize()
 		h.records = h.records[1:]
 	}
 }
 
-func (r *record) bytes() int {
-	return 64 + len(r.Scope) + len(r.Author) + len(r.Reason) + len(r.before)
+func (r *record) estimatedSize() int {
+	return 64 + len(r.Scope) + len(r.Author) + len(r.Reason) + len(r.previousDelta)
 }
 
-// back hands over versions' documents from the newest to the oldest that is known, until it is told to stop.
-func (h *history) back(document []byte, take func(v Version, document []byte) bool) {
+// walkBack hands over versions' documents from the newest to the oldest that is known, until it is told to stop.
+func (h *history) walkBack(document []byte, visit func(v Version, document []byte) bool) {
 	for k := len(h.records) - 1; k >= 0; k-- {
-		if !take(h.records[k].Version, document) {
+		if !visit(h.records[k].Version, document) {
 			return
 		}
-		before, err := readDelta(h.records[k].before)
+		before, err := readDelta(h.records[k].previousDelta)
 		if err != nil {
 			return
 		}
@@ -77,14 +77,14 @@
 
 func (r *record) append(dst []byte) []byte {
 	e := entry{kind: r.Kind, to: r.To, author: r.Author, reason: r.Reason, at: r.At}
-	dst = e.appendHead(dst)
+	dst = e.appendHeader(dst)
 	dst = appendText(dst, entryScope, r.Scope)
 	dst = appendNumber(dst, recordVersion, uint64(r.Version))
-	return appendPart(dst, recordBefore, r.before)
+	return appendPart(dst, recordBefore, r.previousDelta)
 }
 
-// read takes one more record in.
-func (h *history) read(encoded []byte) error {
+// readRecord takes one more record in.
+func (h *history) readRecord(encoded []byte) error {
 	var e entry
 	var version Version
 	var before []byte
@@ -95,7 +95,7 @@
 		case recordBefore:
 			before = f.bytes
 		default:
-			return e.take(f)
+			return e.readField(f)
 		}
 		return nil
 	})
--- a/fleet/config/log.go
+++ b/fleet/config/log.go
@@ -26,7 +26,7 @@
 // Prepare checks a change and gives the entry to propose. The change is not in force by that: its entry has
 // to be applied. Errors: ErrFaulty, ErrTooLarge, ErrVersionConflict, ErrRollout.
 func (l *Log) Prepare(c Change, check CheckFunc) (entry []byte, err error) {
-	if err := c.sound(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	if c.Base != l.Newest() {
@@ -38,15 +38,15 @@
 	e := c.entry()
 	if len(c.Text) > 0 {
 		old, _ := l.document.Text(c.Scope)
-		e.patch = makeDelta(old, c.Text).payload()
+		e.patch = makeDelta(old, c.Text).encode()
 	}
-	return l.prepared(e)
+	return l.encodeChecked(e)
 }
 
 // PrepareRollback does the same for a rollback; the old texts are checked as new ones are. Errors:
 // ErrUnknownVersion and those of Prepare but ErrRollout.
 func (l *Log) PrepareRollback(r Rollback, check CheckFunc) (entry []byte, err error) {
-	if err := soundNotes(r.Author, r.Reason, r.At); err != nil {
+	if err := validateAttribution(r.Author, r.Reason, r.At); err != nil {
 		return nil, err
 	}
 	old, err := l.DocumentAt(r.To)
@@ -58,27 +58,27 @@
 			return nil, err
 		}
 	}
-	e := entryOf(KindRollback, r.Base, r.Author, r.Reason, r.At)
+	e := newEntry(KindRollback, r.Base, r.Author, r.Reason, r.At)
 	e.to = r.To
-	return l.prepared(e)
+	return l.encodeChecked(e)
 }
 
 // PrepareAbort gives the entry that stops the open roll-out. Errors: ErrNoRollout.
 func (l *Log) PrepareAbort(author, reason string, at int64) (entry []byte, err error) {
-	if err := soundNotes(author, reason, at); err != nil {
+	if err := validateAttribution(author, reason, at); err != nil {
 		return nil, err
 	}
-	return l.prepared(entryOf(KindAbort, l.Newest(), author, reason, at))
+	return l.encodeChecked(newEntry(KindAbort, l.Newest(), author, reason, at))
 }
 
 // prepareAdvance gives the entry for the next step of the open roll-out.
 func (l *Log) prepareAdvance(author, reason string, at int64) ([]byte, error) {
-	return l.prepared(entryOf(KindAdvance, l.Newest(), author, reason, at))
+	return l.encodeChecked(newEntry(KindAdvance, l.Newest(), author, reason, at))
 }
 
-// prepared encodes an entry that would count if it was applied now.
-func (l *Log) prepared(e *entry) ([]byte, error) {
-	if _, err := l.next(e); err != nil {
+// encodeChecked encodes an entry that would count if it was applied now.
+func (l *Log) encodeChecked(e *entry) ([]byte, error) {
+	if _, err := l.evaluate(e); err != nil {
 		return nil, err
 	}
 	encoded := e.encode()
@@ -88,22 +88,22 @@
 	return encoded, nil
 }
 
-func entryOf(kind Kind, base Version, author, reason string, at int64) *entry {
+func newEntry(kind Kind, base Version, author, reason string, at int64) *entry {
 	return &entry{kind: kind, base: base, author: author, reason: reason, at: at}
 }
 
 func (c *Change) entry() *entry {
-	e := entryOf(KindChange, c.Base, c.Author, c.Reason, c.At)
+	e := newEntry(KindChange, c.Base, c.Author, c.Reason, c.At)
 	e.scope, e.program = c.Scope, c.Program
-	if c.Plan != nil && c.Plan.step(0) != 0 {
+	if c.Plan != nil && c.Plan.nextStep(0) != 0 {
 		e.plan = c.Plan
 	}
 	return e
 }
 
-// sound tells which bound a change breaks.
-func (c *Change) sound() error {
-	if !c.Scope.sound() {
+// validate tells which bound a change breaks.
+func (c *Change) validate() error {
+	if !c.Scope.valid() {
 		return fmt.Errorf("%w: a scope's name is 1 to %d of a-z, 0-9, - and _", ErrInvalid, MaxScopeName)
 	}
 	if len(c.Text) > MaxTextBytes {
@@ -117,11 +117,11 @@
 			return fmt.Errorf("%w: a plan's soak is at most an hour, its limit a day", ErrTooLarge)
 		}
 	}
-	return soundNotes(c.Author, c.Reason, c.At)
+	return validateAttribution(c.Author, c.Reason, c.At)
 }
 
-// soundNotes tells which bound the notes for the history break.
-func soundNotes(author, reason string, at int64) error {
+// validateAttribution tells which bound the notes for the history break.
+func validateAttribution(author, reason string, at int64) error {
 	if author == "" || reason == "" || at < 0 {
 		return fmt.Errorf("%w: author, reason and time have to be named", ErrInvalid)
 	}
@@ -154,50 +154,50 @@
 	if err != nil {
 		return Result{l.Newest(), err}
 	}
-	next, err := l.next(e)
+	next, err := l.evaluate(e)
 	if err != nil {
 		return Result{l.Newest(), err}
 	}
-	l.accept(next, e)
+	l.setNewest(next, e)
 	return Result{Version: next.Version}
 }
 
-// accept makes a document the newest version.
-func (l *Log) accept(next *Document, e *entry) {
+// setNewest makes a document the newest version.
+func (l *Log) setNewest(next *Document, e *entry) {
 	document := next.Append(nil)
 	old := l.chain.document
-	l.history.add(next.Version, e, makeDelta(document, old).payload())
+	l.history.add(next.Version, e, makeDelta(document, old).encode())
 	l.chain.add(l.Newest(), next.Version, document, makeDelta(old, document))
 	l.document = next
 }
 
-// next gives what an entry leads to, and changes nothing. Danger: an entry may be committed late, by a leader
+// evaluate gives what an entry leads to, and changes nothing. Danger: an entry may be committed late, by a leader
 // that was deposed, or together with another writer's: it counts for the very version that its proposer saw.
-func (l *Log) next(e *entry) (*Document, error) {
+func (l *Log) evaluate(e *entry) (*Document, error) {
 	if e.base != l.Newest() {
 		return nil, &ConflictError{e.base, l.Newest()}
 	}
-	next := l.document.copy()
+	next := l.document.clone()
 	next.Version++
 	var err error
 	switch e.kind {
 	case KindChange:
-		err = next.change(e)
+		err = next.applyChange(e)
 	case KindRollback:
-		err = l.rollback(next, e.to)
+		err = l.applyRollback(next, e.to)
 	case KindAdvance:
-		err = next.advance()
+		err = next.advanceRollout()
 	case KindAbort:
-		err = next.abort()
+		err = next.abortRollout()
 	}
 	if err == nil {
-		err = next.fits()
+		err = next.checkSize()
 	}
 	return next, err
 }
 
-// change makes a change in a document, or stages it.
-func (d *Document) change(e *entry) error {
+// applyChange makes a change in a document, or stages it.
+func (d *Document) applyChange(e *entry) error {
 	if d.Stage != nil {
 		return fmt.Errorf("%w since version %d", ErrRolloutOpen, d.Stage.Began)
 	}
@@ -212,23 +212,23 @@
 			return err
 		}
 	}
-	if e.plan == nil || e.plan.step(0) == 0 {
+	if e.plan == nil || e.plan.nextStep(0) == 0 {
 		d.put(text)
 		return nil
 	}
-	d.Stage = &Stage{Change: text, Began: d.Version, Step: e.plan.step(0), Plan: *e.plan}
-	whole := d.copy()
+	d.Stage = &Stage{Change: text, Began: d.Version, Step: e.plan.nextStep(0), Plan: *e.plan}
+	whole := d.clone()
 	whole.put(text)
-	return whole.fits()
+	return whole.checkSize()
 }
 
-// advance brings the open roll-out one step further.
-func (d *Document) advance() error {
+// advanceRollout brings the open roll-out one step further.
+func (d *Document) advanceRollout() error {
 	if d.Stage == nil {
 		return ErrNoRollout
 	}
 	stage := *d.Stage
-	stage.Step = stage.Plan.step(stage.Step)
+	stage.Step = stage.Plan.nextStep(stage.Step)
 	if stage.Step == 0 {
 		d.put(stage.Change)
 		d.Stage = nil
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// abort ends the open roll-out without its change.
-func (d *Document) abort() error {
+// abortRollout ends the open roll-out without its change.
+func (d *Document) abortRollout() error {
 	if d.Stage == nil {
 		return ErrNoRollout
 	}
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// rollback gives a document the texts of an older version.
-func (l *Log) rollback(next *Document, to Version) error {
+// applyRollback gives a document the texts of an older version.
+func (l *Log) applyRollback(next *Document, to Version) error {
 	old, err := l.DocumentAt(to)
 	if err != nil {
 		return err
@@ -261,7 +261,7 @@
 // DocumentAt gives an older version, without its stage if it had one. Errors: ErrUnknownVersion.
 func (l *Log) DocumentAt(v Version) (*Document, error) {
 	var found []byte
-	l.history.back(l.chain.document, func(version Version, document []byte) bool {
+	l.history.walkBack(l.chain.document, func(version Version, document []byte) bool {
 		if version == v {
 			found = document
 		}
@@ -293,7 +293,7 @@
 	if l.Newest() == 0 {
 		return nil
 	}
-	dst := appendPart([]byte{entryMark}, snapshotDocument, l.chain.document)
+	dst := appendPart([]byte{entryMagic}, snapshotDocument, l.chain.document)
 	for k := range l.history.records {
 		dst = appendPart(dst, snapshotRecord, l.history.records[k].append(nil))
 	}
@@ -306,7 +306,7 @@
 		*l = *NewLog()
 		return nil
 	}
-	if snapshot[0] != entryMark || len(snapshot) > MaxSnapshot {
+	if snapshot[0] != entryMagic || len(snapshot) > MaxSnapshot {
 		return fmt.Errorf("%w: no snapshot of a configuration", ErrMalformed)
 	}
 	restored := NewLog()
@@ -316,28 +316,28 @@
 			restored.chain.document = f.bytes
 			restored.document, err = ReadDocument(f.bytes)
 		case snapshotRecord:
-			err = restored.history.read(f.bytes)
+			err = restored.history.readRecord(f.bytes)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if err := restored.rebuild(); err != nil {
+	if err := restored.rebuildChain(); err != nil {
 		return err
 	}
 	*l = *restored
 	return nil
 }
 
-// rebuild makes the steps between versions from what history keeps.
-func (l *Log) rebuild() error {
+// rebuildChain makes the steps between versions from what history keeps.
+func (l *Log) rebuildChain() error {
 	newest := l.document.Version
 	if newest == 0 || l.history.newest() != newest {
 		return fmt.Errorf("%w: a snapshot whose history is another's", ErrMalformed)
 	}
 	var documents [][]byte // from the newest back
-	l.history.back(l.chain.document, func(_ Version, document []byte) bool {
+	l.history.walkBack(l.chain.document, func(_ Version, document []byte) bool {
 		documents = append(documents, document)
 		return true
 	})
--- a/fleet/config/log_test.go
+++ b/fleet/config/log_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// made applies a change to a log and gives the version.
-func made(t testing.TB, l *Log, scope Scope, text string, plan *Plan) Version {
+// applyText applies a change to a log and gives the version.
+func applyText(t testing.TB, l *Log, scope Scope, text string, plan *Plan) Version {
 	t.Helper()
 	entry, err := l.Prepare(Change{l.Newest(), scope, []byte(text), "ana", "a test", 5, 0, plan}, nil)
 	if err != nil {
@@ -24,9 +24,9 @@
 	return r.Version
 }
 
-func TestTwoWritersOneWins(t *testing.T) {
+func TestConcurrentWritersOneWins(t *testing.T) {
 	l := NewLog()
-	made(t, l, "settings", "one", nil)
+	applyText(t, l, "settings", "one", nil)
 	var entries [][]byte
 	for k := range 3 {
 		entry, err := l.Prepare(Change{Base: 1, Scope: "settings", Text: []byte(fmt.Sprint("text", k)), Author: "ana", Reason: "a test"}, nil)
@@ -53,7 +53,7 @@
 func TestRollbackAndHistory(t *testing.T) {
 	l := NewLog()
 	for k := range 700 {
-		made(t, l, "settings", settings(20, k%20, k), nil)
+		applyText(t, l, "settings", settings(20, k%20, k), nil)
 	}
 	if h := l.History(); len(h) != MaxHistory || h[0].Version != 700-MaxHistory+1 || h[0].Author != "ana" || h[0].At != 5 {
 		t.Errorf("%d, %+v", len(h), h[0])
@@ -78,7 +78,7 @@
 	if err := twin.Restore(l.Snapshot()); err != nil || !bytes.Equal(twin.Snapshot(), l.Snapshot()) {
 		t.Errorf("%v", err)
 	}
-	if !twin.chain.knows(400) || twin.chain.knows(100) {
+	if !twin.chain.hasDeltaFrom(400) || twin.chain.hasDeltaFrom(100) {
 		t.Error("steps of a restored log")
 	}
 	text, err := twin.chain.deltaFrom(400).apply(l.mustEncode(t, 400))
@@ -97,8 +97,8 @@
 
 func TestOneRolloutAtATime(t *testing.T) {
 	l := NewLog()
-	made(t, l, "settings", "one", nil)
-	v := made(t, l, "settings", "two", &Plan{Front: "a", Zone: "z"})
+	applyText(t, l, "settings", "one", nil)
+	v := applyText(t, l, "settings", "two", &Plan{Front: "a", Zone: "z"})
 	if texts := l.Document().TextsFor("a", "y"); string(texts[0].Text) != "two" {
 		t.Errorf("%s", texts[0].Text)
 	}
@@ -117,13 +117,13 @@
 	}
 }
 
-func TestDeltasJoin(t *testing.T) {
+func TestDeltasCompose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.Map(rapid.SliceOfN(rapid.SampledFrom([]string{"0123456789abcdef", "class one\n", "x", "freshness 400\n"}), 0, 20),
 			func(parts []string) []byte { return []byte(fmt.Sprint(parts)) })
 		one, two, three := text.Draw(t, "one"), text.Draw(t, "two"), text.Draw(t, "three")
-		joined := makeDelta(one, two).then(makeDelta(two, three))
-		read, err := readDelta(joined.payload())
+		joined := makeDelta(one, two).compose(makeDelta(two, three))
+		read, err := readDelta(joined.encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,12 +136,12 @@
 	})
 }
 
-func TestSpoiltDiskStartsWithoutVersion(t *testing.T) {
+func TestCorruptDiskStartsWithoutVersion(t *testing.T) {
 	w := newWorld(t, 1, 1, 1, 1)
 	w.change("settings", settings(5, 0, 1), nil)
 	w.run(5 * Second)
 	m := w.fronts[0]
-	kept := m.kept
+	kept := m.persisted
 	for k := range kept {
 		spoilt := bytes.Clone(kept)
 		spoilt[k] ^= 1
@@ -157,19 +157,19 @@
 // FuzzBytes: whatever comes in, nothing panics, and what is read and written again is the same.
 func FuzzBytes(f *testing.F) {
 	l := NewLog()
-	made(f, l, "settings", settings(5, 0, 1), nil)
+	applyText(f, l, "settings", settings(5, 0, 1), nil)
 	entry, _ := l.Prepare(Change{Base: 1, Scope: "settings", Text: []byte("x"), Author: "a", Reason: "b", Plan: &Plan{Zone: "z"}}, nil)
-	body := func(m *message) []byte { encoded := m.encode(nil, "blue"); return encoded[:len(encoded)-sumSize] }
-	p := newPayload(0, 1, l.chain.deltaFrom(0).payload())
-	for _, seed := range [][]byte{entry, l.Snapshot(), l.chain.document, l.chain.deltaFrom(0).payload(), body(p.message(0)),
-		body(&message{kind: heartbeat, seq: 1, first: true, reports: []report{{id: 1, life: 2, count: 3, inForce: 1, state: StateInForce, reason: "r"}}}),
-		body(&message{kind: acknowledge, seq: 1, version: 9, proven: true, age: 5, getting: 10}), body(&message{kind: offer, version: 9}),
+	body := func(m *message) []byte { encoded := m.encode(nil, "blue"); return encoded[:len(encoded)-checksumSize] }
+	p := newPayload(0, 1, l.chain.deltaFrom(0).encode())
+	for _, seed := range [][]byte{entry, l.Snapshot(), l.chain.document, l.chain.deltaFrom(0).encode(), body(p.message(0)),
+		body(&message{kind: heartbeat, seq: 1, reportUpstream: true, reports: []report{{id: 1, incarnation: 2, seq: 3, inForce: 1, state: StateInForce, reason: "r"}}}),
+		body(&message{kind: acknowledge, seq: 1, version: 9, proven: true, age: 5, receiving: 10}), body(&message{kind: offer, version: 9}),
 		body(&message{kind: pull, version: 1, bases: []Version{1}, payload: p.payloadID, wanted: []byte{1}})} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, given []byte) {
 		w := newWorld(t, 1, 1, 1, 1)
-		w.known = map[Version]*Document{1: l.Document()}
+		w.committed = map[Version]*Document{1: l.Document()}
 		w.run(2 * Second)
 		log := NewLog()
 		log.Apply(given)
--- a/fleet/config/message.go
+++ b/fleet/config/message.go
@@ -21,22 +21,22 @@
 
 // message is what machines tell each other. Which fields count depends on its kind.
 type message struct {
-	kind    messageKind
-	seq     uint64  // of a heartbeat, and of the answer to it
-	version Version // the newest that the sender holds whole; of an offer the one that it has or gets
-	getting Version // of an answer: the version that a part of has come in, 0 if none
-	proven  bool    // of an answer: nothing newer than version existed
-	age     Time    // at some moment at most this long before the answer was sent
-	full    bool    // of an answer: this upstream takes no more children
-	unable  bool    // of an answer: no delta from the bases that the child named
-	first   bool    // of a heartbeat: this upstream is the one that reports go to
-	bases   []Version
-	payload payloadID
-	total   uint64 // chunks of a payload
-	index   uint64 // of a chunk
-	wanted  []byte // of a pull: the chunks that are missing, a bit each, the lowest first
-	data    []byte // of a chunk
-	reports []report
+	kind           messageKind
+	seq            uint64  // of a heartbeat, and of the answer to it
+	version        Version // the newest that the sender holds whole; of an offer the one that it has or gets
+	receiving      Version // of an answer: the version that a part of has come in, 0 if none
+	proven         bool    // of an answer: nothing newer than version existed
+	age            Time    // at some moment at most this long before the answer was sent
+	full           bool    // of an answer: this upstream takes no more children
+	noDelta        bool    // of an answer: no delta from the bases that the child named
+	reportUpstream bool    // of a heartbeat: this upstream is the one that reports go to
+	bases          []Version
+	payload        payloadID
+	total          uint64 // chunks of a payload
+	index          uint64 // of a chunk
+	wanted         []byte // of a pull: the chunks that are missing, a bit each, the lowest first
+	data           []byte // of a chunk
+	reports        []report
 }
 
 // payloadID names one payload: the same bytes at all machines that have it.
@@ -47,44 +47,44 @@
 
 // Bounds of a message's parts.
 const (
-	chunkSize  = 1000 // bytes; each chunk of a payload has so many but the last
-	maxChunks  = maxDelta/chunkSize + 1
-	maxBases   = 8
-	maxReports = 32
-	maxWords   = 120 // bytes of a reason in a report
-	sumSize    = 4   // bytes of a message's checksum
+	chunkSize       = 1000 // bytes; each chunk of a payload has so many but the last
+	maxChunks       = maxDelta/chunkSize + 1
+	maxBases        = 8
+	maxReports      = 32
+	maxReportReason = 120 // bytes of a reason in a report
+	checksumSize    = 4   // bytes of a message's checksum
 )
 
 // Fields of a message and of a report.
 const (
-	messageVersion = 1
-	messageKindOf  = 2
-	messageSeq     = 3
-	messageHolds   = 4
-	messageProven  = 5 // the age and one
-	messageFull    = 6
-	messageUnable  = 7
-	messageBase    = 8
-	messageFrom    = 9
-	messageTo      = 10
-	messageSum     = 11
-	messageTotal   = 12
-	messageIndex   = 13
-	messageWanted  = 14
-	messageData    = 15
-	messageReport  = 16
-	messageFirst   = 17
-	messageGetting = 18
+	messageVersion        = 1
+	messageKindOf         = 2
+	messageSeq            = 3
+	messageHolds          = 4
+	messageProven         = 5 // the age and one
+	messageFull           = 6
+	messageNoDelta        = 7
+	messageBase           = 8
+	messageFrom           = 9
+	messageTo             = 10
+	messageSum            = 11
+	messageTotal          = 12
+	messageIndex          = 13
+	messageWanted         = 14
+	messageData           = 15
+	messageReport         = 16
+	messageReportUpstream = 17
+	messageReceiving      = 18
 
-	reportID       = 1
-	reportLife     = 2
-	reportCount    = 3
-	reportInForce  = 4
-	reportReceived = 5
-	reportState    = 6
-	reportProgram  = 7
-	reportReason   = 8
-	reportAge      = 9
+	reportID          = 1
+	reportIncarnation = 2
+	reportSeq         = 3
+	reportInForce     = 4
+	reportReceived    = 5
+	reportState       = 6
+	reportProgram     = 7
+	reportReason      = 8
+	reportAge         = 9
 )
 
 // checksum tells a message of this fleet from a spoilt one and from another fleet's. It is no proof against
@@ -98,7 +98,7 @@
 	return uint32(d.Sum64())
 }
 
-func flag(set bool) uint64 {
+func boolField(set bool) uint64 {
 	if set {
 		return 1
 	}
@@ -112,13 +112,13 @@
 	dst = appendNumber(dst, messageKindOf, uint64(m.kind))
 	dst = appendNumber(dst, messageSeq, m.seq)
 	dst = appendNumber(dst, messageHolds, uint64(m.version))
-	dst = appendNumber(dst, messageGetting, uint64(m.getting))
+	dst = appendNumber(dst, messageReceiving, uint64(m.receiving))
 	if m.proven {
 		dst = appendNumber(dst, messageProven, uint64(m.age)+1)
 	}
-	dst = appendNumber(dst, messageFull, flag(m.full))
-	dst = appendNumber(dst, messageUnable, flag(m.unable))
-	dst = appendNumber(dst, messageFirst, flag(m.first))
+	dst = appendNumber(dst, messageFull, boolField(m.full))
+	dst = appendNumber(dst, messageNoDelta, boolField(m.noDelta))
+	dst = appendNumber(dst, messageReportUpstream, boolField(m.reportUpstream))
 	for _, base := range m.bases {
 		dst = appendNumber(dst, messageBase, uint64(base))
 	}
@@ -139,7 +139,7 @@
 
 // readMessage reads a message. Its parts share memory with encoded.
 func readMessage(encoded []byte, fleet string) (*message, error) {
-	body := len(encoded) - sumSize
+	body := len(encoded) - checksumSize
 	if body < 1 || len(encoded) > MaxMessage {
 		return nil, fmt.Errorf("%w: a message of %d bytes", ErrMalformed, len(encoded))
 	}
@@ -147,25 +147,25 @@
 		return nil, fmt.Errorf("%w: spoilt, or of another fleet", ErrMalformed)
 	}
 	m := &message{}
-	form := uint64(0)
+	formatVersion := uint64(0)
 	err := eachField(encoded[:body], func(f field) error {
 		if f.number == messageVersion {
-			form = f.value
+			formatVersion = f.value
 			return nil
 		}
-		return m.take(f)
+		return m.readField(f)
 	})
 	if err != nil {
 		return nil, err
 	}
-	if form != MessageVersion || m.kind < heartbeat || m.kind > chunk {
+	if formatVersion != MessageVersion || m.kind < heartbeat || m.kind > chunk {
 		return nil, fmt.Errorf("%w: a message of another version or kind", ErrMalformed)
 	}
-	return m, m.sound()
+	return m, m.validate()
 }
 
-// take takes one field in.
-func (m *message) take(f field) error {
+// readField takes one field in.
+func (m *message) readField(f field) error {
 	switch f.number {
 	case messageKindOf:
 		m.kind = messageKind(min(f.value, math.MaxUint8))
@@ -173,17 +173,17 @@
 		m.seq = f.value
 	case messageHolds:
 		m.version = Version(f.value)
-	case messageGetting:
-		m.getting = Version(f.value)
+	case messageReceiving:
+		m.receiving = Version(f.value)
 	case messageProven:
 		m.proven = f.value > 0 && f.value < math.MaxInt64/2
 		m.age = Time(f.value) - 1
 	case messageFull:
 		m.full = f.value != 0
-	case messageUnable:
-		m.unable = f.value != 0
-	case messageFirst:
-		m.first = f.value != 0
+	case messageNoDelta:
+		m.noDelta = f.value != 0
+	case messageReportUpstream:
+		m.reportUpstream = f.value != 0
 	case messageBase:
 		m.bases = append(m.bases, Version(f.value))
 	case messageFrom:
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// sound tells which bound a message breaks.
-func (m *message) sound() error {
+// validate tells which bound a message breaks.
+func (m *message) validate() error {
 	lists := len(m.bases) > maxBases || len(m.reports) > maxReports
 	if lists || m.total > maxChunks || len(m.data) > chunkSize {
 		return fmt.Errorf("%w: a message over its bounds", ErrMalformed)
@@ -230,21 +230,21 @@
 
 // report is what a front says of itself; relays pass it on unread.
 type report struct {
-	id       uint64 // xxhash of its name
-	life     uint64 // of the front; a later one counts over an earlier one,
-	count    uint64 // and in one life a later report
-	inForce  Version
-	received Version
-	state    FrontState
-	program  uint32
-	reason   string
-	age      uint64 // seconds for which relays have had it
+	id          uint64 // xxhash of its name
+	incarnation uint64 // of the front; a later one counts over an earlier one,
+	seq         uint64 // and in one life a later report
+	inForce     Version
+	received    Version
+	state       FrontState
+	program     uint32
+	reason      string
+	age         uint64 // seconds for which relays have had it
 }
 
 func (r *report) append(dst []byte) []byte {
 	dst = appendFixed(dst, reportID, r.id)
-	dst = appendNumber(dst, reportLife, r.life)
-	dst = appendNumber(dst, reportCount, r.count)
+	dst = appendNumber(dst, reportIncarnation, r.incarnation)
+	dst = appendNumber(dst, reportSeq, r.seq)
 	dst = appendNumber(dst, reportInForce, uint64(r.inForce))
 	if r.received != r.inForce {
 		dst = appendNumber(dst, reportReceived, uint64(r.received))
@@ -260,10 +260,10 @@
 		switch f.number {
 		case reportID:
 			r.id = f.value
-		case reportLife:
-			r.life = f.value
-		case reportCount:
-			r.count = f.value
+		case reportIncarnation:
+			r.incarnation = f.value
+		case reportSeq:
+			r.seq = f.value
 		case reportInForce:
 			r.inForce = Version(f.value)
 		case reportReceived:
@@ -275,7 +275,7 @@
 		case reportAge:
 			r.age = min(f.value, math.MaxUint32)
 		case reportReason:
-			r.reason, err = f.text(maxWords)
+			r.reason, err = f.text(maxReportReason)
 		}
 		return err
 	})
@@ -288,8 +288,8 @@
 
 // newer tells whether a report is later than another of the same front.
 func (r *report) newer(than *report) bool {
-	if r.life != than.life {
-		return r.life > than.life
+	if r.incarnation != than.incarnation {
+		return r.incarnation > than.incarnation
 	}
-	return r.count > than.count
+	return r.seq > than.seq
 }
--- a/fleet/config/node.go
+++ b/fleet/config/node.go
@@ -14,18 +14,18 @@
 	send        func(addr string, message []byte)
 	buffer      []byte // of the message that is sent
 
-	chain     *chain // the versions held
-	topology  topology
-	known     bool // topology was told
-	children  children
-	upstreams []*upstream // the first is where reports go
-	transfer  transfer
-	recent    recent
-	reports   reports
-	proof     proof
-	adopted   func(document *Document)      // a version was pulled; nil on a control machine
-	confirmed func(at Time, newest Version) // an upstream said how old it is; nil on a control machine
-	dropped   uint64
+	chain         *chain // the versions held
+	topology      topology
+	topologyKnown bool // topology was told
+	children      children
+	upstreams     []*upstream // the first is where reports go
+	transfer      transfer
+	recent        recentVersions
+	reports       reports
+	proof         proof
+	onVersion     func(document *Document)      // a version was pulled; nil on a control machine
+	onConfirmed   func(at Time, newest Version) // an upstream said how old it is; nil on a control machine
+	dropped       uint64
 }
 
 func newNode(now Time, fleet, name string, seed uint64, send func(addr string, message []byte)) node {
@@ -38,9 +38,9 @@
 	has bool
 }
 
-// prove takes a moment in. Danger: an answer may have been under way for long, so the moment is never that of
+// record takes a moment in. Danger: an answer may have been under way for long, so the moment is never that of
 // its arrival: it is that of the question, less the age that the answer tells.
-func (p *proof) prove(at Time) {
+func (p *proof) record(at Time) {
 	if !p.has || at > p.at {
 		p.at, p.has = at, true
 	}
@@ -56,8 +56,8 @@
 
 func (n *node) id() uint64 { return nameID(n.name) }
 
-// post sends a message, if the budget allows any. What is left out is asked for again.
-func (n *node) post(addr string, m *message) bool {
+// sendMessage sends a message, if the budget allows any. What is left out is asked for again.
+func (n *node) sendMessage(addr string, m *message) bool {
 	if addr == "" || !n.budget.allows(n.now) {
 		return false
 	}
@@ -67,8 +67,8 @@
 	return true
 }
 
-// take takes a message in.
-func (n *node) take(from string, encoded []byte) {
+// receive takes a message in.
+func (n *node) receive(from string, encoded []byte) {
 	n.budget.spend(n.now, len(encoded))
 	m, err := readMessage(encoded, n.fleet)
 	if err != nil || from == "" || len(from) > MaxAddress {
@@ -77,44 +77,44 @@
 	}
 	switch m.kind {
 	case heartbeat:
-		n.heard(from, m)
+		n.handleHeartbeat(from, m)
 	case pull:
-		n.pulled(from, m)
+		n.handlePull(from, m)
 	case acknowledge:
-		n.answered(from, m)
+		n.handleAcknowledge(from, m)
 	case offer:
-		n.offered(from, m)
+		n.handleOffer(from, m)
 	case chunk:
-		n.chunkCame(from, m)
+		n.handleChunk(from, m)
 	}
 }
 
 // setPeers takes a new list of machines in. Upstreams stay while they answer: see upstream.review.
 func (n *node) setPeers(peers Peers) {
 	n.topology = newTopology(peers, n.name)
-	if n.known || n.adopted == nil {
+	if n.topologyKnown || n.onVersion == nil {
 		return
 	}
-	n.known = true
+	n.topologyKnown = true
 	for _, u := range n.upstreams {
 		u.choose(n, 0)
 	}
 }
 
-// beat does what is due.
-func (n *node) beat() {
+// tick does what is due.
+func (n *node) tick() {
 	n.children.expire(n.now)
 	for _, u := range n.upstreams {
-		u.beat(n)
+		u.tick(n)
 	}
 	n.flushReports()
-	n.beatTransfer()
+	n.tickTransfer()
 	n.offerNewest()
-	n.serve()
+	n.sendChunks()
 }
 
-// next is when beat must be called again.
-func (n *node) next() Time {
+// nextTick is when beat must be called again.
+func (n *node) nextTick() Time {
 	at := n.now + Second
 	for _, u := range n.upstreams {
 		at = min(at, u.nextAt)
@@ -128,20 +128,20 @@
 	if n.children.offerAt != 0 {
 		at = min(at, n.children.offerAt)
 	}
-	if size := n.children.waiting(); size > 0 {
-		at = min(at, max(n.budget.chunkAt(n.now, size, 0), n.now+Millisecond))
+	if size := n.children.nextChunkBytes(); size > 0 {
+		at = min(at, max(n.budget.chunkAllowedAt(n.now, size, 0), n.now+Millisecond))
 	}
 	return max(at, n.now+1)
 }
 
-// provenBy takes in that nothing newer than a version existed at a moment. It says as much of any later
+// proveNewest takes in that nothing newer than a version existed at a moment. It says as much of any later
 // version.
-func (n *node) provenBy(at Time, newest Version) {
+func (n *node) proveNewest(at Time, newest Version) {
 	if newest > n.chain.version {
 		return
 	}
-	n.proof.prove(at)
-	if n.confirmed != nil {
-		n.confirmed(at, newest)
+	n.proof.record(at)
+	if n.onConfirmed != nil {
+		n.onConfirmed(at, newest)
 	}
 }
--- a/fleet/config/norace_test.go
+++ b/fleet/config/norace_test.go
@@ -2,4 +2,4 @@
 
 package config
 
-const raced = false
+const raceEnabled = false
--- a/fleet/config/peers.go
+++ b/fleet/config/peers.go
@@ -16,11 +16,11 @@
 // also while its first upstream is gone.
 
 const (
-	fanOut        = 3  // fronts that have one front as their first choice
-	controlFanOut = 8  // fronts that have one control machine as their first choice
-	maxChildren   = 12 // of a front, at most
-	controlMost   = 48 // children of a control machine, at most
-	controlEvery  = 4  // one attempt in so many goes to a control machine
+	frontFanOut            = 3  // fronts that have one front as their first choice
+	controlFanOut          = 8  // fronts that have one control machine as their first choice
+	maxFrontChildren       = 12 // of a front, at most
+	maxControlChildren     = 48 // children of a control machine, at most
+	controlAttemptInterval = 4  // one attempt in so many goes to a control machine
 )
 
 // topology is who is there, in the tree's order.
@@ -33,16 +33,16 @@
 // nameID is what stands for a name in reports and in the tree's order; never 0.
 func nameID(name string) uint64 { return xxhash.Sum64String(name) | 1 }
 
-func (p *Peer) sound() bool {
+func (p *Peer) valid() bool {
 	named := p.Name != "" && len(p.Name) <= MaxName && len(p.Zone) <= MaxName
 	return named && p.Addr != "" && len(p.Addr) <= MaxAddress
 }
 
-// ordered gives a list's sound peers in the order of their hashes, each name once.
-func ordered(list []Peer, limit int) []Peer {
+// sortedPeers gives a list's sound peers in the order of their hashes, each name once.
+func sortedPeers(list []Peer, limit int) []Peer {
 	kept := make([]Peer, 0, min(len(list), limit))
 	for _, p := range list {
-		if p.sound() && len(kept) < limit {
+		if p.valid() && len(kept) < limit {
 			kept = append(kept, p)
 		}
 	}
@@ -55,8 +55,8 @@
 func newTopology(peers Peers, self string) topology {
 	notSelf := func(p Peer) bool { return p.Name == self }
 	t := topology{
-		controls: slices.DeleteFunc(ordered(peers.Controls, MaxControls), notSelf),
-		fronts:   slices.DeleteFunc(ordered(peers.Fronts, MaxFronts), notSelf),
+		controls: slices.DeleteFunc(sortedPeers(peers.Controls, MaxControls), notSelf),
+		fronts:   slices.DeleteFunc(sortedPeers(peers.Fronts, MaxFronts), notSelf),
 	}
 	for _, p := range t.fronts {
 		if nameID(p.Name) < nameID(self) {
@@ -73,18 +73,18 @@
 	return found
 }
 
-// first gives the address of the upstream that reports go to, on an attempt from 0.
-func (t *topology) first(attempt int, source *random.Source) string {
+// primaryUpstream gives the address of the upstream that reports go to, on an attempt from 0.
+func (t *topology) primaryUpstream(attempt int, source *random.Source) string {
 	direct := len(t.controls) * controlFanOut
 	switch {
 	case len(t.controls) > 0 && (t.rank < direct || t.rank == 0):
-		if attempt > len(t.controls) && t.rank > 0 && attempt%controlEvery != 0 {
+		if attempt > len(t.controls) && t.rank > 0 && attempt%controlAttemptInterval != 0 {
 			return t.fronts[source.Below(int64(t.rank))].Addr
 		}
 		return t.controls[(t.rank+attempt)%len(t.controls)].Addr
 	case attempt == 0 && t.rank > 0:
-		return t.fronts[(t.rank-direct)/fanOut].Addr
-	case len(t.controls) > 0 && attempt%controlEvery == controlEvery-1:
+		return t.fronts[(t.rank-direct)/frontFanOut].Addr
+	case len(t.controls) > 0 && attempt%controlAttemptInterval == controlAttemptInterval-1:
 		return t.controls[source.Below(int64(len(t.controls)))].Addr
 	case t.rank > 0:
 		return t.fronts[source.Below(int64(t.rank))].Addr
@@ -92,20 +92,20 @@
 	return ""
 }
 
-// second gives the address of the upstream beside the first, on an attempt from 0.
-func (t *topology) second(attempt int, source *random.Source) string {
-	toControl := attempt%controlEvery == controlEvery-1 || len(t.fronts) == 0
+// secondaryUpstream gives the address of the upstream beside the first, on an attempt from 0.
+func (t *topology) secondaryUpstream(attempt int, source *random.Source) string {
+	toControl := attempt%controlAttemptInterval == controlAttemptInterval-1 || len(t.fronts) == 0
 	if toControl && len(t.controls) > 0 {
 		return t.controls[source.Below(int64(len(t.controls)))].Addr
 	}
 	if len(t.fronts) == 0 {
 		return ""
 	}
-	relays := t.relays()
+	relays := t.relayCount()
 	return t.fronts[relays+int(source.Below(int64(len(t.fronts)-relays)))].Addr
 }
 
-// relays gives how many fronts are somebody's first choice. The others have time for second upstreams.
-func (t *topology) relays() int {
-	return max(len(t.fronts)-len(t.controls)*controlFanOut, 0) / fanOut
+// relayCount gives how many fronts are somebody's first choice. The others have time for second upstreams.
+func (t *topology) relayCount() int {
+	return max(len(t.fronts)-len(t.controls)*controlFanOut, 0) / frontFanOut
 }
--- a/fleet/config/race_test.go
+++ b/fleet/config/race_test.go
@@ -2,6 +2,6 @@
 
 package config
 
-// raced: these tests have one goroutine, and the detector makes them ten times as slow; CI plays them whole
-// without it.
-const raced = true
+// raceEnabled reduces the size of the simulations. They run in a single goroutine, and the race detector makes
+// them ten times slower; CI also runs them at full size without it.
+const raceEnabled = true
--- a/fleet/config/reports.go
+++ b/fleet/config/reports.go
@@ -7,10 +7,10 @@
 
 // reports is what a machine knows of fronts: on a relay those below it, on a control machine all.
 type reports struct {
-	entries []reportEntry // by id
-	batch   reportBatch
-	flushAt Time // when what is new has to go up; 0: nothing is
-	waits   Time // since when
+	entries      []reportEntry // by id
+	batch        reportBatch
+	flushAt      Time // when what is new has to go up; 0: nothing is
+	pendingSince Time // since when
 }
 
 type reportEntry struct {
@@ -28,13 +28,13 @@
 
 // Spans of reports.
 const (
-	reportDelay   = 250 * Millisecond // for which a relay gathers what it passes on together
-	refreshSpan   = 7 * Second        // after which a front says again what it has
-	SilentAfter   = 20 * Second       // without a report a front counts as silent
-	forgetReports = 30 * Second       // after which a relay forgets a front that it does not hear of
-	reportsSpent  = 300               // thousandths of the budget, then reports wait: versions go first;
-	reportsWait   = 3 * Second        // for so long at most
-	batchSpace    = 900               // bytes of reports in one message
+	reportDelay         = 250 * Millisecond // for which a relay gathers what it passes on together
+	reportRefresh       = 7 * Second        // after which a front says again what it has
+	SilentAfter         = 20 * Second       // without a report a front counts as silent
+	reportTTL           = 30 * Second       // after which a relay forgets a front that it does not hear of
+	maxReportBudgetUsed = 300               // thousandths of the budget, then reports wait: versions go first;
+	maxReportWait       = 3 * Second        // for so long at most
+	maxBatchBytes       = 900               // bytes of reports in one message
 )
 
 func (r *reports) find(id uint64) (int, bool) {
@@ -42,40 +42,40 @@
 	return slices.BinarySearchFunc(r.entries, id, compare)
 }
 
-// put takes a report in, if it is newer than what is known. Danger: a relay that tells a new upstream all it
+// add takes a report in, if it is newer than what is known. Danger: a relay that tells a new upstream all it
 // knows would make fronts fresh that have long gone elsewhere, and those reports would go round for ever; so
 // a report has an age.
-func (r *reports) put(now Time, told report) {
-	heardAt := now - Time(told.age)*Second
-	if now-heardAt > forgetReports {
+func (r *reports) add(now Time, reported report) {
+	heardAt := now - Time(reported.age)*Second
+	if now-heardAt > reportTTL {
 		return
 	}
-	k, has := r.find(told.id)
-	if has && !told.newer(&r.entries[k].report) {
+	k, has := r.find(reported.id)
+	if has && !reported.newer(&r.entries[k].report) {
 		return
 	}
 	if !has {
-		if len(r.entries) >= MaxFronts && !r.makeRoom(now) {
+		if len(r.entries) >= MaxFronts && !r.evictSilent(now) {
 			return
 		}
-		k, _ = r.find(told.id)
+		k, _ = r.find(reported.id)
 		r.entries = slices.Insert(r.entries, k, reportEntry{})
 	}
-	r.entries[k] = reportEntry{told, heardAt, true}
-	r.flushSoon(now, reportDelay)
+	r.entries[k] = reportEntry{reported, heardAt, true}
+	r.scheduleFlush(now, reportDelay)
 }
 
-func (r *reports) flushSoon(now, delay Time) {
+func (r *reports) scheduleFlush(now, delay Time) {
 	if r.flushAt == 0 {
-		r.waits = now
+		r.pendingSince = now
 	}
 	if r.flushAt == 0 || r.flushAt > now+delay {
 		r.flushAt = now + delay
 	}
 }
 
-// makeRoom forgets the front that was silent for longest, if one is silent.
-func (r *reports) makeRoom(now Time) bool {
+// evictSilent forgets the front that was silent for longest, if one is silent.
+func (r *reports) evictSilent(now Time) bool {
 	oldest := 0
 	for k := range r.entries {
 		if r.entries[k].heardAt < r.entries[oldest].heardAt {
@@ -89,25 +89,25 @@
 	return true
 }
 
-// forget drops fronts that were not heard of for a span.
-func (r *reports) forget(now, span Time) {
+// expire drops fronts that were not heard of for a span.
+func (r *reports) expire(now, span Time) {
 	r.entries = slices.DeleteFunc(r.entries, func(e reportEntry) bool { return now-e.heardAt > span })
 }
 
-// again has everything told once more, to an upstream that knows nothing of it.
-func (r *reports) again(now Time) {
+// resendAll has everything told once more, to an upstream that knows nothing of it.
+func (r *reports) resendAll(now Time) {
 	for k := range r.entries {
 		r.entries[k].dirty = true
 	}
 	r.batch = reportBatch{}
 	if len(r.entries) > 0 {
-		r.flushSoon(now, 0)
+		r.scheduleFlush(now, 0)
 	}
 }
 
-// take gives the reports for the message with a number. What was in an earlier one goes again with later
+// nextBatch gives the reports for the message with a number. What was in an earlier one goes again with later
 // words.
-func (r *reports) take(now Time, seq uint64) []report {
+func (r *reports) nextBatch(now Time, seq uint64) []report {
 	r.flushAt = 0
 	r.batch = reportBatch{seq: seq, at: now}
 	size := 0
@@ -115,13 +115,13 @@
 		if !r.entries[k].dirty {
 			continue
 		}
-		told := r.entries[k].report
-		told.age = uint64(max(now-r.entries[k].heardAt, 0) / Second)
-		size += len(told.append(nil)) + 3
-		if size > batchSpace || len(r.batch.sent) == maxReports {
+		reported := r.entries[k].report
+		reported.age = uint64(max(now-r.entries[k].heardAt, 0) / Second)
+		size += len(reported.append(nil)) + 3
+		if size > maxBatchBytes || len(r.batch.sent) == maxReports {
 			break
 		}
-		r.batch.sent = append(r.batch.sent, told)
+		r.batch.sent = append(r.batch.sent, reported)
 	}
 	return r.batch.sent
 }
@@ -133,12 +133,12 @@
 	}
 	for _, sent := range r.batch.sent {
 		k, has := r.find(sent.id)
-		if has && r.entries[k].life == sent.life && r.entries[k].count == sent.count {
+		if has && r.entries[k].incarnation == sent.incarnation && r.entries[k].seq == sent.seq {
 			r.entries[k].dirty = false
 		}
 	}
 	r.batch = reportBatch{}
 	if slices.ContainsFunc(r.entries, func(e reportEntry) bool { return e.dirty }) {
-		r.flushSoon(now, reportDelay)
+		r.scheduleFlush(now, reportDelay)
 	}
 }
--- a/fleet/config/hardcases_test.go
+++ b/fleet/config/scenarios_test.go
@@ -10,38 +10,38 @@
 	"testing"
 )
 
-// hard gives a fleet of 150 fronts in two regions and six zones, with 5 % loss, that has a first version.
-func hard(t *testing.T, seed uint64) *world {
+// newLossyFleet gives a fleet of 150 fronts in two regions and six zones, with 5 % loss, that has a first version.
+func newLossyFleet(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed, 5, 150, 6)
 	w.loss = 50
 	w.run(5 * Second)
 	v := w.change("settings", settings(40, 0, 1), nil)
 	w.mustReach(v, 10*Second, nil)
-	w.run(startsTalk * Second)
+	w.run(warmupSeconds * Second)
 	return w
 }
 
 func (w *world) mustReach(v Version, span Time, count func(m *machine) bool) {
 	w.t.Helper()
-	if w.runUntil(span, func() bool { return w.everyone(v, count) }) < 0 {
+	if w.runUntil(span, func() bool { return w.allInForce(v, count) }) < 0 {
 		w.t.Errorf("version %d is not in force everywhere after %d s", v, span/Second)
 	}
 }
 
-// second gives the world's second, as machine.traffic counts.
-func (w *world) second() int { return int(w.now/Second) - 1000 }
+// currentSecond gives the world's second, as machine.traffic counts.
+func (w *world) currentSecond() int { return int(w.now/Second) - 1000 }
 
-func (w *world) mustTalkLittle(from int) {
+func (w *world) checkTraffic(from int) {
 	w.t.Helper()
-	median, most := w.talk(from)
+	median, most := w.trafficRates(from)
 	w.t.Logf("worst ten seconds of a front: median %d B/s, most %d B/s", median, most)
-	if most > mostTalk {
+	if most > maxTrafficRate {
 		w.t.Errorf("%d bytes a second", most)
 	}
 }
 
-func TestHardCase3ZoneAndRegionLostAndBack(t *testing.T) {
-	w := hard(t, 3)
+func TestZoneAndRegionPartitionAndRecovery(t *testing.T) {
+	w := newLossyFleet(t, 3)
 	lost := map[string]func(m *machine) bool{
 		"zone":   func(m *machine) bool { return m.zone == "zone4" },
 		"region": func(m *machine) bool { return m.region == 1 },
@@ -49,23 +49,23 @@
 	for _, name := range []string{"zone", "region"} {
 		away := lost[name]
 		here := func(m *machine) bool { return !away(m) }
-		d := follow(w)
+		d := trackPropagation(w)
 		d.committed = make([]Time, w.leader().log.Newest()+1)
 		d.last = make([]Time, len(d.committed)-1)
 		v := w.change("settings", settings(40, 1, 7), nil) // on its way when the cut comes
 		d.committed, d.last = append(d.committed, w.now), append(d.last, 0)
 		w.run(200 * Millisecond)
 		w.cut = func(x, y *machine) bool { return away(x) != away(y) }
-		w.lead()
-		w.mustReach(v, lastFront, here)
+		w.updateLeader()
+		w.mustReach(v, maxPropagation, here)
 		hour := Time(3600)
-		if !long() {
+		if !longRun() {
 			hour = 300
 		}
 		for k := range 30 {
 			v = d.commit(w, "settings", settings(40, k%40, 100+k), nil)
 			w.run(hour * Second / 30)
-			w.mustReach(v, lastFront, here)
+			w.mustReach(v, maxPropagation, here)
 		}
 		w.run(ProofTTL + 2*guardMargin) // of the last change
 		behind, guarded := 0, 0
@@ -82,76 +82,76 @@
 		if guarded > 0 || behind == 0 || status.Silent != behind || !status.Everywhere {
 			t.Errorf("%d of %d fronts cut off act on guarded settings; silent %d, everywhere %v", guarded, behind, status.Silent, status.Everywhere)
 		}
-		from := w.second()
+		from := w.currentSecond()
 		w.cut = nil
-		w.lead()
-		t.Logf("%s back: all have the newest version after %d ms", name, w.runUntil(60*Second, func() bool { return w.everyone(v, nil) })/Millisecond)
+		w.updateLeader()
+		t.Logf("%s back: all have the newest version after %d ms", name, w.runUntil(60*Second, func() bool { return w.allInForce(v, nil) })/Millisecond)
 		w.mustReach(v, 0, nil)
 		if d.late > 0 {
 			t.Errorf("%d fronts that were not cut off were late", d.late)
 		}
 		w.run(30 * Second)
-		w.mustTalkLittle(from)
+		w.checkTraffic(from)
 	}
-	w.check()
+	w.reportFailures()
 }
 
-func TestHardCase4BurstOfChanges(t *testing.T) {
-	w := hard(t, 4)
-	from := w.second()
-	d := follow(w)
+func TestBurstOfChanges(t *testing.T) {
+	w := newLossyFleet(t, 4)
+	from := w.currentSecond()
+	d := trackPropagation(w)
 	d.committed, d.last = make([]Time, 2), make([]Time, 1)
 	for k := range 100 {
 		d.commit(w, "settings", settings(100, k, 5000+k), nil)
 		w.run(30 * Millisecond)
 	}
-	w.run(2 * lastFront)
-	t.Logf("100 changes in 3 s: at the last front after %d ms, 99 of 100 after %d ms", of(d.last, 1000), of(d.all, 990))
+	w.run(2 * maxPropagation)
+	t.Logf("100 changes in 3 s: at the last front after %d ms, 99 of 100 after %d ms", permille(d.last, 1000), permille(d.all, 990))
 	if d.late > 0 {
 		t.Errorf("%d fronts late", d.late)
 	}
-	w.mustTalkLittle(from)
-	w.check()
+	w.checkTraffic(from)
+	w.reportFailures()
 }
 
 // TestHardCase4LargestChange: nothing of it can be compressed, so it takes as long as the budget says.
-func TestHardCase4LargestChange(t *testing.T) {
-	w := hard(t, 5)
+func TestLargestChange(t *testing.T) {
+	w := newLossyFleet(t, 5)
 	random := rand.New(rand.NewSource(1))
 	text := make([]byte, MaxTextBytes-len(settings(40, 0, 1)))
 	random.Read(text)
-	from := w.second()
+	from := w.currentSecond()
 	v := w.change("plans", string(text), nil)
-	took := w.runUntil(600*Second, func() bool { return w.everyone(v, nil) })
+	took := w.runUntil(600*Second, func() bool { return w.allInForce(v, nil) })
 	t.Logf("%d bytes: in force everywhere after %d s", len(text), took/Second)
 	if took < 0 || took > 300*Second {
 		t.Errorf("a change of %d bytes is in force everywhere after %d s", len(text), took/Second)
 	}
-	w.mustTalkLittle(from)
-	w.check()
+	w.checkTraffic(from)
+	w.reportFailures()
 }
 
 // TestHardCase4ChangesOfAllSizes: up to which size a change is in force everywhere in time.
-func TestHardCase4ChangesOfAllSizes(t *testing.T) {
+func TestPropagationByChangeSize(t *testing.T) {
 	w := newWorld(t, 6, 5, fullSize(), 6)
 	w.loss = 50
-	w.run(startsTalk * Second)
+	w.run(warmupSeconds * Second)
 	random := rand.New(rand.NewSource(2))
 	for _, size := range []int{100, 250, 500, FastChangeBytes} {
 		text := make([]byte, size)
 		random.Read(text)
 		v := w.change("plans", string(text), nil)
-		took := w.runUntil(100*Second, func() bool { return w.everyone(v, nil) })
+		took := w.runUntil(100*Second, func() bool { return w.allInForce(v, nil) })
 		t.Logf("%d bytes that cannot be compressed: in force everywhere after %d ms", size, took/Millisecond)
-		if took < 0 || took > lastFront {
+		if took < 0 || took > maxPropagation {
 			t.Errorf("%d bytes: %d ms", size, took/Millisecond)
 		}
 		w.run(10 * Second)
 	}
-	w.check()
+	w.reportFailures()
 }
 
-func TestHardCase4FaultyChange(t *testing.T) {
+func TestInvalidChangeIsRejected(t *testing.T) {
 	l := NewLog()
 	check := func(scope Scope, text []byte) error {
 		if bytes.Contains(text, []byte("bad")) {
@@ -180,17 +180,17 @@
 	}
 }
 
-func TestHardCase5AllControlMachinesGone(t *testing.T) {
-	w := hard(t, 5)
+func TestAllControlMachinesDown(t *testing.T) {
+	w := newLossyFleet(t, 5)
 	v := w.leader().log.Newest()
 	for _, m := range w.controls {
 		m.down = true
 	}
 	hour := Time(3600)
-	if !long() {
+	if !longRun() {
 		hour = 300
 	}
-	from := w.second()
+	from := w.currentSecond()
 	for k := range 30 {
 		m := w.fronts[w.source.Below(150)]
 		m.diskless = k%3 == 0
@@ -204,34 +204,34 @@
 		w.run(Second)
 		w.cut = nil
 		w.run(hour*Second/30 - 2*Second)
-		if w.runUntil(lastFront, func() bool { return m.agent.InForce() == v }) < 0 {
+		if w.runUntil(maxPropagation, func() bool { return m.agent.InForce() == v }) < 0 {
 			t.Errorf("%s restarts into version %d", m.name, m.agent.InForce())
 		}
 	}
 	for _, m := range w.fronts {
 		s := m.agent.Status(w.now)
-		known := m.since < 1000*Second+2*Second
+		known := m.startedAt < 1000*Second+2*Second
 		if s.InForce != v || s.ProofFresh || known && (s.Age < (hour-30)*Second || s.Age > (hour+200)*Second) {
 			t.Errorf("%s: %+v", m.name, s)
 		}
 	}
-	w.mustTalkLittle(from)
+	w.checkTraffic(from)
 	for _, m := range w.controls {
 		w.start(m)
 	}
-	w.lead()
+	w.updateLeader()
 	back := w.now
 	v = w.change("settings", settings(40, 3, 9), nil)
 	w.mustReach(v, 10*Second, nil)
 	t.Logf("control machines back after %d s: the next change in force everywhere after %d ms", hour, (w.now-back)/Millisecond)
-	w.check()
+	w.reportFailures()
 }
 
-func TestHardCase6HostileAndSpoiltMessages(t *testing.T) {
-	w := hard(t, 6)
-	w.spoilt, w.doubled = 100, 100
+func TestForgedAndCorruptMessages(t *testing.T) {
+	w := newLossyFleet(t, 6)
+	w.corrupted, w.duplicated = 100, 100
 	random := rand.New(rand.NewSource(6))
-	foreign := newPayload(0, 99, makeDelta(nil, (&Document{Version: 99}).Append(nil)).payload()).message(0).encode(nil, "green")
+	foreign := newPayload(0, 99, makeDelta(nil, (&Document{Version: 99}).Append(nil)).encode()).message(0).encode(nil, "green")
 	for k := range 20 {
 		for _, m := range w.fronts {
 			noise := make([]byte, random.Intn(2*MaxMessage))
@@ -242,24 +242,24 @@
 			m.receive("stranger", forged.encode(nil, "blue"))
 		}
 		v := w.change("settings", settings(40, k, 900+k), nil)
-		w.mustReach(v, 2*lastFront, nil)
+		w.mustReach(v, 2*maxPropagation, nil)
 	}
 	for _, m := range w.fronts {
 		if m.agent.Status(w.now).Dropped < 20 {
 			t.Errorf("%s dropped %d", m.name, m.agent.Status(w.now).Dropped)
 		}
 	}
-	w.check()
+	w.reportFailures()
 }
 
-func TestHardCase6OlderProgramInHalf(t *testing.T) {
+func TestOlderProgramOnHalfOfFronts(t *testing.T) {
 	newer := appendPart(appendNumber(nil, messageVersion, MessageVersion), 99, []byte("of a newer program"))
 	newer = appendNumber(newer, messageKindOf, uint64(offer))
 	newer = binary.LittleEndian.AppendUint32(newer, checksum("blue", newer))
 	if m, err := readMessage(newer, "blue"); err != nil || m.kind != offer {
 		t.Errorf("a field of a newer program: %v", err)
 	}
-	w := hard(t, 7)
+	w := newLossyFleet(t, 7)
 	old := func(m *machine) bool { return m.program == 1 }
 	for k, m := range w.fronts {
 		if k%2 == 0 {
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	w.commit(entry)
-	w.mustReach(before+1, lastFront, func(m *machine) bool { return !old(m) })
+	w.mustReach(before+1, maxPropagation, func(m *machine) bool { return !old(m) })
 	w.run(3 * Second)
 	status := leader.control.Status(w.now)
 	held := 0
@@ -295,12 +295,12 @@
 			w.start(m)
 		}
 	}
-	w.mustReach(before+1, lastFront, nil)
-	w.check()
+	w.mustReach(before+1, maxPropagation, nil)
+	w.reportFailures()
 }
 
-func TestRolloutStopsWhereFrontsRefuse(t *testing.T) {
-	w := hard(t, 8)
+func TestRolloutAbortsOnRefusal(t *testing.T) {
+	w := newLossyFleet(t, 8)
 	plan := &Plan{Front: "front3", Zone: "zone2", Soak: 2 * Second, Limit: 30 * Second}
 	refuse := func(texts []ScopeText) error {
 		for _, s := range texts {
@@ -317,13 +317,13 @@
 	if text, _ := w.leader().log.Document().Text("settings"); !strings.Contains(string(text), "8888") || w.leader().log.Newest() != began+2 {
 		t.Errorf("version %d", w.leader().log.Newest())
 	}
-	w.run(lastFront)
+	w.run(maxPropagation)
 	for k, name := range []string{"front", "zone"} {
 		where := []int{3, 8}[k]
 		w.fronts[where].refuse = refuse
 		acted := map[string]bool{}
-		w.onForce = func(m *machine, v Version) {
-			for _, s := range w.known[v].TextsFor(m.name, m.zone) {
+		w.onInForce = func(m *machine, v Version) {
+			for _, s := range w.committed[v].TextsFor(m.name, m.zone) {
 				if strings.Contains(string(s.Text), "9999") {
 					acted[m.zone] = true
 				}
@@ -335,7 +335,7 @@
 		if r := last[len(last)-1]; r.Kind != KindAbort || !strings.Contains(r.Reason, "/class-004/freshness_ms") {
 			t.Errorf("%s: %+v", name, r)
 		}
-		w.mustReach(w.leader().log.Newest(), lastFront, nil)
+		w.mustReach(w.leader().log.Newest(), maxPropagation, nil)
 		for zone := range acted {
 			if zone != "zone2" && zone != "zone3" {
 				t.Errorf("%s: fronts of %s acted on a refused change", name, zone)
@@ -343,7 +343,7 @@
 		}
 		w.fronts[where].refuse = nil
 	}
-	w.check()
+	w.reportFailures()
 }
 
 func TestTooManyPeersAndChildren(t *testing.T) {
@@ -359,10 +359,10 @@
 	w := newWorld(t, 1, 1, 1, 1)
 	a := w.fronts[0].agent
 	for k := range 5000 {
-		m := &message{kind: heartbeat, seq: 1, reports: []report{{id: uint64(k)*2 + 1, life: 1, count: 1, state: StateInForce}}}
+		m := &message{kind: heartbeat, seq: 1, reports: []report{{id: uint64(k)*2 + 1, incarnation: 1, seq: 1, state: StateInForce}}}
 		a.Receive(w.now, fmt.Sprint("x", k), m.encode(nil, "blue"))
 	}
-	if len(a.children.list) > maxChildren || len(a.reports.entries) > MaxFronts {
+	if len(a.children.list) > maxFrontChildren || len(a.reports.entries) > MaxFronts {
 		t.Errorf("%d children, %d reports", len(a.children.list), len(a.reports.entries))
 	}
 }
--- a/fleet/config/seeds_test.go
+++ b/fleet/config/seeds_test.go
@@ -10,44 +10,44 @@
 )
 
 // history of one seed: a small fleet, faults and changes drawn from the seed, then whole again.
-type drawn struct {
+type randomRun struct {
 	*world
 	zones  int
 	values int
 }
 
-func (d *drawn) below(n int) int { return int(d.source.Below(int64(n))) }
+func (d *randomRun) below(n int) int { return int(d.source.Below(int64(n))) }
 
 // TestSeeds: no change that was accepted is lost or out of order, no refused one appears, no front goes back
 // or acts on two versions, and nothing is said to be in force everywhere that is not.
-func TestSeeds(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	seeds := 150
-	if raced {
+	if raceEnabled {
 		seeds = 20
 	}
 	if n, err := strconv.Atoi(os.Getenv("MICATRACK_SEEDS")); err == nil {
 		seeds = n
 	}
 	for seed := range seeds {
-		if d := playSeed(t, uint64(seed)); len(d.trouble) > 0 {
-			t.Errorf("seed %d: %v", seed, d.trouble)
+		if d := runSeed(t, uint64(seed)); len(d.failures) > 0 {
+			t.Errorf("seed %d: %v", seed, d.failures)
 		}
 	}
 }
 
-func TestSameCallsSameActions(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
-		if one, two := playSeed(t, seed), playSeed(t, seed); one.digest.Sum64() != two.digest.Sum64() {
+		if one, two := runSeed(t, seed), runSeed(t, seed); one.digest.Sum64() != two.digest.Sum64() {
 			t.Errorf("seed %d: two plays differ", seed)
 		}
 	}
 }
 
-func playSeed(t *testing.T, seed uint64) *drawn {
-	d := &drawn{world: newWorld(t, seed, 3, 0, 3), zones: 3}
+func runSeed(t *testing.T, seed uint64) *randomRun {
+	d := &randomRun{world: newWorld(t, seed, 3, 0, 3), zones: 3}
 	for k := range 6 + d.below(8) {
 		m := d.add(fmt.Sprint("front", k), k%3, 3)
-		m.diskless, m.slow = d.below(3) == 0, Time(d.below(4)/3)*300*Millisecond
+		m.diskless, m.extraDelay = d.below(3) == 0, Time(d.below(4)/3)*300*Millisecond
 		d.fronts = append(d.fronts, m)
 	}
 	for _, m := range d.fronts {
@@ -56,25 +56,25 @@
 	for _, m := range d.controls {
 		m.control.SetPeers(d.now, d.peers())
 	}
-	d.loss, d.doubled, d.spoilt = int64(d.below(200)), int64(d.below(100)), int64(d.below(30))
+	d.loss, d.duplicated, d.corrupted = int64(d.below(200)), int64(d.below(100)), int64(d.below(30))
 	for range 12 + d.below(12) {
 		d.step()
 		d.run(Time(d.below(4000)) * Millisecond)
-		d.judge()
+		d.checkInvariants()
 	}
 	d.heal()
-	if d.runUntil(60*Second, d.whole) < 0 {
-		d.fault("not whole a minute after all was mended: %+v", d.leader().control.Status(d.now))
+	if d.runUntil(60*Second, d.converged) < 0 {
+		d.failf("not whole a minute after all was mended: %+v", d.leader().control.Status(d.now))
 	}
-	d.judgeLogs()
+	d.checkLogs()
 	return d
 }
 
 // step does one thing that changes something.
-func (d *drawn) step() {
+func (d *randomRun) step() {
 	switch d.below(12) {
 	case 0, 1, 2, 3:
-		d.writers(1 + d.below(3))
+		d.concurrentWriters(1 + d.below(3))
 	case 4:
 		d.rollback()
 	case 5:
@@ -96,7 +96,7 @@
 		if !m.down {
 			d.start(m)
 		}
-		d.lead()
+		d.updateLeader()
 	case 10:
 		for _, m := range d.controls {
 			m.down = true
@@ -106,7 +106,7 @@
 	}
 }
 
-func (d *drawn) restoreControls() {
+func (d *randomRun) restoreControls() {
 	for _, m := range d.controls {
 		if !m.down {
 			continue
@@ -114,27 +114,27 @@
 		kept := m.log.Snapshot()
 		m.log = NewLog()
 		if err := m.log.Restore(kept); err != nil {
-			d.fault("%s: %v", m.name, err)
+			d.failf("%s: %v", m.name, err)
 		}
 		d.start(m)
 	}
-	d.lead()
+	d.updateLeader()
 }
 
-func (d *drawn) heal() {
-	d.cut, d.loss, d.doubled, d.spoilt = nil, 50, 0, 0
+func (d *randomRun) heal() {
+	d.cut, d.loss, d.duplicated, d.corrupted = nil, 50, 0, 0
 	d.restoreControls()
 	for _, m := range d.fronts {
 		if m.down {
 			d.start(m)
 		}
 	}
-	d.writers(1)
+	d.concurrentWriters(1)
 }
 
-// writers has several change the same version at once: one wins.
-func (d *drawn) writers(count int) {
-	d.lead() // as a leader of the log does, it applies all entries before it proposes one
+// concurrentWriters has several change the same version at once: one wins.
+func (d *randomRun) concurrentWriters(count int) {
+	d.updateLeader() // as a leader of the log does, it applies all entries before it proposes one
 	leader := d.leader()
 	if leader == nil {
 		return
@@ -150,7 +150,7 @@
 		entry, err := leader.log.Prepare(c, nil)
 		if err != nil {
 			if !errors.Is(err, ErrRolloutOpen) {
-				d.fault("%v", err)
+				d.failf("%v", err)
 			}
 			return
 		}
@@ -162,12 +162,12 @@
 	}
 	for k, r := range d.results[before:] {
 		if won := r.Err == nil; won != (k == 0) || !won && !errors.Is(r.Err, ErrVersionConflict) {
-			d.fault("writer %d: %v", k, r.Err)
+			d.failf("writer %d: %v", k, r.Err)
 		}
 	}
 }
 
-func (d *drawn) rollback() {
+func (d *randomRun) rollback() {
 	leader := d.leader()
 	if leader == nil || leader.log.Newest() < 2 {
 		return
@@ -176,18 +176,18 @@
 	r := Rollback{Base: newest, To: 1 + Version(d.below(int(newest))), Author: "ana", Reason: "a test"}
 	entry, err := leader.log.PrepareRollback(r, nil)
 	if err != nil {
-		d.fault("rollback: %v", err)
+		d.failf("rollback: %v", err)
 		return
 	}
 	d.commit(entry)
 	old, _ := leader.log.DocumentAt(r.To)
 	if !bytes.Equal((&Document{Texts: old.Texts}).Append(nil), (&Document{Texts: leader.log.Document().Texts}).Append(nil)) {
-		d.fault("rollback to %d has other texts", r.To)
+		d.failf("rollback to %d has other texts", r.To)
 	}
 }
 
-// whole tells whether every front has the newest version, no roll-out is open, and the leader says so.
-func (d *drawn) whole() bool {
+// converged tells whether every front has the newest version, no roll-out is open, and the leader says so.
+func (d *randomRun) converged() bool {
 	s := d.leader().control.Status(d.now)
 	for _, m := range d.fronts {
 		if m.agent.InForce() != s.Newest || !m.agent.ProofFresh(d.now) {
@@ -197,31 +197,31 @@
 	return s.Everywhere && s.Stage == nil && s.InForce == len(d.fronts) && s.Lowest == s.Newest
 }
 
-// judge holds what is said against what is so.
-func (d *drawn) judge() {
+// checkInvariants holds what is said against what is so.
+func (d *randomRun) checkInvariants() {
 	if leader := d.leader(); leader != nil {
-		d.judgeStatus(leader.control.Status(d.now))
+		d.checkStatus(leader.control.Status(d.now))
 	}
 	for _, m := range d.fronts {
 		next := d.committedAt[m.agent.InForce()+1]
 		if !m.down && m.agent.ProofFresh(d.now) && next != 0 && d.now-next > ProofTTL {
-			d.fault("%s acts on guarded settings of version %d, %d s too old", m.name, m.agent.InForce(), (d.now-next)/Second)
+			d.failf("%s acts on guarded settings of version %d, %d s too old", m.name, m.agent.InForce(), (d.now-next)/Second)
 		}
 	}
 }
 
-func (d *drawn) judgeStatus(s Status) {
+func (d *randomRun) checkStatus(s Status) {
 	for _, f := range s.Fronts {
 		m := d.machines[f.Name]
 		older := !m.down && m.agent.InForce() > 0 && m.agent.InForce() < s.Newest
 		if s.Everywhere && older && (f.State != StateSilent || m.agent.ProofFresh(d.now)) {
-			d.fault("%s has version %d, and %d is said to be in force everywhere", m.name, m.agent.InForce(), s.Newest)
+			d.failf("%s has version %d, and %d is said to be in force everywhere", m.name, m.agent.InForce(), s.Newest)
 		}
 	}
 }
 
 // judgeLogs: all control machines have the same state, and its history is what was accepted, in order.
-func (d *drawn) judgeLogs() {
+func (d *randomRun) checkLogs() {
 	d.run(2 * Second)
 	accepted := Version(0)
 	for k, r := range d.results {
@@ -229,21 +229,21 @@
 			accepted++
 		}
 		if r.Version != accepted {
-			d.fault("entry %d leads to version %d in place of %d", k, r.Version, accepted)
+			d.failf("entry %d leads to version %d in place of %d", k, r.Version, accepted)
 		}
 	}
 	want := d.controls[0].log
 	for _, m := range d.controls {
 		if !bytes.Equal(m.log.Snapshot(), want.Snapshot()) || m.log.Newest() != accepted {
-			d.fault("%s has another state", m.name)
+			d.failf("%s has another state", m.name)
 		}
 	}
 	for k, r := range want.History() {
 		if r.Version != Version(k+1) {
-			d.fault("history has version %d in place %d", r.Version, k)
+			d.failf("history has version %d in place %d", r.Version, k)
 		}
-		if at, err := want.DocumentAt(r.Version); err != nil || !bytes.Equal((&Document{Texts: at.Texts}).Append(nil), (&Document{Texts: d.known[r.Version].Texts}).Append(nil)) {
-			d.fault("version %d in history is another: %v", r.Version, err)
+		if at, err := want.DocumentAt(r.Version); err != nil || !bytes.Equal((&Document{Texts: at.Texts}).Append(nil), (&Document{Texts: d.committed[r.Version].Texts}).Append(nil)) {
+			d.failf("version %d in history is another: %v", r.Version, err)
 		}
 	}
 }
--- a/fleet/config/status.go
+++ b/fleet/config/status.go
@@ -69,13 +69,13 @@
 func (d *Distributor) Status(now Time) Status {
 	s := Status{Newest: d.log.Newest(), Stage: d.log.Document().Stage, Age: d.proof.age(now)}
 	s.Dropped = d.dropped
-	s.Fronts = d.fronts(now)
+	s.Fronts = d.frontStatuses(now)
 	s.Everywhere = s.Newest != 0
 	first := true
 	for _, f := range s.Fronts {
 		if f.State == StateSilent {
 			s.Silent++
-			s.Everywhere = s.Everywhere && now-d.appliedAt > ProofTTL+guardMargin
+			s.Everywhere = s.Everywhere && now-d.announcedAt > ProofTTL+guardMargin
 			continue
 		}
 		if f.InForce == s.Newest {
@@ -90,13 +90,13 @@
 	return s
 }
 
-// fronts joins the fronts that are known as peers with those that have reported.
-func (d *Distributor) fronts(now Time) []FrontStatus {
+// frontStatuses joins the fronts that are known as peers with those that have reported.
+func (d *Distributor) frontStatuses(now Time) []FrontStatus {
 	list := make([]FrontStatus, 0, len(d.reports.entries))
 	for _, p := range d.topology.fronts {
 		f := FrontStatus{Name: p.Name, Zone: p.Zone, Silent: -1}
 		if k, has := d.reports.find(nameID(p.Name)); has {
-			f.told(now, &d.reports.entries[k])
+			f.update(now, &d.reports.entries[k])
 		}
 		list = append(list, f)
 	}
@@ -104,7 +104,7 @@
 		e := &d.reports.entries[k]
 		if now-e.heardAt <= SilentAfter && !d.topology.has(e.id) {
 			f := FrontStatus{}
-			f.told(now, e)
+			f.update(now, e)
 			list = append(list, f)
 		}
 	}
@@ -112,7 +112,7 @@
 	return list
 }
 
-func (f *FrontStatus) told(now Time, e *reportEntry) {
+func (f *FrontStatus) update(now Time, e *reportEntry) {
 	f.Silent = now - e.heardAt
 	f.InForce, f.Received, f.Program, f.Reason = e.inForce, e.received, e.program, e.reason
 	if f.Silent <= SilentAfter {
--- a/fleet/config/transfer.go
+++ b/fleet/config/transfer.go
@@ -8,32 +8,32 @@
 
 // transfer is a payload on its way to this machine.
 type transfer struct {
-	active   bool
-	addr     string // whom it is asked of
-	*payload        // nil: no chunk has come yet
-	missing  int    // chunks
-	awaited  []byte // chunks that were asked for, a bit each
-	retryAt  Time   // when it is asked for again, or for more of it
-	cameAt   Time   // when the last new chunk came
-	tries    int    // in a row without a new chunk
+	active      bool
+	addr        string // whom it is asked of
+	*payload           // nil: no chunk has come yet
+	missing     int    // chunks
+	awaited     []byte // chunks that were asked for, a bit each
+	retryAt     Time   // when it is asked for again, or for more of it
+	lastChunkAt Time   // when the last new chunk came
+	attempts    int    // in a row without a new chunk
 }
 
 // Spans and bounds of a transfer.
 const (
-	pullSpan      = 500 * Millisecond // after which an unanswered pull is sent again
-	chunkSpan     = 400 * Millisecond // the same where some chunks have come
-	takeOverSpan  = 2 * Second        // without a new chunk, then another payload may take this one's place
-	smallPayload  = 4                 // chunks; so many are asked for at once,
-	largeWindow   = 2                 // and of a larger one only these, so that the receiver sets the pace
-	maxPullTries  = 8                 // in a row, then the transfer is given up and begun anew
-	giveUpSpan    = 60 * Second       // without a new chunk
-	maxRecent     = maxBases - 1      // versions kept beside the newest, so that an upstream finds a base
-	maxRecentSize = 128 << 10         // bytes of them
+	pullTimeout        = 500 * Millisecond // after which an unanswered pull is sent again
+	chunkTimeout       = 400 * Millisecond // the same where some chunks have come
+	replaceTimeout     = 2 * Second        // without a new chunk, then another payload may take this one's place
+	smallPayloadChunks = 4                 // chunks; so many are asked for at once,
+	largeWindow        = 2                 // and of a larger one only these, so that the receiver sets the pace
+	maxPullAttempts    = 8                 // in a row, then the transfer is given up and begun anew
+	transferTimeout    = 60 * Second       // without a new chunk
+	maxRecentVersions  = maxBases - 1      // versions kept beside the newest, so that an upstream finds a base
+	maxRecentBytes     = 128 << 10         // bytes of them
 )
 
-// recent are versions held before, as bytes, the newest last. An upstream that went from one version to a
+// recentVersions are versions held before, as bytes, the newest last. An upstream that went from one version to a
 // later one in one step knows those between no more: it needs a base that both have.
-type recent struct {
+type recentVersions struct {
 	list []recentVersion
 	size int
 }
@@ -43,13 +43,13 @@
 	document []byte
 }
 
-func (r *recent) add(v Version, document []byte) {
+func (r *recentVersions) add(v Version, document []byte) {
 	if v == 0 {
 		return
 	}
 	r.list = append(r.list, recentVersion{v, document})
 	r.size += len(document)
-	for len(r.list) > maxRecent || r.size > maxRecentSize && len(r.list) > 0 {
+	for len(r.list) > maxRecentVersions || r.size > maxRecentBytes && len(r.list) > 0 {
 		r.size -= len(r.list[0].document)
 		r.list = r.list[1:]
 	}
@@ -66,11 +66,11 @@
 	return p
 }
 
-// passable tells whether a part has come in that children can be sent already.
-func (t *transfer) passable() bool { return t.active && t.payload != nil && len(t.chunks) > 1 }
+// canRelay tells whether a part has come in that children can be sent already.
+func (t *transfer) canRelay() bool { return t.active && t.payload != nil && len(t.chunks) > 1 }
 
-// suits tells whether a child that pulls can do with the payload that is on its way here.
-func (t *transfer) suits(m *message) bool {
+// usableFor tells whether a child that pulls can do with the payload that is on its way here.
+func (t *transfer) usableFor(m *message) bool {
 	if m.payload == t.payloadID {
 		return true
 	}
@@ -85,28 +85,28 @@
 	return len(m.bases) == 0 && t.from == 0
 }
 
-// wantNewer begins a transfer if an upstream has something newer.
-func (n *node) wantNewer() {
-	if n.adopted == nil || n.transfer.active {
+// startTransfer begins a transfer if an upstream has something newer.
+func (n *node) startTransfer() {
+	if n.onVersion == nil || n.transfer.active {
 		return
 	}
-	if addr := n.sourceOf(""); addr != "" {
-		n.transfer = transfer{active: true, addr: addr, cameAt: n.now}
-		n.ask()
+	if addr := n.pullSource(""); addr != "" {
+		n.transfer = transfer{active: true, addr: addr, lastChunkAt: n.now}
+		n.sendPull()
 	}
 }
 
-// sourceOf gives the address of a machine to pull from: an upstream with something newer, another than the
+// pullSource gives the address of a machine to pull from: an upstream with something newer, another than the
 // one named if there is another, else the one named; a control machine where no upstream has a delta from
 // what is held.
-func (n *node) sourceOf(not string) string {
+func (n *node) pullSource(avoid string) string {
 	found, stuck := "", false
 	for _, u := range n.upstreams {
 		switch {
 		case u.version <= n.chain.version:
-		case u.unableFrom == n.chain.version && u.unableFrom != 0:
+		case u.noDeltaFrom == n.chain.version && u.noDeltaFrom != 0:
 			stuck = true
-		case found == "" || found == not:
+		case found == "" || found == avoid:
 			found = u.addr
 		}
 	}
@@ -116,8 +116,8 @@
 	return found
 }
 
-// ask sends a pull for what is missing.
-func (n *node) ask() {
+// sendPull sends a pull for what is missing.
+func (n *node) sendPull() {
 	t := &n.transfer
 	m := &message{kind: pull, version: n.chain.version}
 	for _, r := range n.recent.list {
@@ -126,39 +126,39 @@
 	if n.chain.version != 0 {
 		m.bases = append(m.bases, n.chain.version)
 	}
-	span := pullSpan
+	span := pullTimeout
 	if t.payload != nil {
-		span = t.askSpan()
-		t.awaited = t.nextBits()
+		span = t.retryDelay()
+		t.awaited = t.nextWanted()
 		m.payload, m.wanted = t.payloadID, t.awaited
 	}
 	t.retryAt = n.now + span + n.source.Below(span/4)
-	n.post(t.addr, m)
+	n.sendMessage(t.addr, m)
 }
 
-// askSpan gives after what span chunks that did not come are asked for again. Of a large payload that is
+// retryDelay gives after what span chunks that did not come are asked for again. Of a large payload that is
 // longer with each try, since the sender may have spent its budget.
-func (t *transfer) askSpan() Time {
-	if len(t.chunks) <= smallPayload {
-		return chunkSpan
+func (t *transfer) retryDelay() Time {
+	if len(t.chunks) <= smallPayloadChunks {
+		return chunkTimeout
 	}
-	return chunkSpan * Time(1+min(t.tries, 6))
+	return chunkTimeout * Time(1+min(t.attempts, 6))
 }
 
-// windowOf gives how many of a payload's chunks are asked for at once.
-func windowOf(chunks int) int {
-	if chunks > smallPayload {
+// windowSize gives how many of a payload's chunks are asked for at once.
+func windowSize(chunks int) int {
+	if chunks > smallPayloadChunks {
 		return largeWindow
 	}
 	return chunks
 }
 
-// nextBits gives the first few chunks that have not come.
-func (t *transfer) nextBits() []byte {
+// nextWanted gives the first few chunks that have not come.
+func (t *transfer) nextWanted() []byte {
 	bits := make([]byte, (len(t.chunks)+7)/8)
 	count := 0
 	for k := range t.chunks {
-		if t.chunks[k] == nil && count < windowOf(len(t.chunks)) {
+		if t.chunks[k] == nil && count < windowSize(len(t.chunks)) {
 			bits[k/8] |= 1 << (k % 8)
 			count++
 		}
@@ -166,16 +166,16 @@
 	return bits
 }
 
-// idleSpan gives after what span without a new chunk another payload may take this one's place.
-func (t *transfer) idleSpan() Time {
-	if len(t.chunks) <= smallPayload {
-		return pullSpan // little is lost
+// replaceAfter gives after what span without a new chunk another payload may take this one's place.
+func (t *transfer) replaceAfter() Time {
+	if len(t.chunks) <= smallPayloadChunks {
+		return pullTimeout // little is lost
 	}
-	return takeOverSpan
+	return replaceTimeout
 }
 
-// open tells whether a chunk that was asked for has not come.
-func (t *transfer) open() bool {
+// awaiting tells whether a chunk that was asked for has not come.
+func (t *transfer) awaiting() bool {
 	if t.payload == nil {
 		return true
 	}
@@ -187,101 +187,101 @@
 	return false
 }
 
-// beatTransfer asks again for what has not come, of another machine where that is possible.
-func (n *node) beatTransfer() {
+// tickTransfer asks again for what has not come, of another machine where that is possible.
+func (n *node) tickTransfer() {
 	t := &n.transfer
 	if !t.active || n.now < t.retryAt {
 		return
 	}
-	if !t.open() {
-		n.ask() // for more
+	if !t.awaiting() {
+		n.sendPull() // for more
 		return
 	}
-	t.tries++
-	addr := n.sourceOf(t.addr)
-	if n.now-t.cameAt > giveUpSpan || t.payload == nil && (t.tries > maxPullTries || addr == "") {
+	t.attempts++
+	addr := n.pullSource(t.addr)
+	if n.now-t.lastChunkAt > transferTimeout || t.payload == nil && (t.attempts > maxPullAttempts || addr == "") {
 		n.dropTransfer()
-		n.wantNewer()
+		n.startTransfer()
 		return
 	}
 	if addr != "" {
 		t.addr = addr
 	}
-	n.ask()
+	n.sendPull()
 }
 
 // dropTransfer gives a transfer up. Who waits for its chunks asks again.
 func (n *node) dropTransfer() {
 	for k := range n.children.list {
 		c := &n.children.list[k]
-		if c.serving != nil && c.serving.payload == n.transfer.payload {
-			c.serving = nil
+		if c.outgoing != nil && c.outgoing.payload == n.transfer.payload {
+			c.outgoing = nil
 		}
 	}
 	n.transfer = transfer{}
 }
 
-// unableToServe notes that a machine has no delta from what is held here.
-func (n *node) unableToServe(addr string) {
-	if u := n.from(addr); u != nil {
-		u.unableFrom = n.chain.version
+// handleNoDelta notes that a machine has no delta from what is held here.
+func (n *node) handleNoDelta(addr string) {
+	if u := n.upstreamAt(addr); u != nil {
+		u.noDeltaFrom = n.chain.version
 	}
 	t := &n.transfer
 	if t.active && t.addr == addr && t.payload == nil {
 		n.dropTransfer()
-		n.wantNewer()
+		n.startTransfer()
 	}
 }
 
-// chunkCame takes a part of a payload in.
+// handleChunk takes a part of a payload in.
 // Danger: chunks of two payloads, or what nobody asked for, would make a text of two versions.
-func (n *node) chunkCame(from string, m *message) {
+func (n *node) handleChunk(from string, m *message) {
 	t := &n.transfer
-	if n.adopted == nil || m.payload.to <= n.chain.version || !n.holds(m.payload.from) {
+	if n.onVersion == nil || m.payload.to <= n.chain.version || !n.holdsVersion(m.payload.from) {
 		return
 	}
-	if n.from(from) == nil && (!t.active || from != t.addr) {
+	if n.upstreamAt(from) == nil && (!t.active || from != t.addr) {
 		return
 	}
 	if !t.active { // an upstream sent it unasked
-		n.transfer = transfer{active: true, addr: from, cameAt: n.now}
+		n.transfer = transfer{active: true, addr: from, lastChunkAt: n.now}
 	}
-	if t.payload != nil && t.payloadID != m.payload && n.now-t.cameAt > t.idleSpan() {
+	if t.payload != nil && t.payloadID != m.payload && n.now-t.lastChunkAt > t.replaceAfter() {
 		n.dropTransfer()
-		n.transfer = transfer{active: true, addr: from, cameAt: n.now}
+		n.transfer = transfer{active: true, addr: from, lastChunkAt: n.now}
 		t = &n.transfer
 	}
 	if t.payload == nil {
 		t.payload = &payload{m.payload, make([][]byte, m.total)}
 		t.missing = int(m.total)
-		t.awaited = firstBits(windowOf(len(t.chunks)))
+		t.awaited = firstChunksBitmap(windowSize(len(t.chunks)))
 	}
 	if t.payloadID != m.payload || int(m.total) != len(t.chunks) || t.chunks[m.index] != nil {
 		return
 	}
 	t.chunks[m.index] = bytes.Clone(m.data)
 	t.missing--
-	t.cameAt, t.tries, t.retryAt = n.now, 0, n.now+chunkSpan
+	t.lastChunkAt, t.attempts, t.retryAt = n.now, 0, n.now+chunkTimeout
 	if t.missing == 0 {
-		n.finish()
+		n.finishTransfer()
 		return
 	}
-	if !t.open() { // Danger: a sender with a larger budget than this machine's
-		t.retryAt = n.budget.chunkAt(n.now, windowOf(len(t.chunks))*chunkSize, reserve(len(t.chunks)))
+	if !t.awaiting() { // Danger: a sender with a larger budget than this machine's
+		t.retryAt = n.budget.chunkAllowedAt(n.now, windowSize(len(t.chunks))*chunkSize, chunkReserve(len(t.chunks)))
 	}
 	if len(t.chunks)-t.missing == 1 {
-		n.newVersion()
+		n.scheduleOffer()
 	}
-	n.serve()
+	n.sendChunks()
 }
 
-// holds tells whether a version's document is here.
-func (n *node) holds(v Version) bool {
-	_, has := n.held(v)
+// holdsVersion tells whether a version's document is here.
+func (n *node) holdsVersion(v Version) bool {
+	_, has := n.documentOf(v)
 	return has
 }
 
-func (n *node) held(v Version) ([]byte, bool) {
+func (n *node) documentOf(v Version) ([]byte, bool) {
 	if v == 0 {
 		return nil, true
 	}
@@ -296,22 +296,22 @@
 	return nil, false
 }
 
-// finish takes the version of a whole payload over. Danger: a spoilt payload; nothing of it counts, and it is
+// finishTransfer takes the version of a whole payload over. Danger: a spoilt payload; nothing of it counts, and it is
 // asked for of another machine.
-func (n *node) finish() {
+func (n *node) finishTransfer() {
 	p := n.transfer.payload
-	document, encoded := n.unpacked(p)
+	document, encoded := n.decodePayload(p)
 	if document == nil {
 		n.dropped++
 		addr := n.transfer.addr
 		n.dropTransfer()
-		if other := n.sourceOf(addr); other != "" {
-			n.transfer = transfer{active: true, addr: other, cameAt: n.now, retryAt: n.now + pullSpan}
+		if other := n.pullSource(addr); other != "" {
+			n.transfer = transfer{active: true, addr: other, lastChunkAt: n.now, retryAt: n.now + pullTimeout}
 		}
 		return
 	}
 	n.transfer = transfer{}
-	n.remember(p)
+	n.cachePayload(p)
 	old := n.chain.version
 	var d *delta
 	if old != 0 {
@@ -319,14 +319,14 @@
 	}
 	n.recent.add(old, n.chain.document)
 	n.chain.add(old, p.to, encoded, d)
-	n.adopted(document)
-	n.newVersion()
-	n.serve()
-	n.wantNewer()
+	n.onVersion(document)
+	n.scheduleOffer()
+	n.sendChunks()
+	n.startTransfer()
 }
 
-// unpacked gives the document that a payload leads to, nil if it leads to none.
-func (n *node) unpacked(p *payload) (*Document, []byte) {
+// decodePayload gives the document that a payload leads to, nil if it leads to none.
+func (n *node) decodePayload(p *payload) (*Document, []byte) {
 	joined := bytes.Join(p.chunks, nil)
 	if xxhash.Sum64(joined) != p.sum {
 		return nil, nil
@@ -335,7 +335,7 @@
 	if err != nil {
 		return nil, nil
 	}
-	old, _ := n.held(p.from)
+	old, _ := n.documentOf(p.from)
 	encoded, err := d.apply(old)
 	if err != nil {
 		return nil, nil
--- a/fleet/config/upstream.go
+++ b/fleet/config/upstream.go
@@ -2,38 +2,38 @@
 
 // upstream is a machine that this one asks for versions; to the first one reports go as well.
 type upstream struct {
-	reportsTo  bool
-	fixed      bool // the leader, of another control machine; it stays until another leads
-	addr       string
-	attempt    int // how many were passed over since the first choice
-	chosenAt   Time
-	reviewAt   Time
-	nextAt     Time // of the next heartbeat
-	answered   bool // since it was chosen
-	unanswered int  // heartbeats in a row,
-	askedSince Time // and when the first of them went
-	seq        uint64
-	asked      [4]question // the last heartbeats
-	version    Version     // the newest that it told of
-	unableFrom Version     // it has no delta from this version; 0: nothing is known
+	reportsTo       bool
+	fixed           bool // the leader, of another control machine; it stays until another leads
+	addr            string
+	attempt         int // how many were passed over since the first choice
+	chosenAt        Time
+	reviewAt        Time
+	nextAt          Time // of the next heartbeat
+	answered        bool // since it was chosen
+	unanswered      int  // heartbeats in a row,
+	unansweredSince Time // and when the first of them went
+	seq             uint64
+	sentHeartbeats  [4]sentHeartbeat // the last heartbeats
+	version         Version          // the newest that it told of
+	noDeltaFrom     Version          // it has no delta from this version; 0: nothing is known
 }
 
-// question is a heartbeat on its way.
-type question struct {
+// sentHeartbeat is a heartbeat on its way.
+type sentHeartbeat struct {
 	seq uint64
 	at  Time
 }
 
 // Spans of heartbeats.
 const (
-	heartbeatSpan   = Second
-	heartbeatSpread = 100 * Millisecond  // drawn on top, so that machines do not go in step
-	answerSpan      = 500 * Millisecond  // after which an unanswered heartbeat is sent again
-	probeSpan       = 700 * Millisecond  // for which a newly chosen upstream may stay silent
-	maxUnanswered   = 3                  // heartbeats in a row, and
-	silentSpan      = 1400 * Millisecond // that no answer came for so long: then another upstream is chosen
-	slowAttempts    = 12                 // attempts after which they come once in two seconds
-	reviewSpan      = 30 * Second        // after which the first choice is tried again, and so much is drawn
+	heartbeatInterval = Second
+	heartbeatJitter   = 100 * Millisecond  // drawn on top, so that machines do not go in step
+	answerTimeout     = 500 * Millisecond  // after which an unanswered heartbeat is sent again
+	probeTimeout      = 700 * Millisecond  // for which a newly chosen upstream may stay silent
+	maxUnanswered     = 3                  // heartbeats in a row, and
+	silenceTimeout    = 1400 * Millisecond // that no answer came for so long: then another upstream is chosen
+	slowAttempts      = 12                 // attempts after which they come once in two seconds
+	reviewInterval    = 30 * Second        // after which the first choice is tried again, and so much is drawn
 )
 
 // choose takes another upstream, or the first choice on attempt 0.
@@ -41,10 +41,10 @@
 	u.attempt = attempt
 	u.addr = u.candidate(n)
 	u.chosenAt, u.nextAt = n.now, n.now
-	u.answered, u.unanswered, u.version, u.unableFrom = false, 0, 0, 0
-	u.reviewAt = n.now + reviewSpan + n.source.Below(reviewSpan)
+	u.answered, u.unanswered, u.version, u.noDeltaFrom = false, 0, 0, 0
+	u.reviewAt = n.now + reviewInterval + n.source.Below(reviewInterval)
 	if u.reportsTo {
-		n.reports.again(n.now)
+		n.reports.resendAll(n.now)
 	}
 }
 
@@ -52,75 +52,75 @@
 // another.
 func (u *upstream) candidate(n *node) string {
 	if u.reportsTo {
-		return n.topology.first(u.attempt, &n.source)
+		return n.topology.primaryUpstream(u.attempt, &n.source)
 	}
-	addr := n.topology.second(u.attempt, &n.source)
+	addr := n.topology.secondaryUpstream(u.attempt, &n.source)
 	if addr == n.upstreams[0].addr {
-		addr = n.topology.second(u.attempt, &n.source)
+		addr = n.topology.secondaryUpstream(u.attempt, &n.source)
 	}
 	return addr
 }
 
-// beat sends a heartbeat when one is due, or gives the upstream up.
+// tick sends a heartbeat when one is due, or gives the upstream up.
 // Danger: a relay that has died, or is cut off, would cut off all that hang on it.
-func (u *upstream) beat(n *node) {
-	if n.now < u.nextAt || !n.known && !u.fixed {
+func (u *upstream) tick(n *node) {
+	if n.now < u.nextAt || !n.topologyKnown && !u.fixed {
 		return
 	}
 	switch {
 	case u.fixed:
 	case u.addr == "": // nobody was known
 		u.choose(n, 0)
-	case u.silent(n.now):
+	case u.unresponsive(n.now):
 		u.choose(n, u.attempt+1)
 	case u.attempt > 0 && n.now >= u.reviewAt:
 		u.choose(n, 0)
 	case u.attempt == 0 && n.now >= u.reviewAt:
 		u.review(n)
 	}
-	u.heartbeat(n, nil)
+	u.sendHeartbeat(n, nil)
 }
 
-// silent tells whether an upstream has to be taken for gone. Reports may go several times a second, so it
+// unresponsive tells whether an upstream has to be taken for gone. Reports may go several times a second, so it
 // takes a span as well as a number.
-func (u *upstream) silent(now Time) bool {
+func (u *upstream) unresponsive(now Time) bool {
 	if !u.answered {
 		return u.unanswered > 0
 	}
-	return u.unanswered >= maxUnanswered && now-u.askedSince >= silentSpan
+	return u.unanswered >= maxUnanswered && now-u.unansweredSince >= silenceTimeout
 }
 
 // review looks whether the first choice is another one since the list of machines has changed. The second
 // upstream is drawn anew, so that children spread over the machines that have come.
 func (u *upstream) review(n *node) {
-	u.reviewAt = n.now + reviewSpan + n.source.Below(reviewSpan)
-	if !u.reportsTo || n.topology.first(0, &n.source) != u.addr {
+	u.reviewAt = n.now + reviewInterval + n.source.Below(reviewInterval)
+	if !u.reportsTo || n.topology.primaryUpstream(0, &n.source) != u.addr {
 		u.choose(n, 0)
 	}
 }
 
-func (u *upstream) heartbeat(n *node, reports []report) {
+func (u *upstream) sendHeartbeat(n *node, reports []report) {
 	if reports == nil {
 		u.seq++
 	}
-	u.asked[u.seq%uint64(len(u.asked))] = question{u.seq, n.now}
+	u.sentHeartbeats[u.seq%uint64(len(u.sentHeartbeats))] = sentHeartbeat{u.seq, n.now}
 	if u.unanswered == 0 {
-		u.askedSince = n.now
+		u.unansweredSince = n.now
 	}
 	u.unanswered++
 	switch {
 	case u.addr == "":
 		u.nextAt = n.now + Second
 	case u.answered:
-		u.nextAt = n.now + answerSpan
+		u.nextAt = n.now + answerTimeout
 	case u.attempt > slowAttempts:
 		u.nextAt = n.now + 2*Second
 	default:
-		u.nextAt = n.now + probeSpan
+		u.nextAt = n.now + probeTimeout
 	}
-	m := &message{kind: heartbeat, seq: u.seq, version: n.chain.version, first: u.reportsTo}
+	m := &message{kind: heartbeat, seq: u.seq, version: n.chain.version, reportUpstream: u.reportsTo}
 	m.reports = reports
-	n.post(u.addr, m)
+	n.sendMessage(u.addr, m)
 }
 
 // flushReports sends what the upstream does not know yet.
@@ -129,29 +129,29 @@
 		return
 	}
 	if len(n.upstreams) == 0 || !n.upstreams[0].answered {
-		n.reports.flushAt = n.now + answerSpan // it is tried whether it is there
+		n.reports.flushAt = n.now + answerTimeout // it is tried whether it is there
 		return
 	}
-	if at := n.reports.batch.at + answerSpan; len(n.reports.batch.sent) > 0 && n.now < at {
+	if at := n.reports.batch.at + answerTimeout; len(n.reports.batch.sent) > 0 && n.now < at {
 		n.reports.flushAt = at // the last ones are not acknowledged
 		return
 	}
-	if n.budget.spent(n.now) > reportsSpent && n.now-n.reports.waits < reportsWait {
+	if n.budget.usedPermille(n.now) > maxReportBudgetUsed && n.now-n.reports.pendingSince < maxReportWait {
 		n.reports.flushAt = n.now + reportDelay
 		return
 	}
 	u := n.upstreams[0]
-	reports := n.reports.take(n.now, u.seq+1)
+	reports := n.reports.nextBatch(n.now, u.seq+1)
 	if len(reports) == 0 {
 		return
 	}
 	u.seq++
-	u.heartbeat(n, reports)
-	n.reports.flushSoon(n.now, answerSpan) // again, unless it is acknowledged
+	u.sendHeartbeat(n, reports)
+	n.reports.scheduleFlush(n.now, answerTimeout) // again, unless it is acknowledged
 }
 
-// from gives the upstream with an address, nil if none has it.
-func (n *node) from(addr string) *upstream {
+// upstreamAt gives the upstream with an address, nil if none has it.
+func (n *node) upstreamAt(addr string) *upstream {
 	for _, u := range n.upstreams {
 		if u.addr == addr {
 			return u
@@ -160,17 +160,17 @@
 	return nil
 }
 
-// answered takes an upstream's answer in.
-func (n *node) answered(from string, m *message) {
-	if m.unable {
-		n.unableToServe(from)
+// handleAcknowledge takes an upstream's answer in.
+func (n *node) handleAcknowledge(from string, m *message) {
+	if m.noDelta {
+		n.handleNoDelta(from)
 	}
-	u := n.from(from)
+	u := n.upstreamAt(from)
 	if u == nil || m.seq == 0 {
 		return
 	}
-	asked := u.asked[m.seq%uint64(len(u.asked))]
-	if asked.seq != m.seq {
+	sent := u.sentHeartbeats[m.seq%uint64(len(u.sentHeartbeats))]
+	if sent.seq != m.seq {
 		return // it was too long under way
 	}
 	if m.full && !u.fixed {
@@ -178,23 +178,23 @@
 		return
 	}
 	u.answered, u.unanswered = true, 0
-	u.nextAt = max(u.nextAt, asked.at+heartbeatSpan+n.source.Below(heartbeatSpread))
-	u.version = max(m.version, m.getting)
+	u.nextAt = max(u.nextAt, sent.at+heartbeatInterval+n.source.Below(heartbeatJitter))
+	u.version = max(m.version, m.receiving)
 	if u.reportsTo {
 		n.reports.acknowledged(n.now, m.seq)
 	}
 	if m.proven {
-		n.provenBy(asked.at-m.age, m.version)
+		n.proveNewest(sent.at-m.age, m.version)
 	}
-	n.wantNewer()
+	n.startTransfer()
 }
 
-// offered notes that an upstream has, or is getting, something newer.
-func (n *node) offered(from string, m *message) {
-	u := n.from(from)
+// handleOffer notes that an upstream has, or is getting, something newer.
+func (n *node) handleOffer(from string, m *message) {
+	u := n.upstreamAt(from)
 	if u == nil {
 		return
 	}
 	u.version = max(u.version, m.version)
-	n.wantNewer()
+	n.startTransfer()
 }
--- a/fleet/config/wire.go
+++ b/fleet/config/wire.go
@@ -17,7 +17,7 @@
 }
 
 // eachField hands over the fields of an encoding in their order, at most as many as it has bytes.
-func eachField(encoded []byte, take func(f field) error) error {
+func eachField(encoded []byte, handle func(f field) error) error {
 	for len(encoded) > 0 {
 		number, kind, size := protowire.ConsumeTag(encoded)
 		if size < 0 {
@@ -40,7 +40,7 @@
 			return ErrMalformed
 		}
 		encoded = encoded[size:]
-		if err := take(f); err != nil {
+		if err := handle(f); err != nil {
 			return err
 		}
 	}
@@ -55,8 +55,8 @@
 	return string(f.bytes), nil
 }
 
-// span gives a field's value as a span of at most limit.
-func (f field) span(limit Time) (Time, error) {
+// duration gives a field's value as a span of at most limit.
+func (f field) duration(limit Time) (Time, error) {
 	if f.value > uint64(limit) {
 		return 0, fmt.Errorf("%w: a span over its bound", ErrMalformed)
 	}
@@ -89,8 +89,8 @@
 	return protowire.AppendBytes(protowire.AppendTag(dst, number, protowire.BytesType), part)
 }
 
-// sound tells whether a scope's name is one: small letters, digits, dashes and underscores.
-func (s Scope) sound() bool {
+// valid tells whether a scope's name is one: small letters, digits, dashes and underscores.
+func (s Scope) valid() bool {
 	if len(s) == 0 || len(s) > MaxScopeName {
 		return false
 	}
--- a/fleet/config/world_test.go
+++ b/fleet/config/world_test.go
@@ -37,55 +37,55 @@
 
 // machine is a front or a control machine.
 type machine struct {
-	w          *world
-	name, zone string
-	region     int
-	down       bool
-	life       uint64
-	since      Time // when this life began
-	slow       Time // by which it handles each message later
-	wakeAt     Time
-	agent      *Agent
-	control    *Distributor
-	log        *Log
-	applied    int // entries
-	kept       []byte
-	inForce    Version // over all lives, as far as it has a disk
-	inForceAt  Time
-	diskless   bool
-	program    uint32
-	refuse     func(texts []ScopeText) error
-	traffic    []int64 // bytes sent and received in each second
-	messages   int
+	w              *world
+	name, zone     string
+	region         int
+	down           bool
+	incarnation    uint64
+	startedAt      Time // when this life began
+	extraDelay     Time // by which it handles each message later
+	wakeAt         Time
+	agent          *Agent
+	control        *Distributor
+	log            *Log
+	appliedEntries int // entries
+	persisted      []byte
+	inForce        Version // over all lives, as far as it has a disk
+	inForceAt      Time
+	diskless       bool
+	program        uint32
+	refuse         func(texts []ScopeText) error
+	traffic        []int64 // bytes sent and received in each second
+	messages       int
 }
 
 type world struct {
-	t           testing.TB
-	now         Time
-	queue       events
-	order       uint64
-	source      random.Source
-	machines    map[string]*machine
-	controls    []*machine
-	fronts      []*machine
-	entries     [][]byte
-	known       map[Version]*Document // what each version says
-	results     []Result
-	committedAt map[Version]Time
-	loss        int64 // of a thousand
-	doubled     int64
-	spoilt      int64
-	within      Time
-	between     Time
-	cut         func(x, y *machine) bool
-	trouble     []string
-	digest      xxhash.Digest // of all that was sent
-	onForce     func(m *machine, v Version)
+	t                testing.TB
+	now              Time
+	queue            events
+	order            uint64
+	source           random.Source
+	machines         map[string]*machine
+	controls         []*machine
+	fronts           []*machine
+	entries          [][]byte
+	committed        map[Version]*Document // what each version says
+	results          []Result
+	committedAt      map[Version]Time
+	loss             int64 // of a thousand
+	duplicated       int64
+	corrupted        int64
+	sameRegionDelay  Time
+	crossRegionDelay Time
+	cut              func(x, y *machine) bool
+	failures         []string
+	digest           xxhash.Digest // of all that was sent
+	onInForce        func(m *machine, v Version)
 }
 
 func newWorld(t testing.TB, seed uint64, controls, fronts, zones int) *world {
 	w := &world{t: t, now: 1000 * Second, source: random.New(seed), machines: map[string]*machine{},
-		known: map[Version]*Document{}, committedAt: map[Version]Time{}, within: 30 * Millisecond, between: 80 * Millisecond}
+		committed: map[Version]*Document{}, committedAt: map[Version]Time{}, sameRegionDelay: 30 * Millisecond, crossRegionDelay: 80 * Millisecond}
 	for k := range controls {
 		w.controls = append(w.controls, w.add(fmt.Sprint("control", k), k%zones, zones))
 	}
@@ -99,8 +99,8 @@
 	for _, m := range w.fronts {
 		w.start(m)
 	}
-	w.lead()
-	w.at(w.now+Second, w.confirm)
+	w.updateLeader()
+	w.at(w.now+Second, w.confirmLeadership)
 	return w
 }
 
@@ -150,21 +150,21 @@
 
 func (w *world) start(m *machine) {
 	m.down = false
-	m.life++
-	m.since = w.now
-	seed := uint64(w.source.Uint32()) + m.life
+	m.incarnation++
+	m.startedAt = w.now
+	seed := uint64(w.source.Uint32()) + m.incarnation
 	if m.log != nil {
 		m.control = NewDistributor(w.now, DistributorOptions{Fleet: "blue", Name: m.name, Seed: seed}, m.log, m)
 		m.control.SetPeers(w.now, w.peers())
 	} else {
-		kept := m.kept
+		kept := m.persisted
 		if m.diskless {
 			kept, m.inForce = nil, 0
 		}
 		if len(kept) > 0 {
 			m.inForce-- // the same version is put in force again
 		}
-		m.agent = NewAgent(w.now, AgentOptions{Fleet: "blue", Name: m.name, Zone: m.zone, Incarnation: m.life,
+		m.agent = NewAgent(w.now, AgentOptions{Fleet: "blue", Name: m.name, Zone: m.zone, Incarnation: m.incarnation,
 			Program: m.program, Seed: seed, Persisted: kept}, m)
 		m.agent.SetPeers(w.now, w.peers())
 	}
@@ -186,9 +186,9 @@
 		return
 	}
 	m.wakeAt = max(next, m.w.now+1)
-	at, life := m.wakeAt, m.life
+	at, life := m.wakeAt, m.incarnation
 	m.w.at(at, func() {
-		if m.down || m.life != life || m.wakeAt != at {
+		if m.down || m.incarnation != life || m.wakeAt != at {
 			return
 		}
 		if m.agent != nil {
@@ -205,11 +205,11 @@
 	for len(m.traffic) <= second {
 		m.traffic = append(m.traffic, 0)
 	}
-	m.traffic[second] += int64(size + headerSize)
+	m.traffic[second] += int64(size + packetOverhead)
 }
 
-// worst gives the most bytes a second over ten seconds in a row, from a second on.
-func (m *machine) worst(from int) int64 {
+// worstRate gives the most bytes a second over ten seconds in a row, from a second on.
+func (m *machine) worstRate(from int) int64 {
 	most, sum := int64(0), int64(0)
 	for k := from; k < len(m.traffic); k++ {
 		sum += m.traffic[k]
@@ -228,10 +228,10 @@
 	w.digest.WriteString(m.name + addr)
 	w.digest.Write(message)
 	if len(message) > MaxMessage {
-		w.fault("%s: a message of %d bytes", m.name, len(message))
+		w.failf("%s: a message of %d bytes", m.name, len(message))
 	}
 	copies := 1
-	if w.doubled > 0 && w.source.Below(1000) < w.doubled {
+	if w.duplicated > 0 && w.source.Below(1000) < w.duplicated {
 		copies = 2
 	}
 	for range copies {
@@ -243,14 +243,14 @@
 	if to == nil || w.source.Below(1000) < w.loss || w.cut != nil && w.cut(from, to) {
 		return
 	}
-	if w.spoilt > 0 && w.source.Below(1000) < w.spoilt {
+	if w.corrupted > 0 && w.source.Below(1000) < w.corrupted {
 		message[w.source.Below(int64(len(message)))] ^= byte(1 << w.source.Below(8))
 	}
-	delay := w.within
+	delay := w.sameRegionDelay
 	if from.region != to.region {
-		delay = w.between
+		delay = w.crossRegionDelay
 	}
-	delay += w.source.Below(delay/4+1) + to.slow
+	delay += w.source.Below(delay/4+1) + to.extraDelay
 	w.at(w.now+delay, func() { to.receive(from.name, message) })
 }
 
@@ -269,7 +269,7 @@
 
 func (m *machine) Log(string)              {}
 func (m *machine) UnixMilliseconds() int64 { return m.w.now / Millisecond }
-func (m *machine) Persist(kept []byte)     { m.kept = bytes.Clone(kept) }
+func (m *machine) Persist(kept []byte)     { m.persisted = bytes.Clone(kept) }
 func (m *machine) Propose(entry []byte) error {
 	if !m.w.commit(entry) {
 		return fmt.Errorf("no majority")
@@ -277,9 +277,9 @@
 	return nil
 }
 
-func (w *world) fault(format string, values ...any) {
-	if len(w.trouble) < 10 {
-		w.trouble = append(w.trouble, fmt.Sprintf(format, values...))
+func (w *world) failf(format string, values ...any) {
+	if len(w.failures) < 10 {
+		w.failures = append(w.failures, fmt.Sprintf(format, values...))
 	}
 }
 
@@ -288,15 +288,15 @@
 func (m *machine) PutInForce(v Version, texts []ScopeText) error {
 	w := m.w
 	if v <= m.inForce {
-		w.fault("%s: version %d after %d", m.name, v, m.inForce)
+		w.failf("%s: version %d after %d", m.name, v, m.inForce)
 	}
-	want := w.known[v]
+	want := w.committed[v]
 	if want == nil {
-		w.fault("%s: version %d was never committed", m.name, v)
+		w.failf("%s: version %d was never committed", m.name, v)
 		return nil
 	}
 	if !bytes.Equal((&Document{Texts: texts}).Append(nil), (&Document{Texts: want.TextsFor(m.name, m.zone)}).Append(nil)) {
-		w.fault("%s: version %d is not what was committed", m.name, v)
+		w.failf("%s: version %d is not what was committed", m.name, v)
 	}
 	if m.refuse != nil {
 		if err := m.refuse(texts); err != nil {
@@ -304,8 +304,8 @@
 		}
 	}
 	m.inForce, m.inForceAt = v, w.now
-	if w.onForce != nil {
-		w.onForce(m, v)
+	if w.onInForce != nil {
+		w.onInForce(m, v)
 	}
 	return nil
 }
@@ -328,8 +328,8 @@
 
 func (w *world) reaches(x, y *machine) bool { return w.cut == nil || !w.cut(x, y) }
 
-// lead tells control machines who leads, and has them catch up.
-func (w *world) lead() {
+// updateLeader tells control machines who leads, and has them catch up.
+func (w *world) updateLeader() {
 	leader := w.leader()
 	for _, m := range w.controls {
 		if m.down {
@@ -345,13 +345,13 @@
 	}
 }
 
-// confirm stands for the read by quorum.
-func (w *world) confirm() {
-	w.lead()
+// confirmLeadership stands for the read by quorum.
+func (w *world) confirmLeadership() {
+	w.updateLeader()
 	if leader := w.leader(); leader != nil {
 		leader.control.LeadershipConfirmed(w.now, w.now-50*Millisecond)
 	}
-	w.at(w.now+Second, w.confirm)
+	w.at(w.now+Second, w.confirmLeadership)
 }
 
 // commit adds an entry; each control machine applies it after a delay of its own.
@@ -363,7 +363,7 @@
 	w.entries = append(w.entries, bytes.Clone(entry))
 	w.catchUp(leader)
 	for _, m := range w.controls {
-		w.at(w.now+w.within+w.source.Below(w.between), func() {
+		w.at(w.now+w.sameRegionDelay+w.source.Below(w.crossRegionDelay), func() {
 			if l := w.leader(); !m.down && l != nil && w.reaches(l, m) {
 				w.catchUp(m)
 			}
@@ -373,16 +373,16 @@
 }
 
 func (w *world) catchUp(m *machine) {
-	for ; m.applied < len(w.entries); m.applied++ {
-		result := m.log.Apply(w.entries[m.applied])
-		if m.applied == len(w.results) {
+	for ; m.appliedEntries < len(w.entries); m.appliedEntries++ {
+		result := m.log.Apply(w.entries[m.appliedEntries])
+		if m.appliedEntries == len(w.results) {
 			w.results = append(w.results, result)
 			if result.Err == nil {
 				w.committedAt[result.Version] = w.now
-				w.known[result.Version], _ = ReadDocument(m.log.Document().Append(nil))
+				w.committed[result.Version], _ = ReadDocument(m.log.Document().Append(nil))
 			}
-		} else if w.results[m.applied].Version != result.Version {
-			w.fault("%s: entry %d leads to another version", m.name, m.applied)
+		} else if w.results[m.appliedEntries].Version != result.Version {
+			w.failf("%s: entry %d leads to another version", m.name, m.appliedEntries)
 		}
 	}
 	m.control.LogChanged(w.now)
@@ -404,8 +404,8 @@
 	return leader.log.Newest()
 }
 
-// everyone tells whether all live fronts that a test counts have a version in force.
-func (w *world) everyone(v Version, count func(m *machine) bool) bool {
+// allInForce tells whether all live fronts that a test counts have a version in force.
+func (w *world) allInForce(v Version, count func(m *machine) bool) bool {
 	for _, m := range w.fronts {
 		if !m.down && (count == nil || count(m)) && m.agent.InForce() < v {
 			return false
@@ -414,9 +414,9 @@
 	return true
 }
 
-func (w *world) check() {
+func (w *world) reportFailures() {
 	w.t.Helper()
-	for _, trouble := range w.trouble {
+	for _, trouble := range w.failures {
 		w.t.Error(trouble)
 	}
 }
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -30,7 +30,7 @@
 
 // shared are the parts of the operators' file that all fronts may have from the fleet's configuration. The
 // others name addresses and files of one machine.
-var shared = []string{"$schema", "door"}
+var sharedKeys = []string{"$schema", "door"}
 
 // Check tells what is wrong with a scope's text, by the code that checks files.
 func Check(scope config.Scope, text []byte) error {
@@ -81,7 +81,7 @@
 	}
 	var own []string
 	for key := range parts {
-		if !slices.Contains(shared, key) {
+		if !slices.Contains(sharedKeys, key) {
 			own = append(own, key)
 		}
 	}
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -14,7 +14,7 @@
 	"micatrack/internal/peers"
 )
 
-func stored() *StoredVersion {
+func sampleVersion() *StoredVersion {
 	discovery := config.ScopeText{Scope: DiscoveryScope, Text: []byte(`{"discovery":"127.0.0.1:8500"}`)}
 	settings := config.ScopeText{Scope: SettingsScope, Text: []byte(`{}`)}
 	return &StoredVersion{
@@ -23,7 +23,7 @@
 	}
 }
 
-func same(a, b *StoredVersion) bool {
+func sameVersion(a, b *StoredVersion) bool {
 	x, _ := a.Text(SettingsScope)
 	y, _ := b.Text(SettingsScope)
 	moments := a.ProvenAt == b.ProvenAt && a.InForceAt == b.InForceAt
@@ -32,17 +32,17 @@
 
 // TestDiskWholeOrNot: a file is read as it was written, or not at all: cut at each byte, with any bit
 // flipped, missing.
-func TestDiskWholeOrNot(t *testing.T) {
+func TestLoadRejectsCorruptFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "configuration")
 	if s, err := Load(path); err != nil || s.Version != 0 {
 		t.Errorf("no file: %+v, %v", s, err)
 	}
-	want := stored()
+	want := sampleVersion()
 	for range 2 { // the second takes the place of the first
 		if err := Save(path, want); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Load(path); err != nil || !same(&got, want) {
+		if got, err := Load(path); err != nil || !sameVersion(&got, want) {
 			t.Fatalf("%+v, %v", got, err)
 		}
 	}
@@ -70,12 +70,12 @@
 	if err := os.WriteFile(path+".part", whole[:len(whole)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Load(path); err != nil || !same(&got, want) {
+	if got, err := Load(path); err != nil || !sameVersion(&got, want) {
 		t.Errorf("beside a part: %+v, %v", got, err)
 	}
 }
 
-func TestChecksNameTheKey(t *testing.T) {
+func TestCheckNamesTheKey(t *testing.T) {
 	for _, c := range []struct {
 		scope config.Scope
 		text  string
--- a/internal/configuration/control.go
+++ b/internal/configuration/control.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	confirmEvery = config.Second // between two reads by quorum of a leader
-	never        = math.MaxInt64
+	confirmInterval = config.Second // between two reads by quorum of a leader
+	never           = math.MaxInt64
 )
 
 // Voter is what a control machine's part needs of the voter; lease.Voter is one.
@@ -34,16 +34,16 @@
 // Control is the control machine's part: the second state machine in the voters' log, and what hands its
 // versions out. It is the voter's goroutine's.
 type Control struct {
-	options     ControlOptions
-	log         *slog.Logger
-	peers       *peers.Transport
-	state       *config.Log
-	distributor *config.Distributor // nil: versions are only kept
-	voter       Voter
-	now         Time
-	toFront     func(body []byte) // hands a message to this machine's front
-	confirmAt   Time
-	due         Time // when the distributor has something to do
+	options        ControlOptions
+	log            *slog.Logger
+	peers          *peers.Transport
+	state          *config.Log
+	distributor    *config.Distributor // nil: versions are only kept
+	voter          Voter
+	now            Time
+	deliverToFront func(body []byte) // hands a message to this machine's front
+	confirmAt      Time
+	tickAt         Time // when the distributor has something to do
 }
 
 // NewControl starts a control machine's part, empty: the voter fills it.
@@ -76,7 +76,7 @@
 func (c *Control) Restore(snapshot []byte) error { return c.state.Restore(snapshot) }
 
 // SetFrontDelivery has messages for this machine's front handed to it. To be called before the voter starts.
-func (c *Control) SetFrontDelivery(hand func(body []byte)) { c.toFront = hand }
+func (c *Control) SetFrontDelivery(deliver func(body []byte)) { c.deliverToFront = deliver }
 
 // Started begins to hand versions out.
 func (c *Control) Started(now Time, v *lease.Voter) {
@@ -92,8 +92,8 @@
 // Send sends a distributor's message.
 func (c *Control) Send(addr string, message []byte) {
 	target, control := strings.CutPrefix(addr, controlPrefix)
-	if !control && target == c.options.Addr && c.toFront != nil {
-		c.toFront(message)
+	if !control && target == c.options.Addr && c.deliverToFront != nil {
+		c.deliverToFront(message)
 		return
 	}
 	m := peers.ConfigMessage{ToControl: control, FromControl: true, Addr: c.options.Addr, Body: message}
@@ -121,23 +121,23 @@
 	if m.FromControl {
 		from = controlPrefix + m.Addr
 	}
-	c.take(now, from, m.Body)
+	c.receive(now, from, m.Body)
 }
 
-func (c *Control) take(now Time, from string, body []byte) {
+func (c *Control) receive(now Time, from string, body []byte) {
 	if c.now = now; c.distributor != nil {
 		c.distributor.Receive(now, from, body)
-		c.due = min(c.due, c.distributor.Next())
+		c.tickAt = min(c.tickAt, c.distributor.Next())
 	}
 }
 
 // ReceiveFromFront takes a message of this machine's front in.
-func (c *Control) ReceiveFromFront(now Time, body []byte) { c.take(now, c.options.Addr, body) }
+func (c *Control) ReceiveFromFront(now Time, body []byte) { c.receive(now, c.options.Addr, body) }
 
 // SetPeers tells who is there.
-func (c *Control) SetPeers(now Time, there config.Peers) {
+func (c *Control) SetPeers(now Time, members config.Peers) {
 	if c.now = now; c.distributor != nil {
-		c.distributor.SetPeers(now, controlled(there))
+		c.distributor.SetPeers(now, withControlPrefix(members))
 	}
 }
 
@@ -153,14 +153,14 @@
 	c.distributor.SetLeader(now, c.voter.Ready(), leader)
 	c.distributor.LogChanged(now)
 	if c.voter.Ready() && now >= c.confirmAt {
-		c.confirmAt = now + confirmEvery
+		c.confirmAt = now + confirmInterval
 		c.voter.Confirm(now, func() { c.distributor.LeadershipConfirmed(c.now, now) })
 	}
-	if now >= c.due {
+	if now >= c.tickAt {
 		c.distributor.Tick(now)
-		c.due = c.distributor.Next()
+		c.tickAt = c.distributor.Next()
 	}
-	c.due = min(c.due, c.distributor.Next())
+	c.tickAt = min(c.tickAt, c.distributor.Next())
 }
 
 // Next is when Beat must be called again.
@@ -168,26 +168,26 @@
 	if c.distributor == nil {
 		return never
 	}
-	return c.due
+	return c.tickAt
 }
 
-// committed tells whether the version that follows a base is this very request's.
+// alreadyCommitted tells whether the version that follows a base is this very request's.
 // Danger: a request that is asked again, since its answer was lost, would be told that another's change was
 // first.
-func (c *Control) committed(r *Request) bool {
+func (c *Control) alreadyCommitted(r *Request) bool {
 	for _, record := range c.state.History() {
 		if record.Version != config.Version(r.Base)+1 {
 			continue
 		}
-		mine := record.Author == r.Author && record.Reason == r.Reason && record.At == r.At && r.At > 0
-		alike := record.Kind.String() == r.kind() && string(record.Scope) == r.Scope && uint64(record.To) == r.To
-		return mine && alike && c.says(record.Version, r)
+		sameOrigin := record.Author == r.Author && record.Reason == r.Reason && record.At == r.At && r.At > 0
+		sameChange := record.Kind.String() == r.historyKind() && string(record.Scope) == r.Scope && uint64(record.To) == r.To
+		return sameOrigin && sameChange && c.textMatches(record.Version, r)
 	}
 	return false
 }
 
-// says tells whether a version holds what a request sets, as far as history tells.
-func (c *Control) says(version config.Version, r *Request) bool {
+// textMatches tells whether a version holds what a request sets, as far as history tells.
+func (c *Control) textMatches(version config.Version, r *Request) bool {
 	if r.Op != OpSet || r.Rollout != nil {
 		return true
 	}
@@ -200,28 +200,28 @@
 }
 
 // Handle works on a request; tell is called once with the answer, by the voter's goroutine.
-func (c *Control) Handle(now Time, r *Request, leader string, tell func(a Answer)) {
+func (c *Control) Handle(now Time, r *Request, leader string, respond func(a Answer)) {
 	c.now = now
 	if c.distributor == nil {
-		tell(Answer{Outcome: Refused, Error: "this control machine does not serve the configuration"})
+		respond(Answer{Outcome: Refused, Error: "this control machine does not serve the configuration"})
 		return
 	}
 	if !c.voter.Ready() {
-		tell(Answer{Outcome: NotHandled, Leader: leader})
+		respond(Answer{Outcome: NotHandled, Leader: leader})
 		return
 	}
 	switch r.Op {
 	case OpGet, OpHistory, OpStatus:
-		tell(c.read(now, r))
+		respond(c.query(now, r))
 	case OpSet, OpRollback:
-		c.change(now, r, tell)
+		c.change(now, r, respond)
 	default:
-		tell(Answer{Outcome: Refused, Error: "an unknown request"})
+		respond(Answer{Outcome: Refused, Error: "an unknown request"})
 	}
 }
 
-// read answers from what this machine has applied, as the leader.
-func (c *Control) read(now Time, r *Request) Answer {
+// query answers from what this machine has applied, as the leader.
+func (c *Control) query(now Time, r *Request) Answer {
 	a := Answer{Outcome: Done, Version: uint64(c.state.Newest())}
 	switch r.Op {
 	case OpGet:
@@ -229,49 +229,49 @@
 		if r.Version != 0 && r.Version != a.Version {
 			var err error
 			if d, err = c.state.DocumentAt(config.Version(r.Version)); err != nil {
-				return refused(err)
+				return refusedAnswer(err)
 			}
 		}
-		a.Version, a.Texts, a.Stage = uint64(d.Version), shown(d.Texts), stageOf(d.Stage)
+		a.Version, a.Texts, a.Stage = uint64(d.Version), scopeTexts(d.Texts), rolloutOf(d.Stage)
 	case OpHistory:
 		a.History = c.state.History()
 	case OpStatus:
 		s := c.distributor.Status(now)
-		a.Status, a.Stage = &s, stageOf(s.Stage)
+		a.Status, a.Stage = &s, rolloutOf(s.Stage)
 	}
 	return a
 }
 
 // change proposes a change, unless it is the version that follows its base already.
-func (c *Control) change(now Time, r *Request, tell func(a Answer)) {
+func (c *Control) change(now Time, r *Request, respond func(a Answer)) {
 	base := config.Version(r.Base)
 	switch {
-	case c.committed(r):
-		tell(Answer{Outcome: Done, Version: r.Base + 1})
+	case c.alreadyCommitted(r):
+		respond(Answer{Outcome: Done, Version: r.Base + 1})
 		return
 	case base > c.state.Newest():
 		// Danger: a leader that was deposed and does not know it yet would refuse what others have accepted.
-		tell(Answer{Outcome: NotHandled})
+		respond(Answer{Outcome: NotHandled})
 		return
 	}
 	entry, err := c.prepare(r)
 	if err != nil {
-		tell(refused(err))
+		respond(refusedAnswer(err))
 		return
 	}
 	version := c.state.Newest() + 1
 	err = c.voter.Propose(now, entry, func(err error) {
 		switch {
-		case err == nil, c.committed(r): // an earlier try of it was before this one
-			tell(Answer{Outcome: Done, Version: uint64(version)})
+		case err == nil, c.alreadyCommitted(r): // an earlier try of it was before this one
+			respond(Answer{Outcome: Done, Version: uint64(version)})
 		case err == lease.ErrOutcomeUnknown:
-			tell(Answer{Outcome: Unknown, Error: err.Error()})
+			respond(Answer{Outcome: Unknown, Error: err.Error()})
 		default:
-			tell(refused(err))
+			respond(refusedAnswer(err))
 		}
 	})
 	if err != nil {
-		tell(Answer{Outcome: NotHandled, Error: err.Error()})
+		respond(Answer{Outcome: NotHandled, Error: err.Error()})
 	}
 }
 
@@ -283,8 +283,8 @@
 	return c.state.Prepare(r.change(), Check)
 }
 
-// stageOf gives an open roll-out, as it is shown.
-func stageOf(s *config.Stage) *Rollout {
+// rolloutOf gives an open roll-out, as it is shown.
+func rolloutOf(s *config.Stage) *Rollout {
 	if s == nil {
 		return nil
 	}
--- a/internal/configuration/disk.go
+++ b/internal/configuration/disk.go
@@ -16,14 +16,14 @@
 // was last known to be the fleet's newest and was put in force, what fleet/config keeps, and the texts that
 // count for this front.
 const (
-	fileMark = "micatrack configuration 1\n"
-	headSize = len(fileMark) + 4 + 8 + 8 + 4 // mark, checksum, two moments, length of what fleet/config keeps
-	maxFile  = 4 * config.MaxDocument
+	fileMagic   = "micatrack configuration 1\n"
+	headerSize  = len(fileMagic) + 4 + 8 + 8 + 4 // mark, checksum, two moments, length of what fleet/config keeps
+	maxFileSize = 4 * config.MaxDocument
 )
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	errSpoilt  = errors.New("it is spoilt")
+	errCorrupt = errors.New("it is spoilt")
 )
 
 // StoredVersion is what a front finds on its disk.
@@ -48,23 +48,23 @@
 	body = append(body, s.AgentState...)
 	d := config.Document{Version: s.Version, Texts: s.Texts}
 	body = d.Append(body)
-	file := binary.BigEndian.AppendUint32([]byte(fileMark), crc32.Checksum(body, castagnoli))
+	file := binary.BigEndian.AppendUint32([]byte(fileMagic), crc32.Checksum(body, castagnoli))
 	return append(file, body...)
 }
 
 func decode(file []byte) (s StoredVersion, err error) {
-	if len(file) < headSize || string(file[:len(fileMark)]) != fileMark {
-		return s, errSpoilt
+	if len(file) < headerSize || string(file[:len(fileMagic)]) != fileMagic {
+		return s, errCorrupt
 	}
-	sum, body := binary.BigEndian.Uint32(file[len(fileMark):]), file[len(fileMark)+4:]
+	sum, body := binary.BigEndian.Uint32(file[len(fileMagic):]), file[len(fileMagic)+4:]
 	if crc32.Checksum(body, castagnoli) != sum {
-		return s, errSpoilt
+		return s, errCorrupt
 	}
 	s.ProvenAt = int64(binary.BigEndian.Uint64(body))
 	s.InForceAt = int64(binary.BigEndian.Uint64(body[8:]))
 	size, rest := int(binary.BigEndian.Uint32(body[16:])), body[20:]
 	if size > len(rest) {
-		return s, errSpoilt
+		return s, errCorrupt
 	}
 	s.AgentState = rest[:size]
 	d, err := config.ReadDocument(rest[size:])
@@ -89,9 +89,9 @@
 		return StoredVersion{}, err
 	}
 	defer f.Close()
-	file, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-	if err == nil && len(file) > maxFile {
-		err = errSpoilt
+	file, err := io.ReadAll(io.LimitReader(f, maxFileSize+1))
+	if err == nil && len(file) > maxFileSize {
+		err = errCorrupt
 	}
 	var s StoredVersion
 	if err == nil {
@@ -106,8 +106,8 @@
 // Save writes the file whole: under another name, written through, then renamed.
 // Danger: a crash half-way must leave the file that was there.
 func Save(path string, s *StoredVersion) error {
-	part := path + ".part"
-	f, err := os.OpenFile(part, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	temporary := path + ".part"
+	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -116,10 +116,10 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		os.Remove(part)
+		os.Remove(temporary)
 		return err
 	}
-	if err := os.Rename(part, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return err
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -154,8 +154,8 @@
 	}
 }
 
-// put has a version written; one that waits is replaced. It is one goroutine's to call.
-func (w *writer) put(s *StoredVersion) {
+// enqueue has a version written; one that waits is replaced. It is one goroutine's to call.
+func (w *writer) enqueue(s *StoredVersion) {
 	select {
 	case <-w.next:
 	default:
--- a/internal/configuration/front.go
+++ b/internal/configuration/front.go
@@ -15,14 +15,14 @@
 type Time = config.Time
 
 const (
-	controlPrefix = "control/"        // before the address of a control machine's part, as fleet/config knows it
-	controlName   = "c/"              // before its name, which the front on that machine has too
-	lookAtPeers   = config.Second     // between two looks at who is there
-	provenRefresh = time.Minute       // after which the file says again that its version is the newest
-	closeWithin   = time.Second       // that an end waits for the disk
-	maxWaiting    = 256               // messages of this machine's control part that wait for the loop
-	neverProven   = int64(-1)         // an age
-	proofIsFresh  = 3 * config.Second // a version proven within it counts as the newest at the moment
+	controlPrefix       = "control/"        // before the address of a control machine's part, as fleet/config knows it
+	controlName         = "c/"              // before its name, which the front on that machine has too
+	peerRefreshInterval = config.Second     // between two looks at who is there
+	provenWriteInterval = time.Minute       // after which the file says again that its version is the newest
+	closeTimeout        = time.Second       // that an end waits for the disk
+	maxQueuedMessages   = 256               // messages of this machine's control part that wait for the loop
+	neverProven         = int64(-1)         // an age
+	freshWithin         = 3 * config.Second // a version proven within it counts as the newest at the moment
 )
 
 // FrontOptions is what a front's part is started with.
@@ -45,28 +45,28 @@
 
 // Front is one front's part, the loop's but for Hand.
 type Front struct {
-	agent   *config.Agent
-	options FrontOptions
-	host    FrontHost
-	now     func() Time
-	peers   *peers.Transport
-	log     *slog.Logger
-	wake    func()
-	handed  chan handed
+	agent       *config.Agent
+	options     FrontOptions
+	host        FrontHost
+	now         func() Time
+	peers       *peers.Transport
+	log         *slog.Logger
+	wake        func()
+	fromControl chan localMessage
 
-	texts     []config.ScopeText // in force
-	known     config.Peers
-	lookAt    Time
-	due       Time    // when the agent has something to do
-	writer    *writer // nil: no disk
-	kept      []byte
-	provenAt  int64 // Unix milliseconds; 0: never
-	writtenAt int64 // provenAt, as the disk has it
-	forceAt   int64 // Unix milliseconds
+	texts      []config.ScopeText // in force
+	lastPeers  config.Peers
+	peersAt    Time
+	tickAt     Time    // when the agent has something to do
+	writer     *writer // nil: no disk
+	agentState []byte
+	provenAt   int64 // Unix milliseconds; 0: never
+	writtenAt  int64 // provenAt, as the disk has it
+	inForceAt  int64 // Unix milliseconds
 }
 
-// handed is a message of this machine's control part.
-type handed struct {
+// localMessage is a message of this machine's control part.
+type localMessage struct {
 	from string
 	body []byte
 }
@@ -74,9 +74,9 @@
 // NewFront starts a front's part.
 func NewFront(o FrontOptions, now func() Time, p *peers.Transport, h FrontHost, wake func(), log *slog.Logger) *Front {
 	f := &Front{
-		options: o, host: h, now: now, peers: p, log: log, wake: wake, handed: make(chan handed, maxWaiting),
+		options: o, host: h, now: now, peers: p, log: log, wake: wake, fromControl: make(chan localMessage, maxQueuedMessages),
 	}
-	f.texts, f.forceAt = o.Stored.Texts, o.Stored.InForceAt
+	f.texts, f.inForceAt = o.Stored.Texts, o.Stored.InForceAt
 	f.provenAt, f.writtenAt = o.Stored.ProvenAt, o.Stored.ProvenAt
 	if o.Path != "" {
 		f.writer = newWriter(o.Path, func(err error) { log.Error("configuration not kept", "error", err.Error()) })
@@ -103,7 +103,7 @@
 func (f *Front) PutInForce(version config.Version, texts []config.ScopeText) error {
 	for _, t := range texts {
 		if err := Check(t.Scope, t.Text); err != nil {
-			return &refusal{t.Scope, err}
+			return &textError{t.Scope, err}
 		}
 	}
 	if err := f.host.PutInForce(texts); err != nil {
@@ -111,23 +111,23 @@
 	}
 	f.texts = slices.Clone(texts)
 	if f.agent != nil { // else it is that of the start before
-		f.forceAt, f.provenAt, f.writtenAt = time.Now().UnixMilli(), 0, 0
+		f.inForceAt, f.provenAt, f.writtenAt = time.Now().UnixMilli(), 0, 0
 	}
 	f.log.Info("configuration in force", "version", version)
 	return nil
 }
 
-// refusal is why a front does not take a version.
-type refusal struct {
+// textError is why a front does not take a version.
+type textError struct {
 	scope config.Scope
 	err   error
 }
 
-func (r *refusal) Error() string { return string(r.scope) + ": " + r.err.Error() }
+func (r *textError) Error() string { return string(r.scope) + ": " + r.err.Error() }
 
 // Persist has the version in force written to disk.
 func (f *Front) Persist(kept []byte) {
-	f.kept = kept
+	f.agentState = kept
 	f.write()
 }
 
@@ -136,8 +136,8 @@
 		return
 	}
 	f.writtenAt = f.provenAt
-	f.writer.put(&StoredVersion{
-		ProvenAt: f.provenAt, InForceAt: f.forceAt, Version: f.agent.InForce(), Texts: f.texts, AgentState: f.kept,
+	f.writer.enqueue(&StoredVersion{
+		ProvenAt: f.provenAt, InForceAt: f.inForceAt, Version: f.agent.InForce(), Texts: f.texts, AgentState: f.agentState,
 	})
 }
 
@@ -150,20 +150,20 @@
 	if m.FromControl {
 		from = controlPrefix + m.Addr
 	}
-	f.takeFrom(f.now(), from, bytes.Clone(m.Body))
+	f.receive(f.now(), from, bytes.Clone(m.Body))
 }
 
-// takeFrom hands a message to the agent. Danger: what an agent has to do next is told from the moment at
+// receive hands a message to the agent. Danger: what an agent has to do next is told from the moment at
 // which it was called last, so where messages come all the while its own matters would never be due.
-func (f *Front) takeFrom(now Time, from string, body []byte) {
+func (f *Front) receive(now Time, from string, body []byte) {
 	f.agent.Receive(now, from, body)
-	f.due = min(f.due, f.agent.Next())
+	f.tickAt = min(f.tickAt, f.agent.Next())
 }
 
 // ReceiveFromControl takes a message of this machine's control part; any goroutine may call it.
 func (f *Front) ReceiveFromControl(body []byte) {
 	select {
-	case f.handed <- handed{controlPrefix + f.options.Addr, bytes.Clone(body)}:
+	case f.fromControl <- localMessage{controlPrefix + f.options.Addr, bytes.Clone(body)}:
 		f.wake()
 	default: // lost, as on any link
 	}
@@ -171,47 +171,47 @@
 
 // Poll is the configuration's part of a turn of the loop.
 func (f *Front) Poll(now Time) {
-	for range maxWaiting {
+	for range maxQueuedMessages {
 		select {
-		case m := <-f.handed:
-			f.takeFrom(now, m.from, m.body)
+		case m := <-f.fromControl:
+			f.receive(now, m.from, m.body)
 			continue
 		default:
 		}
 		break
 	}
-	if now >= f.lookAt {
-		f.lookAt = now + lookAtPeers
-		f.look(now)
+	if now >= f.peersAt {
+		f.peersAt = now + peerRefreshInterval
+		f.refreshPeers(now)
 	}
-	if now >= f.due {
+	if now >= f.tickAt {
 		f.agent.Tick(now)
-		f.due = f.agent.Next()
+		f.tickAt = f.agent.Next()
 	}
 }
 
-// look tells the agent who is there, where that has changed, and notes on disk how fresh the version is.
-func (f *Front) look(now Time) {
-	there := f.host.Peers()
-	if !slices.Equal(there.Controls, f.known.Controls) || !slices.Equal(there.Fronts, f.known.Fronts) {
-		f.known = there
-		f.agent.SetPeers(now, controlled(there))
-		f.due = now
+// refreshPeers tells the agent who is there, where that has changed, and notes on disk how fresh the version is.
+func (f *Front) refreshPeers(now Time) {
+	members := f.host.Peers()
+	if !slices.Equal(members.Controls, f.lastPeers.Controls) || !slices.Equal(members.Fronts, f.lastPeers.Fronts) {
+		f.lastPeers = members
+		f.agent.SetPeers(now, withControlPrefix(members))
+		f.tickAt = now
 	}
 	s := f.agent.Status(now)
 	if s.Age < 0 {
 		return
 	}
 	f.provenAt = time.Now().UnixMilli() - s.Age/config.Millisecond
-	if f.provenAt-f.writtenAt >= provenRefresh.Milliseconds() {
+	if f.provenAt-f.writtenAt >= provenWriteInterval.Milliseconds() {
 		f.write()
 	}
 }
 
-// controlled marks the addresses of control machines.
-func controlled(there config.Peers) config.Peers {
-	marked := config.Peers{Fronts: there.Fronts}
-	for _, c := range there.Controls {
+// withControlPrefix marks the addresses of control machines.
+func withControlPrefix(members config.Peers) config.Peers {
+	marked := config.Peers{Fronts: members.Fronts}
+	for _, c := range members.Controls {
 		c.Name, c.Addr = controlName+c.Name, controlPrefix+c.Addr
 		marked.Controls = append(marked.Controls, c)
 	}
@@ -219,7 +219,7 @@
 }
 
 // Next is when Turn must be called again.
-func (f *Front) Next() Time { return min(f.due, f.lookAt) }
+func (f *Front) Next() Time { return min(f.tickAt, f.peersAt) }
 
 // Close waits for the disk, for a while.
 func (f *Front) Close() {
@@ -229,7 +229,7 @@
 	close(f.writer.next)
 	select {
 	case <-f.writer.done:
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -252,7 +252,7 @@
 	Text  string `json:"text"`
 }
 
-func shown(texts []config.ScopeText) []ScopeText {
+func scopeTexts(texts []config.ScopeText) []ScopeText {
 	list := []ScopeText{}
 	for _, t := range texts {
 		list = append(list, ScopeText{string(t.Scope), string(t.Text)})
@@ -268,15 +268,15 @@
 	s := f.agent.Status(f.now())
 	v := FrontStatus{
 		Front: f.options.Name, Version: uint64(s.InForce), Received: uint64(s.Received), State: s.State.String(),
-		Reason: s.Reason, AgeMS: neverProven, Texts: shown(f.texts),
+		Reason: s.Reason, AgeMS: neverProven, Texts: scopeTexts(f.texts),
 	}
 	if s.InForce != 0 {
-		v.ForMS = max(time.Now().UnixMilli()-f.forceAt, 0)
+		v.ForMS = max(time.Now().UnixMilli()-f.inForceAt, 0)
 	}
 	switch {
 	case s.InForce == 0:
 	case s.Age >= 0:
-		v.AgeMS, v.Fresh = s.Age/config.Millisecond, s.Age <= proofIsFresh
+		v.AgeMS, v.Fresh = s.Age/config.Millisecond, s.Age <= freshWithin
 	case f.provenAt > 0:
 		v.AgeMS = max(time.Now().UnixMilli()-f.provenAt, 0)
 	}
--- a/internal/configuration/request.go
+++ b/internal/configuration/request.go
@@ -71,13 +71,13 @@
 	Status   *config.Status  `json:"status,omitempty"`
 }
 
-// refused gives the answer for an error of fleet/config.
-func refused(err error) Answer {
+// refusedAnswer gives the answer for an error of fleet/config.
+func refusedAnswer(err error) Answer {
 	return Answer{Outcome: Refused, Error: err.Error(), Conflict: errors.Is(err, config.ErrVersionConflict)}
 }
 
-// kind names what history calls the request's change.
-func (r *Request) kind() string {
+// historyKind names what history calls the request's change.
+func (r *Request) historyKind() string {
 	if r.Op == OpRollback {
 		return config.KindRollback.String()
 	}
@@ -92,17 +92,17 @@
 	}
 	if o := r.Rollout; o != nil {
 		c.Plan = &config.Plan{Front: o.Front, Zone: o.Zone}
-		c.Plan.Soak, c.Plan.Limit = span(o.SoakMS), span(o.LimitMS)
+		c.Plan.Soak, c.Plan.Limit = duration(o.SoakMS), duration(o.LimitMS)
 	}
 	return c
 }
 
-// span gives milliseconds as a span. Danger: a number that overflows would come out as a sound one.
-func span(milliseconds int64) Time {
-	return min(max(milliseconds, -1), maxSpanMS) * config.Millisecond
+// duration gives milliseconds as a span. Danger: a number that overflows would come out as a sound one.
+func duration(milliseconds int64) Time {
+	return min(max(milliseconds, -1), maxDurationMS) * config.Millisecond
 }
 
-const maxSpanMS = 1 << 40
+const maxDurationMS = 1 << 40
 
 // rollback gives the change of a rollback.
 func (r *Request) rollback() config.Rollback {
--- a/internal/configuration/service.go
+++ b/internal/configuration/service.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	changeWithin   = 4 * time.Second        // that a change takes at most, an election included
-	readWithin     = 2 * time.Second        // and a question
-	askAgain       = 100 * time.Millisecond // between two rounds
-	outcomeUnknown = "no control machine answered in time; it may come into force: see 'micatrack config history'"
-	maxHops        = 3 // to another machine that is said to lead, before the next one in the list is asked
-	nobodyThere    = "no control machine leads, or none can be reached; nothing was changed"
+	changeTimeout   = 4 * time.Second        // that a change takes at most, an election included
+	readTimeout     = 2 * time.Second        // and a question
+	roundInterval   = 100 * time.Millisecond // between two rounds
+	unknownMessage  = "no control machine answered in time; it may come into force: see 'micatrack config history'"
+	maxHops         = 3 // to another machine that is said to lead, before the next one in the list is asked
+	noLeaderMessage = "no control machine leads, or none can be reached; nothing was changed"
 )
 
 // Service asks the control machines for one front's commands. Any goroutine may use it, but not the loop.
@@ -24,11 +24,11 @@
 	Ask func(addr string, request []byte) ([]byte, error)
 }
 
-// attempt is how far a command has come.
-type attempt struct {
+// command is how far a command has come.
+type command struct {
 	uncertain bool // an earlier try may be committed, or come to be
 	answer    Answer
-	over      bool
+	finished  bool
 }
 
 // Do asks the control machines at these addresses until one of them has worked on a request.
@@ -40,30 +40,30 @@
 	if err != nil {
 		return Answer{Outcome: Refused, Error: err.Error()}
 	}
-	var a attempt
-	within := readWithin
-	if r.changes() {
-		within = changeWithin
+	var cmd command
+	timeout := readTimeout
+	if r.isChange() {
+		timeout = changeTimeout
 	}
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(askAgain) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(roundInterval) {
 		for _, addr := range controls {
 			// Danger: two that take each other for the leader would be asked in turn without a pause.
-			for hops := 0; addr != "" && hops < maxHops && !a.over && time.Now().Before(end); hops++ {
-				addr = a.ask(s, addr, request, &r)
+			for hops := 0; addr != "" && hops < maxHops && !cmd.finished && time.Now().Before(end); hops++ {
+				addr = cmd.askOne(s, addr, request, &r)
 			}
 		}
-		if a.over {
-			return a.answer
+		if cmd.finished {
+			return cmd.answer
 		}
 	}
-	if a.uncertain {
-		return Answer{Outcome: Unknown, Error: outcomeUnknown}
+	if cmd.uncertain {
+		return Answer{Outcome: Unknown, Error: unknownMessage}
 	}
-	return Answer{Outcome: NotHandled, Error: nobodyThere}
+	return Answer{Outcome: NotHandled, Error: noLeaderMessage}
 }
 
-// ask asks one control machine, and gives who has to be asked in its place, if it says so.
-func (a *attempt) ask(s *Service, addr string, request []byte, r *Request) (leader string) {
+// askOne asks one control machine, and gives who has to be asked in its place, if it says so.
+func (c *command) askOne(s *Service, addr string, request []byte, r *Request) (leader string) {
 	text, err := s.Ask(addr, request)
 	if errors.Is(err, peers.ErrUnreachable) {
 		return ""
@@ -77,13 +77,13 @@
 	}
 	switch answer.Outcome {
 	case Done:
-		a.answer, a.over = answer, true
+		c.answer, c.finished = answer, true
 	case Refused:
 		// Danger: a try whose answer was lost may be committed, so what refuses this one must refuse that one
 		// as well.
-		a.answer, a.over = answer, !a.uncertain || answer.Conflict
+		c.answer, c.finished = answer, !c.uncertain || answer.Conflict
 	case Unknown:
-		a.uncertain = a.uncertain || r.changes()
+		c.uncertain = c.uncertain || r.isChange()
 	case NotHandled:
 		if answer.Leader != addr {
 			return answer.Leader
@@ -92,5 +92,5 @@
 	return ""
 }
 
-// changes tells whether a request changes anything.
-func (r *Request) changes() bool { return r.Op == OpSet || r.Op == OpRollback }
+// isChange tells whether a request changes anything.
+func (r *Request) isChange() bool { return r.Op == OpSet || r.Op == OpRollback }
