--- a/fleet/config/agent.go
+++ b/fleet/config/agent.go
@@ -6,43 +6,51 @@
 	"fmt"
 )
 
-// AgentHost is what an Agent does on one front.
+// AgentHost is the front that an Agent runs on.
 type AgentHost interface {
-	Send(addr string, message []byte) // one datagram; it may be lost. message is only valid during the call
-	// PutInForce checks the texts, all scopes of one version, and has the front act on them from the return
-	// on, on all of them or, with an error, on none. The error's text goes into the fleet's status, so it
-	// names the key in one line.
+	// Send sends one datagram to addr; the datagram may be lost. The message is valid only during the call.
+	Send(addr string, message []byte)
+
+	// PutInForce checks the texts of all scopes of one version and makes the front use them from its return
+	// on. It takes either all of the texts or, if it returns an error, none. The error is shown in the
+	// fleet's status, so its text is one line and names the offending key.
 	PutInForce(version Version, texts []ScopeText) error
-	Persist(kept []byte) // writes to disk what AgentOptions.Kept brings back; nothing where there is no disk
+
+	// Persist writes to disk what AgentOptions.Persisted returns after a restart. It does nothing on a
+	// front without a disk.
+	Persist(persisted []byte)
+
+	// Log logs one line of text.
 	Log(text string)
 }
 
-// AgentOptions is what an Agent is started with.
+// AgentOptions are the parameters of a new Agent.
 type AgentOptions struct {
-	Fleet       string // messages of another are dropped
-	Name        string
-	Zone        string
-	Incarnation uint64 // grows with each start of a front of this name, for example its Unix milliseconds
-	Program     uint32 // this program's number, held against ScopeText.Program
-	Seed        uint64
-	Persisted   []byte // what Keep wrote last; none, or a spoilt one: it starts with no version
+	Fleet       string // name of the fleet; messages of other fleets are dropped
+	Name        string // name of this front
+	Zone        string // zone of this front
+	Incarnation uint64 // larger after each restart of this front, for example its start in Unix milliseconds
+	Program     uint32 // program number of this front, compared with ScopeText.Program
+	Seed        uint64 // seed of the agent's random source
+	Persisted   []byte // last bytes passed to AgentHost.Persist; empty or corrupt: start without a version
 }
 
-// Agent holds one front's configuration. Not safe for use from several goroutines.
+// Agent holds the configuration of one front. It is not safe for concurrent use.
 type Agent struct {
 	node
 	host         AgentHost
 	options      AgentOptions
-	versions     chain
-	inForce      Version
-	state        FrontState
-	reason       string
-	inForceProof proof // that the version in force was the fleet's newest
-	reportSeq    uint64
-	reportAt     Time
+	versions     chain      // newest version received and the deltas that lead to it
+	inForce      Version    // version that the front uses; 0 if none
+	state        FrontState // state as last reported
+	reason       string     // why a newer version is held or refused
+	inForceProof proof      // when the version in force was last known to be the fleet's newest
+	reportSeq    uint64     // sequence number of this front's last report
+	reportAt     Time       // when this front reports again
 }
 
-// NewAgent starts an agent. A version in Kept is put in force before it returns.
+// NewAgent starts an agent. If AgentOptions.Persisted holds a valid version, that version is put in force
+// before NewAgent returns.
 func NewAgent(now Time, options AgentOptions, host AgentHost) *Agent {
 	a := &Agent{host: host, options: options, state: StateEmpty}
 	a.node = newNode(now, options.Fleet, options.Name, options.Seed, host.Send)
@@ -56,18 +64,21 @@
 	return a
 }
 
-// What an agent keeps: a mark, a checksum over the fleet's name and the document, and the document.
+// Layout of the persisted state: a magic byte, a checksum over the fleet's name and the document, and the
+// encoded document.
 const (
 	persistedMagic      = 0xC6
 	persistedHeaderSize = 1 + checksumSize // bytes before the document
 )
 
+// encodePersisted returns the state to persist for an encoded document.
 func encodePersisted(fleet string, document []byte) []byte {
 	persisted := binary.LittleEndian.AppendUint32([]byte{persistedMagic}, checksum(fleet, document))
 	return append(persisted, document...)
 }
 
-// decodePersisted gives the document in what was kept, nil if it is spoilt or another fleet's.
+// decodePersisted returns the encoded document in a persisted state, or nil if the state is corrupt or
+// belongs to another fleet.
 func decodePersisted(fleet string, persisted []byte) []byte {
 	if len(persisted) <= persistedHeaderSize || persisted[0] != persistedMagic {
 		return nil
@@ -78,15 +89,15 @@
 	return bytes.Clone(persisted[persistedHeaderSize:])
 }
 
-// restore puts what was kept in force. Danger: a spoilt disk; a start without a version is better than with
-// half of one.
+// restore puts the persisted version in force. If the state on disk is corrupt, the agent starts without a
+// version, because that is safer than starting with part of one.
 func (a *Agent) restore(persisted []byte) {
 	if len(persisted) == 0 {
 		return
 	}
 	encoded := decodePersisted(a.options.Fleet, persisted)
 	if encoded == nil {
-		a.host.Log("configuration on disk is spoilt or another fleet's: starts without one")
+		a.host.Log("configuration on disk is corrupt or belongs to another fleet; starting without a version")
 		return
 	}
 	document, err := ReadDocument(encoded)
@@ -98,8 +109,8 @@
 	a.activate(document)
 }
 
-// activate puts a version in force, or says why not. Danger: a front that acts on parts of two versions; the
-// host is asked once, with all texts of the one.
+// activate puts a version in force, or records why it cannot. The host is called once with all texts of the
+// version, so that a front never acts on parts of two versions.
 func (a *Agent) activate(document *Document) {
 	texts := document.TextsFor(a.options.Name, a.options.Zone)
 	if reason := a.programTooOld(texts); reason != "" {
@@ -111,7 +122,7 @@
 		return
 	}
 	a.inForce, a.state, a.reason = document.Version, StateInForce, ""
-	a.inForceProof = proof{} // it is proven by the next answer
+	a.inForceProof = proof{} // the next acknowledgement proves it
 	if a.proof.has {
 		a.inForceProof = a.proof
 	}
@@ -119,7 +130,8 @@
 	a.updateReport()
 }
 
-// programTooOld tells which text needs a newer program than this one.
+// programTooOld returns a description of the first text that needs a newer program than this one, or "" if
+// there is none.
 func (a *Agent) programTooOld(texts []ScopeText) string {
 	for _, t := range texts {
 		if t.Program > a.options.Program {
@@ -130,21 +142,23 @@
 	return ""
 }
 
-// keepInForce goes on with the version in force, and says why.
+// keepInForce keeps the current version in force and records why a newer one is not.
 func (a *Agent) keepInForce(state FrontState, version Version, reason string) {
 	a.state, a.reason = state, reason[:min(len(reason), maxReportReason)]
 	a.host.Log(fmt.Sprintf("configuration %d is not in force, %d stays: %s", version, a.inForce, a.reason))
 	a.updateReport()
 }
 
-// confirmNewest takes in that a version was the newest at a moment.
+// confirmNewest records that the version in force was the fleet's newest at the given time, if newest is
+// not later than it.
 func (a *Agent) confirmNewest(at Time, newest Version) {
 	if a.inForce != 0 && newest <= a.inForce {
 		a.inForceProof.record(at)
 	}
 }
 
-// updateReport makes this front's report anew, and forgets others that have gone elsewhere.
+// updateReport replaces this front's own report and drops the reports of fronts that now report through
+// another upstream.
 func (a *Agent) updateReport() {
 	a.reports.expire(a.now, reportTTL)
 	a.reportSeq++
@@ -153,22 +167,23 @@
 		received: a.chain.version, state: a.state, program: a.options.Program, reason: a.reason})
 }
 
-// SetPeers tells who is there, whenever that changes.
+// SetPeers sets the known machines. Call it whenever they change.
 func (a *Agent) SetPeers(now Time, peers Peers) {
 	a.now = now
 	a.setPeers(peers)
 }
 
-// Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
+// Receive handles a message from another machine. Answers go to the address from. A malformed message is
+// dropped and counted.
 func (a *Agent) Receive(now Time, from string, message []byte) {
 	a.now = now
 	a.receive(from, message)
 }
 
-// Next is when Beat must be called again.
+// Next returns when Tick must be called next.
 func (a *Agent) Next() Time { return min(a.nextTick(), max(a.reportAt, a.now+1)) }
 
-// Tick does what is due.
+// Tick performs the work that is due: reports, heartbeats, retries and transfers.
 func (a *Agent) Tick(now Time) {
 	a.now = now
 	if now >= a.reportAt {
@@ -177,31 +192,33 @@
 	a.tick()
 }
 
-// InForce gives the version in force, 0 if there is none.
+// InForce returns the version in force, or 0 if there is none.
 func (a *Agent) InForce() Version { return a.inForce }
 
-// ProofFresh tells whether this front may act on guarded settings: its version in force was proven, within
-// GuardSpan by its own clock, to be the fleet's newest. Others may be acted on for as long as the front runs.
-// Danger: a process can be stopped between this look at the clock and its act; what is acted on has to
-// compare versions.
+// ProofFresh reports whether this front may act on guarded settings, which must not be used once they are
+// out of date: its version in force was proven, within ProofTTL by its own clock, to be the fleet's newest.
+// Other settings may be used for as long as the front runs.
+//
+// The process can be suspended between this check and the action that follows, so the receiver of such an
+// action must compare versions itself.
 func (a *Agent) ProofFresh(now Time) bool {
 	return a.inForce != 0 && a.inForceProof.has && now-a.inForceProof.at <= ProofTTL
 }
 
-// Status tells what this front has.
+// Status returns the agent's view of its configuration.
 func (a *Agent) Status(now Time) AgentStatus {
 	return AgentStatus{InForce: a.inForce, Received: a.chain.version, State: a.state, Reason: a.reason,
 		Age: a.inForceProof.age(now), ProofFresh: a.ProofFresh(now), Upstream: a.upstreams[0].addr, Dropped: a.dropped}
 }
 
-// AgentStatus is one front's own view.
+// AgentStatus is one front's view of its own configuration.
 type AgentStatus struct {
-	InForce    Version
-	Received   Version // newer than InForce where that one is held or refused
-	State      FrontState
-	Reason     string
-	Age        Time // since InForce was proven to be the fleet's newest, at most; -1: not since the start
-	ProofFresh bool
-	Upstream   string // address of the one that reports go to
-	Dropped    uint64 // malformed messages
+	InForce    Version    // version in force; 0 if none
+	Received   Version    // newest version received; later than InForce if that version is held or refused
+	State      FrontState // state of the front
+	Reason     string     // why a newer version is held or refused
+	Age        Time       // maximum time since InForce was proven to be the newest; -1: not since the start
+	ProofFresh bool       // whether guarded settings may be used; see Agent.ProofFresh
+	Upstream   string     // address of the upstream that receives reports
+	Dropped    uint64     // malformed messages dropped
 }
--- a/fleet/config/budget.go
+++ b/fleet/config/budget.go
@@ -1,30 +1,32 @@
 package config
 
-// budget paces what is sent, as a token bucket. Received bytes are taken from it too, so that a machine which
-// receives much sends less.
+// budget is a token bucket that paces sending. Received bytes are charged to it as well, so that a machine
+// that receives much sends less.
 type budget struct {
 	rate       int64 // bytes a second
 	burst      int64 // bytes
-	tokens     int64 // bytes times Second; below zero after much was received
-	refilledAt Time
+	tokens     int64 // bytes times Second; negative after much was received
+	refilledAt Time  // when tokens were last added
 }
 
-// Bounds of traffic, sent and received together, headers of IP and UDP included.
+// Limits of traffic, sent and received together, including IP and UDP headers.
 const (
-	frontRate      = 1_200 // bytes a second; with frontBurst about 20,000 in any ten seconds
-	frontBurst     = 8_000
-	controlRate    = 40_000 // a control machine does nothing else
-	controlBurst   = 80_000
-	packetOverhead = 28    // bytes of IP version 4 and UDP
-	smallReserve   = 1_000 // bytes that chunks leave to small messages
-	largeReserve   = 2_000 // the same where a payload has many chunks, so that it does not use up the burst
-	maxDebt        = 8_000 // bytes
+	frontRate      = 1_200  // bytes a second; with frontBurst about 20,000 bytes in any ten seconds
+	frontBurst     = 8_000  // bytes
+	controlRate    = 40_000 // bytes a second; higher than a front's, because a control machine serves no requests
+	controlBurst   = 80_000 // bytes
+	packetOverhead = 28     // bytes of the IPv4 and UDP headers
+	smallReserve   = 1_000  // bytes that sending a chunk must leave for small messages
+	largeReserve   = 2_000  // the same for a payload of many chunks, so that it does not use up the burst
+	maxDebt        = 8_000  // bytes that the bucket can be in debt
 )
 
+// newBudget returns a full bucket.
 func newBudget(now Time, rate, burst int64) budget {
 	return budget{rate: rate, burst: burst, tokens: burst * Second, refilledAt: now}
 }
 
+// refill adds the tokens of the time since the last refill.
 func (b *budget) refill(now Time) {
 	if now <= b.refilledAt {
 		return
@@ -34,19 +36,20 @@
 	b.refilledAt = now
 }
 
-// spend takes the bytes of one message.
+// spend charges a message of size bytes and its packet overhead.
 func (b *budget) spend(now Time, size int) {
 	b.refill(now)
 	b.tokens = max(b.tokens-int64(size+packetOverhead)*Second, -maxDebt*Second)
 }
 
-// allows tells whether a small message may go.
+// allows reports whether a small message may be sent now.
 func (b *budget) allows(now Time) bool {
 	b.refill(now)
 	return b.tokens > 0
 }
 
-// chunkReserve gives the bytes that a chunk of a payload of so many chunks leaves.
+// chunkReserve returns how many bytes must remain in the budget after a chunk of a payload with the given
+// number of chunks is sent.
 func chunkReserve(chunks int) int {
 	if chunks > smallPayloadChunks {
 		return largeReserve
@@ -54,13 +57,13 @@
 	return smallReserve
 }
 
-// allowsChunk tells whether so many bytes may go and leave a reserve.
+// allowsChunk reports whether size bytes may be sent now with reserve bytes remaining.
 func (b *budget) allowsChunk(now Time, size, reserve int) bool {
 	b.refill(now)
 	return b.tokens >= int64(reserve+size)*Second
 }
 
-// chunkAllowedAt is when so many bytes may go and leave a reserve.
+// chunkAllowedAt returns the time from which allowsChunk holds, provided that nothing else is charged.
 func (b *budget) chunkAllowedAt(now Time, size, reserve int) Time {
 	b.refill(now)
 	missing := int64(reserve+size)*Second - b.tokens
@@ -70,7 +73,7 @@
 	return now + missing/b.rate + 1
 }
 
-// usedPermille gives which part of the burst is used up, in thousandths.
+// usedPermille returns how much of the burst is used up, in thousandths.
 func (b *budget) usedPermille(now Time) int64 {
 	b.refill(now)
 	return 1000 - max(b.tokens, 0)*1000/(b.burst*Second)
--- a/fleet/config/chain.go
+++ b/fleet/config/chain.go
@@ -1,28 +1,28 @@
 package config
 
-// chain is the newest version as bytes, and the steps that led to it, so that who holds one of them gets a
-// delta.
+// chain holds the newest version, encoded, and the deltas of the versions that led to it. A machine that
+// holds one of those versions can be sent a delta.
 type chain struct {
-	version  Version
-	document []byte      // encoded
-	steps    []chainStep // each begins where the one before ended; the last ends at version
-	size     int         // bytes of the steps
+	version  Version     // newest version
+	document []byte      // its encoded document
+	steps    []chainStep // contiguous; the last one ends at version
+	size     int         // estimated bytes of the steps
 }
 
-// chainStep leads from one version's encoded document to a later one's.
+// chainStep is the delta from the encoded document of one version to that of a later one.
 type chainStep struct {
-	from, to Version
-	delta    *delta
+	from  Version
+	to    Version
+	delta *delta
 }
 
-// Bounds of the steps that are kept.
+// Limits of the steps that are kept.
 const (
 	maxSteps     = MaxHistory
 	maxStepBytes = 256 << 10
 )
 
-// add takes a newer version in. Without a delta, or one that does not begin at the version held, older ones
-// are forgotten.
+// add appends a newer version. If d is nil or from is not the current version, all older steps are dropped.
 func (c *chain) add(from, to Version, document []byte, d *delta) {
 	if from != c.version || from == 0 || d == nil {
 		c.steps, c.size = nil, 0
@@ -37,7 +37,7 @@
 	c.version, c.document = to, document
 }
 
-// hasDeltaFrom tells whether a delta from a version can be made.
+// hasDeltaFrom reports whether a delta from the given version to the newest can be made.
 func (c *chain) hasDeltaFrom(from Version) bool {
 	if from == c.version {
 		return false
@@ -50,8 +50,9 @@
 	return false
 }
 
-// deltaFrom gives the one delta from a version, 0 for nothing, to the newest; what was written in between and
-// is gone is not in it. The version has to be one that knows tells of.
+// deltaFrom returns a single delta from the given version, or from nothing if that is 0, to the newest.
+// Text that was added and removed again in between is not part of it. For any version other than 0,
+// hasDeltaFrom must hold.
 func (c *chain) deltaFrom(from Version) *delta {
 	if from == 0 {
 		return makeDelta(nil, c.document)
--- a/fleet/config/children.go
+++ b/fleet/config/children.go
@@ -2,52 +2,53 @@
 
 import "slices"
 
-// children are the machines that ask this one.
+// children are the machines that pull versions from this one.
 type children struct {
-	list        []child // in the order in which they came
-	limit       int
-	lastServed  int  // whose chunk is sent next
-	offerAt     Time // when children are told of something newer; 0: nothing is to be told
-	offeredAt   Time // when they were told last
-	burstOffers int  // offers in a row with less than burstSpan between them
-	cache       []*payload
+	list        []child    // in order of arrival
+	limit       int        // how many children this machine accepts
+	lastServed  int        // round-robin position in list
+	offerAt     Time       // when children are told of a newer version; 0: nothing to announce
+	offeredAt   Time       // when they were last told
+	burstOffers int        // consecutive offers with less than burstIdle between them
+	cache       []*payload // payloads made or received recently
 }
 
+// child is one machine that pulls versions from this one.
 type child struct {
 	addr        string
-	heardAt     Time
-	version     Version // that it has, as far as it said
-	reportsHere bool    // this machine is the one that it reports to
-	outgoing    *outgoingPayload
+	heardAt     Time             // when it last sent a heartbeat or a pull
+	version     Version          // newest version that it said it has
+	reportsHere bool             // this machine is the upstream that it sends reports to
+	outgoing    *outgoingPayload // payload being sent to it; nil if none
 }
 
-// outgoingPayload is a payload on its way to one child.
+// outgoingPayload is a payload that is being sent to one child.
 type outgoingPayload struct {
 	payload *payload
-	wanted  []byte // chunks still to be sent, a bit each
+	wanted  []byte // bitmap of the chunks still to be sent
 }
 
-// payload is an encoded delta, whole or as far as it has come in.
+// payload is an encoded delta in chunks, complete or partly received.
 type payload struct {
 	payloadID
-	chunks [][]byte // nil: not here yet
+	chunks [][]byte // nil for a chunk that has not been received
 }
 
-// Spans and bounds of children.
+// Timeouts and limits for children.
 const (
-	childTimeout      = 5 * Second         // without a heartbeat, then a child is forgotten
-	minOfferInterval  = 150 * Millisecond  // between two offers at least, so that a burst goes together,
-	budgetOfferDelay  = 1000 * Millisecond // and so much more where the budget is spent
-	maxOfferDoublings = 3                  // of the gap on a control machine
-	burstIdle         = 3 * Second         // without an offer, then a burst is over
-	maxPushedChunks   = 2                  // chunks of a payload that is sent unasked
+	childTimeout      = 5 * Second         // without a message, after which a child is removed
+	minOfferInterval  = 150 * Millisecond  // minimum time between two offers, so that a burst of changes is sent together
+	budgetOfferDelay  = 1000 * Millisecond // added to minOfferInterval in proportion to the budget used
+	maxOfferDoublings = 3                  // of the interval between offers on a control machine
+	burstIdle         = 3 * Second         // without an offer, after which a burst has ended
+	maxPushedChunks   = 2                  // chunks of a payload that is pushed without a pull
 	maxCachedPayloads = 4                  // payloads
-	maxBudgetUsed     = 700                // thousandths of the budget, then no child is taken
+	maxBudgetUsed     = 700                // thousandths of the budget, above which no new child is accepted
 )
 
-// getOrAdd finds a child, or makes a place for it while there is one and the budget is not nearly spent.
-// Danger: a relay that all children of a dead one turn to answers nobody in time, and all go on to the next
-// together.
+// getOrAdd returns the child at addr, adding it if there is room and the budget is not nearly used up. It
+// returns nil otherwise. Without this check, a relay that inherits all children of a failed one would
+// answer none of them in time, and all of them would move on to the next relay together.
 func (c *children) getOrAdd(now Time, addr string, spent int64) *child {
 	for k := range c.list {
 		if c.list[k].addr == addr {
@@ -62,12 +63,13 @@
 	return &c.list[len(c.list)-1]
 }
 
+// expire removes the children that have sent nothing for childTimeout.
 func (c *children) expire(now Time) {
 	c.list = slices.DeleteFunc(c.list, func(x child) bool { return now-x.heardAt > childTimeout })
 }
 
-// nextChunkBytes gives the bytes that have to be in the budget for the next chunk that a child waits for, its
-// reserve included; 0 if there is none.
+// nextChunkBytes returns the smallest number of bytes that the budget must hold before a chunk can be sent
+// to any child, including the reserve for that chunk; 0 if no child is waiting.
 func (c *children) nextChunkBytes() int {
 	least := 0
 	for k := range c.list {
@@ -79,8 +81,8 @@
 	return least
 }
 
-// nextChunkSize gives the bytes of the chunk that can be sent to a child, 0 if there is none, and the reserve
-// that it leaves.
+// nextChunkSize returns the size of the next chunk that can be sent to a child, and the reserve that
+// sending it must leave. Both are 0 if there is none.
 func (c *child) nextChunkSize() (size, reserve int) {
 	if c.outgoing == nil {
 		return 0, 0
@@ -92,7 +94,7 @@
 	return len(c.outgoing.payload.chunks[index]), chunkReserve(len(c.outgoing.payload.chunks))
 }
 
-// nextReady gives the number of a chunk that can be sent, -1 if there is none.
+// nextReady returns the index of the first wanted chunk that is available, or -1 if there is none.
 func (s *outgoingPayload) nextReady() int {
 	for k := range s.payload.chunks {
 		if s.payload.chunks[k] != nil && hasBit(s.wanted, k) {
@@ -102,9 +104,10 @@
 	return -1
 }
 
+// hasBit reports whether bit k is set; bits beyond the end are not.
 func hasBit(bits []byte, k int) bool { return k/8 < len(bits) && bits[k/8]&(1<<(k%8)) != 0 }
 
-// handleHeartbeat answers a heartbeat.
+// handleHeartbeat records what a child has and acknowledges its heartbeat.
 func (n *node) handleHeartbeat(from string, m *message) {
 	answer := &message{kind: acknowledge, seq: m.seq, version: n.chain.version}
 	if n.transfer.canRelay() {
@@ -124,15 +127,16 @@
 	n.sendMessage(from, answer)
 }
 
-// scheduleOffer has children told of something newer, soon.
-// Danger: in a burst of changes each would go to each child by itself, and use up the budget.
+// scheduleOffer schedules an offer of a newer version to the children. In a burst of changes, without the
+// delay, each change would be sent to each child separately and use up the budget.
 func (n *node) scheduleOffer() {
 	n.children.offerAt = max(n.now, n.children.offeredAt+n.offerInterval())
 	n.offerNewest()
 }
 
-// offerInterval gives how long after the last offer the next one goes. In a burst control machines, whose budget
-// is no measure for that of the fronts, double it with each; what they send then goes down the tree in step.
+// offerInterval returns the time between the last offer and the next. On a front it grows with the budget
+// used. A control machine's own budget says nothing about the fronts' budgets, so in a burst it doubles the
+// interval with each offer; its offers then pass down the tree at a pace that the fronts can follow.
 func (n *node) offerInterval() Time {
 	if n.onVersion == nil {
 		return minOfferInterval << min(n.children.burstOffers, maxOfferDoublings)
@@ -140,7 +144,7 @@
 	return minOfferInterval + budgetOfferDelay*n.budget.usedPermille(n.now)/1000
 }
 
-// offerNewest tells children of what they do not have, when that is due.
+// offerNewest offers the newest version to each child that lacks it, if an offer is due.
 func (n *node) offerNewest() {
 	if n.children.offerAt == 0 || n.now < n.children.offerAt {
 		return
@@ -161,8 +165,9 @@
 	}
 }
 
-// tryPush sends a small payload at once to a child that reports here, which spares a round trip on each hop.
-// Other children are only told, since their first upstream sends it.
+// tryPush sends a small payload to a child that reports to this machine, without waiting for a pull, which
+// saves a round trip on each hop. It reports whether it did. Other children only get an offer, since their
+// primary upstream pushes the payload to them.
 func (n *node) tryPush(c *child) bool {
 	if !c.reportsHere || !n.chain.hasDeltaFrom(c.version) {
 		return false
@@ -177,7 +182,7 @@
 	return true
 }
 
-// size gives the bytes of a whole payload.
+// size returns the size of all chunks in bytes.
 func (p *payload) size() int {
 	total := 0
 	for _, part := range p.chunks {
@@ -186,14 +191,14 @@
 	return total
 }
 
-// message gives the message with one of a payload's chunks.
+// message returns the message that carries one chunk.
 func (p *payload) message(index int) *message {
 	m := &message{kind: chunk, payload: p.payloadID, total: uint64(len(p.chunks)), index: uint64(index)}
 	m.data = p.chunks[index]
 	return m
 }
 
-// handlePull takes in what a child asks for.
+// handlePull starts sending a payload to a child that asks for one.
 func (n *node) handlePull(from string, m *message) {
 	c := n.children.getOrAdd(n.now, from, n.budget.usedPermille(n.now))
 	if c == nil {
@@ -216,7 +221,7 @@
 	n.sendChunks()
 }
 
-// firstChunksBitmap gives a list of chunks with the first few.
+// firstChunksBitmap returns a bitmap of the first count chunks.
 func firstChunksBitmap(count int) []byte {
 	bits := make([]byte, (count+7)/8)
 	for k := range count {
@@ -225,8 +230,9 @@
 	return bits
 }
 
-// payloadFor finds what brings a child to a newer version: the payload that it has a part of already, else
-// one from the newest of its versions that is known here, else, to one that has none, everything.
+// payloadFor returns a payload that brings a child to a newer version: the payload that the child has
+// already received a part of; otherwise a delta from the newest of its versions that is known here;
+// otherwise, for a child without any version, the whole document. It returns nil if there is none.
 func (n *node) payloadFor(m *message) *payload {
 	if p := n.cachedPayload(m.payload); p != nil {
 		return p
@@ -249,7 +255,7 @@
 	return n.payloadFrom(base)
 }
 
-// cachedPayload gives a payload that was made or received before.
+// cachedPayload returns the payload with an ID if it was made or received recently, or nil.
 func (n *node) cachedPayload(id payloadID) *payload {
 	if id.to == 0 {
 		return nil
@@ -262,7 +268,7 @@
 	return nil
 }
 
-// payloadFrom gives the payload from a base, 0 for everything, to the newest version.
+// payloadFrom returns the payload from a base version, or from nothing if base is 0, to the newest version.
 func (n *node) payloadFrom(base Version) *payload {
 	for _, p := range n.children.cache {
 		if p.from == base && p.to == n.chain.version {
@@ -274,6 +280,7 @@
 	return p
 }
 
+// cachePayload adds a payload to the cache and evicts the oldest if the cache is full.
 func (n *node) cachePayload(p *payload) {
 	if len(n.children.cache) >= maxCachedPayloads {
 		n.children.cache = n.children.cache[1:]
@@ -281,7 +288,7 @@
 	n.children.cache = append(n.children.cache, p)
 }
 
-// sendChunks sends chunks, one to each child in turn, as the budget allows.
+// sendChunks sends chunks to the children in round-robin order for as long as the budget allows.
 func (n *node) sendChunks() {
 	for {
 		c := n.nextReceiver()
@@ -294,7 +301,7 @@
 	}
 }
 
-// nextReceiver gives the next child, in turn, that a chunk may be sent to.
+// nextReceiver returns the next child in round-robin order that a chunk may be sent to now, or nil.
 func (n *node) nextReceiver() *child {
 	c := &n.children
 	for range c.list {
--- a/fleet/config/config.go
+++ b/fleet/config/config.go
@@ -1,21 +1,22 @@
-// Package config keeps a fleet's configuration as a log of versions and carries it to every front. It does no
-// I/O and reads no clock: the host hands in time, seed and messages, and the same calls lead to the same
-// actions.
+// Package config replicates a fleet's configuration as a log of versions and distributes it to every front.
+// It performs no I/O and reads no clock: the caller passes in time, random seed and messages, and the same
+// calls lead to the same actions.
 //
-// Three parts, each a type:
+// The package has three main types:
 //
 //   - Log is the state machine that the entries of a replicated log are applied to, on every control machine.
-//     A change names the version it was made from and is applied to that version alone (compare-and-set).
-//   - Distributor serves versions on a control machine, collects the fronts' reports, and leads step-wise
+//     A change names the version that it was made from and applies to that version only (compare-and-set).
+//   - Distributor serves versions on a control machine, collects the fronts' reports, and drives staged
 //     roll-outs.
 //   - Agent holds one front's configuration: it pulls newer versions from two upstreams, puts each in force
-//     whole or not at all, serves other fronts as a relay, and passes their reports up.
+//     as a whole or not at all, serves other fronts as a relay, and forwards their reports.
 //
-// A version is carried as a delta against the version that the receiver holds, whole only to who holds none
-// that is known any more. What a version says stands in one Document, so a front never acts on parts of two.
+// A version is sent as a delta against a version that the receiver holds. The whole document is sent only
+// to a receiver whose versions are all no longer known. All texts of a version are in one Document, so a
+// front never acts on parts of two versions.
 //
-// A front that is cut off goes on with the version it has. What may not go on with an old one is guarded: see
-// Agent.Guarded.
+// A front that is cut off continues with the version that it has. Settings that must not be used once they
+// are out of date are called guarded; see Agent.ProofFresh.
 package config
 
 import (
@@ -23,54 +24,54 @@
 	"fmt"
 )
 
-// Time is a moment or a span in whole tenths of a millisecond of one machine's monotonic clock.
+// Time is a point in time or a duration, in tenths of a millisecond of one machine's monotonic clock.
 type Time = int64
 
-// Millisecond and Second are spans of Time.
+// Common durations.
 const (
 	Millisecond Time = 10
 	Second           = 1000 * Millisecond
 )
 
-// Version numbers the states of the configuration, from 1; 0 is none. It only grows, also on rollback.
+// Version numbers the states of the configuration, starting with 1; 0 means no version. It only increases,
+// also on a rollback.
 type Version uint64
 
 // Scope names one text of the configuration, for example "settings", "operators" or "plans".
 type Scope string
 
-// Bounds of what is kept and sent. Lengths are bytes unless they say otherwise.
+// Limits of what is stored and sent, in bytes unless stated otherwise.
 const (
-	MaxTextBytes   = 64 << 10 // all texts of one version together; so one change has at most this
-	MaxScopes      = 8
-	MaxScopeName   = 32
-	MaxAuthor      = 64
-	MaxReason      = 200
-	MaxName        = 64 // of a front, a zone or a fleet
-	MaxAddress     = 64
+	MaxTextBytes   = 64 << 10               // all texts of one version together, and therefore one change
+	MaxScopes      = 8                      // number of scopes in a version
+	MaxScopeName   = 32                     // name of a scope
+	MaxAuthor      = 64                     // author of a version
+	MaxReason      = 200                    // reason of a version
+	MaxName        = 64                     // name of a front, a zone or a fleet
+	MaxAddress     = 64                     // address of a machine
 	MaxEntry       = MaxTextBytes + 4<<10   // one entry of the log
-	MaxSnapshot    = 1 << 20                // the whole state of a Log
-	MaxDocument    = 2*MaxTextBytes + 4<<10 // one version as it is carried whole: its texts and a staged one
-	MaxHistory     = 512                    // versions that history tells of, and that can be rolled back to
-	MaxMessage     = 1150                   // one message between machines, so that it goes as one datagram
-	MaxFronts      = 1024
-	MaxControls    = 16
-	MessageVersion = 1 // of the messages; one of another is dropped
+	MaxSnapshot    = 1 << 20                // complete state of a Log
+	MaxDocument    = 2*MaxTextBytes + 4<<10 // one encoded version: its texts and a staged one
+	MaxHistory     = 512                    // number of versions in the history, which can be rolled back to
+	MaxMessage     = 1150                   // one message between machines, which must fit into one datagram
+	MaxFronts      = 1024                   // number of fronts
+	MaxControls    = 16                     // number of control machines
+	MessageVersion = 1                      // version of the message format; messages of other versions are dropped
 )
 
-// SwiftChange is up to how many bytes, as carried, a change is in force within six seconds at any size of
-// fleet that the package is for. Larger ones, up to MaxTexts, take as long as the fronts' budget of bytes
-// says.
+// FastChangeBytes is the largest encoded size of a change that is in force within six seconds in a fleet of
+// any supported size. Larger changes, up to MaxTextBytes, take as long as the fronts' traffic budgets
+// require.
 const FastChangeBytes = 1000
 
-// GuardSpan is for how long after its version was proven to be the newest a front may act on guarded
-// settings.
+// ProofTTL is how long a front may act on guarded settings after its version was proven to be the newest.
 const ProofTTL = 15 * Second
 
-// Errors that callers tell apart with errors.Is. Each is told in one line.
+// Errors that callers distinguish with errors.Is. Each error text is one line.
 var (
 	ErrVersionConflict = errors.New("the configuration has changed since")
 	ErrTooLarge        = errors.New("too large")
-	ErrInvalid         = errors.New("faulty") // the check's own words follow, with the path of the key
+	ErrInvalid         = errors.New("faulty") // wrapped with the check's error, which names the path of the key
 	ErrRolloutOpen     = errors.New("a roll-out is open")
 	ErrNoRollout       = errors.New("no roll-out is open")
 	ErrUnknownVersion  = errors.New("no such version in the history")
@@ -78,63 +79,67 @@
 	ErrProgramTooOld   = errors.New("needs a newer program")
 )
 
-// ConflictError is an ErrVersionConflict with both versions.
+// ConflictError is an ErrVersionConflict with the version that a change was made from and the newest
+// version.
 type ConflictError struct{ Base, Newest Version }
 
-// Error tells both versions.
+// Error returns a one-line description with both versions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%v: made from version %d, newest is %d", ErrVersionConflict, e.Base, e.Newest)
 }
 
-// Unwrap gives ErrVersionConflict.
+// Unwrap returns ErrVersionConflict.
 func (e *ConflictError) Unwrap() error { return ErrVersionConflict }
 
-// CheckFunc tells what is wrong with a scope's text, by the same code as a file's check; the error names the
-// key's path. It must depend on nothing but its arguments. An unknown scope is an error.
+// CheckFunc validates the text of a scope with the same code that validates a configuration file. The error
+// names the path of the offending key. The result must depend only on the arguments. An unknown scope is an
+// error.
 type CheckFunc func(scope Scope, text []byte) error
 
-// Plan is a step-wise roll-out: one front, then a zone, then all. The next step follows once every live front
-// of a step has said that the version is in force there, and Soak has passed since. A front that refuses it
-// ends the roll-out, and so does a step that is not done within Limit; a new version without the change
-// follows by itself.
+// Plan describes a staged roll-out: first to one front, then to a zone, then to all fronts. The next step
+// begins once every live front of the current step has reported that the version is in force and Soak has
+// passed since then. If a front refuses the version, or a step is not complete within Limit, the roll-out
+// ends and a new version without the change is committed automatically.
 type Plan struct {
-	Front string // the first step; empty: none
-	Zone  string // the second; empty: none
-	Soak  Time   // at most an hour
-	Limit Time   // of one step; at most a day; 0: a minute
+	Front string // front of the first step; empty: the step is omitted
+	Zone  string // zone of the second step; empty: the step is omitted
+	Soak  Time   // wait after a step is complete; at most an hour
+	Limit Time   // time allowed for one step; at most a day; 0: one minute
 }
 
-// Change is what somebody asks for.
+// Change is a request to replace or remove the text of one scope.
 type Change struct {
-	Base    Version // the version that it was made from; it counts only while that is the newest
-	Scope   Scope
-	Text    []byte // the scope's whole new text; none: the scope is removed
-	Author  string // who
-	Reason  string // why
-	At      int64  // when, by the proposer's clock, in Unix milliseconds
-	Program uint32 // the oldest program that can take it; an older one holds the version it has and says so
-	Plan    *Plan  // nil: all fronts at once
+	Base    Version // version that the change was made from; the change is rejected if that is no longer the newest
+	Scope   Scope   // scope to change
+	Text    []byte  // complete new text of the scope; empty: the scope is removed
+	Author  string  // who made the change
+	Reason  string  // why it was made
+	At      int64   // when it was made, in Unix milliseconds of the proposer's clock
+	Program uint32  // minimum program number; an older front keeps the version it has and reports StateHeld
+	Plan    *Plan   // roll-out plan; nil: all fronts at once
 }
 
-// Rollback makes a new version with the texts of an older one. It ends an open roll-out.
+// Rollback is a request for a new version with the texts of an older one. It ends an open roll-out.
 type Rollback struct {
-	Base, To       Version
-	Author, Reason string
-	At             int64
+	Base   Version // version that the rollback was made from, which must be the newest
+	To     Version // version whose texts are restored
+	Author string  // who made the rollback
+	Reason string  // why it was made
+	At     int64   // when it was made, in Unix milliseconds of the proposer's clock
 }
 
-// Kind tells what led to a version.
+// Kind is the kind of log entry that created a version.
 type Kind uint8
 
-// The kinds of entries.
+// Kinds of log entries.
 const (
 	KindChange   Kind = 1 + iota // a Change
 	KindRollback                 // a Rollback
-	KindAdvance                  // the next step of a roll-out
-	KindAbort                    // a roll-out that was stopped
+	KindAdvance                  // next step of a roll-out
+	KindAbort                    // end of a roll-out without its change
 )
 
-// String names a kind in one word.
+// String returns the name of the kind in one word.
 func (k Kind) String() string {
 	switch k {
 	case KindChange:
@@ -149,31 +154,33 @@
 	return "unknown"
 }
 
-// Record is what history keeps of one version.
+// Record is the history entry of one version.
 type Record struct {
-	Version        Version
-	Kind           Kind
-	Scope          Scope   // of a change
-	To             Version // of a rollback
-	Author, Reason string
-	At             int64 // Unix milliseconds of the proposer's clock
+	Version Version // version that the entry created
+	Kind    Kind    // kind of the entry
+	Scope   Scope   // changed scope; only of a change
+	To      Version // restored version; only of a rollback
+	Author  string  // who proposed it
+	Reason  string  // why
+	At      int64   // when, in Unix milliseconds of the proposer's clock
 }
 
-// Result is what applying one entry led to.
+// Result is the result of applying one log entry.
 type Result struct {
-	Version Version // the newest version afterwards
-	Err     error   // why the entry did not count; nil: Version is its own
+	Version Version // newest version after the entry
+	Err     error   // why the entry was rejected; nil: the entry created Version
 }
 
-// Peer is another machine, as membership or the operators' file knows it.
+// Peer is another machine, as known from the membership or from the operators' file.
 type Peer struct {
-	Name, Zone string
-	Addr       string // as Host.Send takes it
+	Name string // name of the machine
+	Zone string // zone of the machine
+	Addr string // address, as passed to the host's Send
 }
 
-// Peers is who is there. Both lists may lag behind the truth and differ between machines. Those over the
-// bounds are left out from the end; the order says nothing.
+// Peers are the known machines. Both lists may be out of date and may differ between machines. Their order
+// does not matter. Entries beyond MaxControls or MaxFronts are ignored.
 type Peers struct {
-	Controls []Peer // the control machines
-	Fronts   []Peer // live fronts as far as known, this one too or not
+	Controls []Peer // control machines
+	Fronts   []Peer // fronts known to be live; this one may be included
 }
--- a/fleet/config/delta.go
+++ b/fleet/config/delta.go
@@ -10,32 +10,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// delta is how one text becomes another: copies from the old one and inserted bytes, as in VCDIFF (RFC 3284).
+// delta describes how one text becomes another, as copies from the old text and inserted bytes, as in
+// VCDIFF (RFC 3284).
 type delta struct {
-	size int    // of the new text
-	sum  uint64 // xxhash of the new text
-	ops  []deltaOp
+	size int       // bytes of the new text
+	sum  uint64    // xxhash of the new text
+	ops  []deltaOp // operations that produce the new text, in order
 }
 
-// deltaOp copies length bytes from offset of the old text, or inserts.
+// deltaOp copies length bytes of the old text, beginning at offset, or inserts bytes.
 type deltaOp struct {
-	offset, length int
-	insert         []byte // not nil: inserted, and length is its length
+	offset int    // in the old text; only of a copy
+	length int    // bytes copied or inserted
+	insert []byte // bytes to insert; nil for a copy
 }
 
 const (
-	deltaBlockSize  = 16                  // bytes that have to be alike before a copy is looked at
+	deltaBlockSize  = 16                  // bytes that must match before a copy is considered
 	maxDelta        = MaxDocument + 4<<10 // bytes of an encoded delta
-	minDeflate      = 128                 // bytes below which a payload is not worth compressing
-	payloadRaw      = 0
-	payloadDeflated = 1
+	minDeflate      = 128                 // bytes; smaller payloads are not worth compressing
+	payloadRaw      = 0                   // first byte of an uncompressed payload
+	payloadDeflated = 1                   // first byte of a payload compressed with DEFLATE
 )
 
-// makeDelta finds how old becomes new. The same texts lead to the same delta.
+// makeDelta returns a delta from old to new. The same texts always give the same delta.
 func makeDelta(old, new []byte) *delta {
 	d := &delta{size: len(new), sum: xxhash.Sum64(new)}
 	offsets := blockOffsets(old)
-	begin := 0 // of what is not written yet
+	begin := 0 // start of the part of new that no operation covers yet
 	for at := 0; at+deltaBlockSize <= len(new); {
 		offset, has := offsets[[deltaBlockSize]byte(new[at:at+deltaBlockSize])]
 		if !has {
@@ -53,7 +55,7 @@
 	return d
 }
 
-// blockOffsets gives where each block of a text stands first.
+// blockOffsets returns the first offset of each block of a text.
 func blockOffsets(text []byte) map[[deltaBlockSize]byte]int {
 	offsets := make(map[[deltaBlockSize]byte]int, len(text)/deltaBlockSize)
 	for at := 0; at+deltaBlockSize <= len(text); at += deltaBlockSize {
@@ -65,6 +67,7 @@
 	return offsets
 }
 
+// commonPrefix returns the length of the longest common prefix of x and y.
 func commonPrefix(x, y []byte) int {
 	n := 0
 	for n < len(x) && n < len(y) && x[n] == y[n] {
@@ -73,6 +76,7 @@
 	return n
 }
 
+// commonSuffix returns the length of the longest common suffix of x and y.
 func commonSuffix(x, y []byte) int {
 	n := 0
 	for n < len(x) && n < len(y) && x[len(x)-1-n] == y[len(y)-1-n] {
@@ -81,7 +85,8 @@
 	return n
 }
 
-// insert adds bytes; they are copied, so that the delta does not keep a whole text alive.
+// insert appends an insertion. The bytes are copied, so that the delta does not keep a whole text in
+// memory.
 func (d *delta) insert(text []byte) {
 	if len(text) == 0 {
 		return
@@ -94,7 +99,7 @@
 	d.ops = append(d.ops, deltaOp{insert: bytes.Clone(text), length: len(text)})
 }
 
-// copy adds a copy, joined to the one before where it goes on there.
+// copy appends a copy, merging it with the previous one if they are contiguous.
 func (d *delta) copy(offset, length int) {
 	if length == 0 {
 		return
@@ -109,30 +114,30 @@
 	d.ops = append(d.ops, deltaOp{offset: offset, length: length})
 }
 
-// apply gives the new text. Danger: a spoilt delta, or one against another text, would put something in force
-// that nobody wrote, so the whole text's checksum decides.
+// apply returns the new text. It verifies the checksum of the whole result, because a corrupt delta, or one
+// applied to the wrong text, could otherwise put a text in force that nobody wrote.
 func (d *delta) apply(old []byte) ([]byte, error) {
 	text := make([]byte, 0, d.size)
 	for _, op := range d.ops {
 		if len(text)+op.length > d.size {
-			return nil, fmt.Errorf("%w: a delta longer than it says", ErrMalformed)
+			return nil, fmt.Errorf("%w: delta is longer than its declared size", ErrMalformed)
 		}
 		if op.insert != nil {
 			text = append(text, op.insert...)
 			continue
 		}
 		if op.offset > len(old) || op.length > len(old)-op.offset {
-			return nil, fmt.Errorf("%w: a delta against another text", ErrMalformed)
+			return nil, fmt.Errorf("%w: delta was made from another text", ErrMalformed)
 		}
 		text = append(text, old[op.offset:op.offset+op.length]...)
 	}
 	if len(text) != d.size || xxhash.Sum64(text) != d.sum {
-		return nil, fmt.Errorf("%w: a text with another checksum", ErrMalformed)
+		return nil, fmt.Errorf("%w: checksum or size of the resulting text does not match", ErrMalformed)
 	}
 	return text, nil
 }
 
-// compose gives the delta that does what d and after it next does.
+// compose returns a delta that has the effect of d followed by next.
 func (d *delta) compose(next *delta) *delta {
 	joined := &delta{size: next.size, sum: next.sum}
 	for _, op := range next.ops {
@@ -145,9 +150,9 @@
 	return joined
 }
 
-// copyComposed adds what a copy from the text that first leads to means for the text before it.
+// copyComposed appends what a copy from the result of first means for the text that first applies to.
 func (d *delta) copyComposed(first *delta, offset, length int) {
-	begin := 0 // of an operation's part in the text between
+	begin := 0 // offset of the operation's output in the intermediate text
 	for _, op := range first.ops {
 		from, to := max(offset, begin), min(offset+length, begin+op.length)
 		if from < to && op.insert != nil {
@@ -162,7 +167,7 @@
 	}
 }
 
-// memorySize estimates the memory that a delta holds.
+// memorySize estimates the memory that a delta holds, in bytes.
 func (d *delta) memorySize() int {
 	total := 64
 	for _, op := range d.ops {
@@ -171,7 +176,7 @@
 	return total
 }
 
-// encode encodes a delta as it is sent and logged, compressed where that is shorter.
+// encode returns the payload of a delta, as it is sent and logged, compressed if that is shorter.
 func (d *delta) encode() []byte {
 	raw := binary.AppendUvarint([]byte{payloadRaw}, uint64(d.size))
 	raw = binary.LittleEndian.AppendUint64(raw, d.sum)
@@ -193,32 +198,34 @@
 	return raw
 }
 
+// deflate returns the compressed payload of text, including its first byte.
 func deflate(text []byte) []byte {
 	var out bytes.Buffer
 	out.WriteByte(payloadDeflated)
 	writer, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		return text // the level is a sound one
+		return text // cannot happen: the compression level is valid
 	}
-	writer.Write(text) // a buffer takes everything
+	writer.Write(text) // writes to a buffer do not fail
 	writer.Close()
 	return out.Bytes()
 }
 
-// inflate gives what deflate was given. Danger: a few bytes that become gigabytes.
+// inflate decompresses what deflate produced. The output is limited to maxDelta bytes, because a few bytes
+// of input could otherwise expand to gigabytes.
 func inflate(flat []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(flat))
 	text, err := io.ReadAll(io.LimitReader(reader, maxDelta+1))
 	if err != nil || len(text) > maxDelta {
-		return nil, fmt.Errorf("%w: compressed bytes", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid or too large compressed payload", ErrMalformed)
 	}
 	return text, nil
 }
 
-// readDelta reads a payload.
+// readDelta decodes a payload. Errors are ErrMalformed.
 func readDelta(payload []byte) (d *delta, err error) {
 	if len(payload) < 2 || len(payload) > maxDelta {
-		return nil, fmt.Errorf("%w: a delta of %d bytes", ErrMalformed, len(payload))
+		return nil, fmt.Errorf("%w: delta of %d bytes", ErrMalformed, len(payload))
 	}
 	raw := payload[1:]
 	switch payload[0] {
@@ -226,30 +233,31 @@
 	case payloadDeflated:
 		raw, err = inflate(raw)
 	default:
-		err = fmt.Errorf("%w: a delta of an unknown form", ErrMalformed)
+		err = fmt.Errorf("%w: unknown delta encoding", ErrMalformed)
 	}
 	if err != nil {
 		return nil, err
 	}
 	size, width := binary.Uvarint(raw)
 	if width <= 0 || size > MaxDocument || len(raw) < width+8 {
-		return nil, fmt.Errorf("%w: a delta without its head", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid delta header", ErrMalformed)
 	}
 	d = &delta{size: int(size), sum: binary.LittleEndian.Uint64(raw[width:])}
 	return d, d.readOps(raw[width+8:])
 }
 
+// readOps decodes the operations of a delta.
 func (d *delta) readOps(raw []byte) error {
 	for len(raw) > 0 {
 		head, width := binary.Uvarint(raw)
 		length := head >> 1
 		if width <= 0 || length == 0 || length > MaxDocument {
-			return fmt.Errorf("%w: an operation of a delta", ErrMalformed)
+			return fmt.Errorf("%w: invalid delta operation", ErrMalformed)
 		}
 		raw = raw[width:]
 		if head&1 == 1 {
 			if length > uint64(len(raw)) {
-				return fmt.Errorf("%w: a delta that is cut short", ErrMalformed)
+				return fmt.Errorf("%w: truncated delta", ErrMalformed)
 			}
 			d.ops = append(d.ops, deltaOp{insert: raw[:length], length: int(length)})
 			raw = raw[length:]
@@ -257,7 +265,7 @@
 		}
 		offset, width := binary.Uvarint(raw)
 		if width <= 0 || offset > MaxDocument {
-			return fmt.Errorf("%w: an operation of a delta", ErrMalformed)
+			return fmt.Errorf("%w: invalid delta operation", ErrMalformed)
 		}
 		raw = raw[width:]
 		d.ops = append(d.ops, deltaOp{offset: int(offset), length: int(length)})
--- a/fleet/config/distributor.go
+++ b/fleet/config/distributor.go
@@ -1,33 +1,41 @@
 package config
 
-// DistributorHost is what a Distributor does.
+// DistributorHost is the control machine that a Distributor runs on.
 type DistributorHost interface {
-	Send(addr string, message []byte) // one datagram; it may be lost. message is only valid during the call
-	Propose(entry []byte) error       // to the replicated log; only asked where Lead said so
-	UnixMilliseconds() int64          // the wall clock, for what history says of entries made here
+	// Send sends one datagram to addr; the datagram may be lost. The message is valid only during the call.
+	Send(addr string, message []byte)
+
+	// Propose proposes an entry to the replicated log. It is only called while SetLeader says that this
+	// machine leads.
+	Propose(entry []byte) error
+
+	// UnixMilliseconds returns the wall clock time, which the history shows for entries made here.
+	UnixMilliseconds() int64
+
+	// Log logs one line of text.
 	Log(text string)
 }
 
-// DistributorOptions is what a Distributor is started with.
+// DistributorOptions are the parameters of a new Distributor.
 type DistributorOptions struct {
-	Fleet string // messages of another are dropped
-	Name  string // of this control machine
-	Seed  uint64
+	Fleet string // name of the fleet; messages of other fleets are dropped
+	Name  string // name of this control machine
+	Seed  uint64 // seed of the distributor's random source
 }
 
-// Distributor serves the versions of a Log on one control machine. Not safe for use from several goroutines;
-// the Log must be changed by the same one.
+// Distributor serves the versions of a Log on one control machine. It is not safe for concurrent use, and
+// the Log must only be changed by the same goroutine.
 type Distributor struct {
 	node
 	host        DistributorHost
 	log         *Log
-	isLeader    bool
-	announced   Version // the newest that children were told of
-	announcedAt Time    // when it was
+	isLeader    bool    // whether this machine leads the replicated log
+	announced   Version // newest version that children were told of
+	announcedAt Time    // when they were told
 	rollout     rollout
 }
 
-// NewDistributor starts a distributor. log is the state that entries are applied to beside it.
+// NewDistributor starts a distributor. The caller applies entries to log and calls LogChanged.
 func NewDistributor(now Time, options DistributorOptions, log *Log, host DistributorHost) *Distributor {
 	d := &Distributor{host: host, log: log, announcedAt: now, announced: log.Newest()}
 	d.node = newNode(now, options.Fleet, options.Name, options.Seed, host.Send)
@@ -37,19 +45,19 @@
 	return d
 }
 
-// SetPeers tells who is there. Controls names all control machines, this one too.
+// SetPeers sets the known machines. The list of control machines must be complete; it may include this one.
 func (d *Distributor) SetPeers(now Time, peers Peers) {
 	d.now = now
 	d.setPeers(peers)
 }
 
-// SetLeader tells who leads the replicated log as far as known: whether this machine does, or at which address who
-// does is reached (none: not known).
+// SetLeader sets whether this machine leads the replicated log and, if another machine does, its address.
+// The address is empty if the leader is not known.
 func (d *Distributor) SetLeader(now Time, leads bool, leader string) {
 	d.now = now
 	if leads != d.isLeader {
 		d.isLeader = leads
-		d.announcedAt = now // an earlier leader may have served it; a wait that is too long does no harm
+		d.announcedAt = now // an earlier leader may have announced it at an unknown time; a later time is always safe
 		d.rollout = rollout{}
 	}
 	if leads || leader == "" {
@@ -63,15 +71,15 @@
 	d.reports.resendAll(now)
 }
 
-// LeadershipConfirmed tells that a read by quorum, asked at the moment asked, has found this machine to lead, and that
-// all entries up to then are applied. Without it, this machine does not say that its newest version is the
-// fleet's. Ask about once a second while this machine leads.
+// LeadershipConfirmed records that a quorum read, started at the time asked, found this machine to be the
+// leader with all entries up to then applied. Without it, this machine does not claim that its newest
+// version is the fleet's newest. Confirm leadership about once a second while this machine leads.
 func (d *Distributor) LeadershipConfirmed(now, asked Time) {
 	d.now = now
 	d.proof.record(asked)
 }
 
-// LogChanged tells that entries were applied to the log, or a snapshot was restored.
+// LogChanged must be called after entries were applied to the log or a snapshot was restored.
 func (d *Distributor) LogChanged(now Time) {
 	d.now = now
 	if d.log.Newest() == d.announced {
@@ -82,16 +90,17 @@
 	d.scheduleOffer()
 }
 
-// Receive takes a message in. from is the address that answers go to. A malformed one is dropped and counted.
+// Receive handles a message from another machine. Answers go to the address from. A malformed message is
+// dropped and counted.
 func (d *Distributor) Receive(now Time, from string, message []byte) {
 	d.now = now
 	d.receive(from, message)
 }
 
-// Next is when Beat must be called again.
+// Next returns when Tick must be called next.
 func (d *Distributor) Next() Time { return min(d.nextTick(), max(d.rollout.checkAt, d.now+1)) }
 
-// Tick does what is due.
+// Tick performs the work that is due: heartbeats, offers, chunks and the open roll-out.
 func (d *Distributor) Tick(now Time) {
 	d.now = now
 	d.tick()
--- a/fleet/config/document.go
+++ b/fleet/config/document.go
@@ -7,51 +7,52 @@
 	"slices"
 )
 
-// ScopeText is one scope's text in one version.
+// ScopeText is the text of one scope in one version.
 type ScopeText struct {
 	Scope   Scope
 	Text    []byte
-	Program uint32 // the oldest program that can take it
+	Program uint32 // minimum program number of a front that can use the text
 }
 
-// Stage is the open roll-out in a version: a text that counts only for its audience.
+// Stage is the open roll-out of a version: a text that applies only to the fronts of the current step.
 type Stage struct {
-	Change ScopeText // without a text: the scope is removed
-	Began  Version   // the version with which the roll-out began
-	Step   Step
+	Change ScopeText // staged text; empty: the scope is removed
+	Began  Version   // version with which the roll-out began
+	Step   Step      // current step
 	Plan   Plan
 }
 
-// Step is how far a roll-out has come.
+// Step is a step of a roll-out.
 type Step uint8
 
-// The steps of a roll-out. The one to all fronts is a version without a stage.
+// Steps of a roll-out. The last step, to all fronts, is a version without a Stage.
 const (
 	StepFront Step = 1 + iota
 	StepZone
 )
 
-// Bounds of a plan's spans.
+// Limits of a plan's durations, and the default limit of a step.
 const (
 	maxSoak      = 3600 * Second
 	maxLimit     = 24 * 3600 * Second
 	defaultLimit = 60 * Second
 )
 
-// Document is one version of the whole configuration.
+// Document is one version of the complete configuration.
 type Document struct {
 	Version Version
 	Texts   []ScopeText // sorted by scope
-	Stage   *Stage      // nil: no roll-out is open
+	Stage   *Stage      // open roll-out; nil if there is none
 }
 
-// find gives the place of a scope, or where it would stand.
+// find returns the index of a scope in Texts, or the index at which it would be inserted, and whether it is
+// present.
 func (d *Document) find(scope Scope) (int, bool) {
 	compare := func(t ScopeText, s Scope) int { return cmp.Compare(t.Scope, s) }
 	return slices.BinarySearchFunc(d.Texts, scope, compare)
 }
 
-// Text gives a scope's text, without a staged one.
+// Text returns the text of a scope and whether the scope exists. Staged text is not considered.
 func (d *Document) Text(scope Scope) ([]byte, bool) {
 	if k, has := d.find(scope); has {
 		return d.Texts[k].Text, true
@@ -59,8 +60,8 @@
 	return nil, false
 }
 
-// TextsFor gives the texts that count for one front, sorted by scope, a staged one included if the front is in its
-// audience.
+// TextsFor returns the texts that apply to one front, sorted by scope. A staged text is included if the
+// open roll-out includes the front.
 func (d *Document) TextsFor(front, zone string) []ScopeText {
 	if d.Stage == nil || !d.Stage.Includes(front, zone) {
 		return d.Texts
@@ -70,7 +71,8 @@
 	return staged.Texts
 }
 
-// Includes tells whether a front is in the stage's audience. A zone's step keeps the first front.
+// Includes reports whether the roll-out has reached a front. The front of the first step stays included
+// during the zone's step.
 func (s *Stage) Includes(front, zone string) bool {
 	if front == s.Plan.Front && front != "" {
 		return true
@@ -78,7 +80,7 @@
 	return s.Step == StepZone && zone == s.Plan.Zone && zone != ""
 }
 
-// put sets a scope's text, or removes the scope where there is none.
+// put sets the text of a scope, or removes the scope if the text is empty.
 func (d *Document) put(t ScopeText) {
 	k, has := d.find(t.Scope)
 	switch {
@@ -92,7 +94,7 @@
 	}
 }
 
-// textBytes gives the bytes of all texts together.
+// textBytes returns the size of all texts together.
 func (d *Document) textBytes() int {
 	total := 0
 	for _, t := range d.Texts {
@@ -101,26 +103,26 @@
 	return total
 }
 
-// checkSize tells what bound the document breaks.
+// checkSize returns an ErrTooLarge if the document has too many scopes or too much text.
 func (d *Document) checkSize() error {
 	if len(d.Texts) > MaxScopes {
 		return fmt.Errorf("%w: %d scopes, at most %d", ErrTooLarge, len(d.Texts), MaxScopes)
 	}
 	if size := d.textBytes(); size > MaxTextBytes {
-		return fmt.Errorf("%w: all texts together have %d bytes, at most %d", ErrTooLarge, size, MaxTextBytes)
+		return fmt.Errorf("%w: the texts have %d bytes in total, at most %d", ErrTooLarge, size, MaxTextBytes)
 	}
 	return nil
 }
 
-// clone gives a document that can be changed without changing this one. Texts are shared: they are never
-// written to.
+// clone returns a copy that can be changed without changing d. The texts themselves are shared; they are
+// never written to.
 func (d *Document) clone() *Document {
 	twin := *d
 	twin.Texts = slices.Clone(d.Texts)
 	return &twin
 }
 
-// Fields of a document, of a text in it and of a stage.
+// Field numbers of an encoded document, of a text in it and of a stage.
 const (
 	documentVersion = 1
 	documentText    = 2
@@ -139,7 +141,7 @@
 	stageLimit  = 7
 )
 
-// Append appends the document's binary encoding: the same bytes for the same document.
+// Append appends the binary encoding of the document to dst. Equal documents have equal encodings.
 func (d *Document) Append(dst []byte) []byte {
 	dst = appendNumber(dst, documentVersion, uint64(d.Version))
 	for k := range d.Texts {
@@ -171,10 +173,10 @@
 	return appendNumber(dst, stageLimit, uint64(p.Limit))
 }
 
-// ReadDocument reads a document. Errors are ErrMalformed.
+// ReadDocument decodes a document. Errors are ErrMalformed. The result shares memory with encoded.
 func ReadDocument(encoded []byte) (*Document, error) {
 	if len(encoded) > MaxDocument {
-		return nil, fmt.Errorf("%w: a document of %d bytes", ErrMalformed, len(encoded))
+		return nil, fmt.Errorf("%w: document of %d bytes", ErrMalformed, len(encoded))
 	}
 	d := &Document{}
 	err := eachField(encoded, func(f field) error {
@@ -194,18 +196,19 @@
 		return nil, err
 	}
 	if err := d.checkSize(); err != nil || d.Version == 0 {
-		return nil, fmt.Errorf("%w: a document over its bounds or without a version", ErrMalformed)
+		return nil, fmt.Errorf("%w: document exceeds its limits or has no version", ErrMalformed)
 	}
 	return d, nil
 }
 
+// readText decodes one text and appends it to the document.
 func (d *Document) readText(encoded []byte) error {
 	t, err := readScopeText(encoded)
 	if err != nil {
 		return err
 	}
 	if last := len(d.Texts) - 1; len(t.Text) == 0 || last >= 0 && d.Texts[last].Scope >= t.Scope {
-		return fmt.Errorf("%w: scopes out of order or empty", ErrMalformed)
+		return fmt.Errorf("%w: scopes are not sorted or have no text", ErrMalformed)
 	}
 	d.Texts = append(d.Texts, t)
 	return nil
@@ -227,7 +230,7 @@
 		return nil
 	})
 	if err == nil && (!t.Scope.valid() || len(t.Text) > MaxTextBytes) {
-		err = fmt.Errorf("%w: a scope's name or its text", ErrMalformed)
+		err = fmt.Errorf("%w: invalid scope name or text", ErrMalformed)
 	}
 	return t, err
 }
@@ -248,12 +251,12 @@
 		return err
 	})
 	if err == nil && (s.Change.Scope == "" || s.Step < StepFront || s.Step > StepZone) {
-		err = fmt.Errorf("%w: a stage without its parts", ErrMalformed)
+		err = fmt.Errorf("%w: incomplete roll-out stage", ErrMalformed)
 	}
 	return s, err
 }
 
-// readField takes one field of a plan in.
+// readField decodes one field of a plan.
 func (p *Plan) readField(f field) (err error) {
 	switch f.number {
 	case stageFront:
@@ -268,7 +271,7 @@
 	return err
 }
 
-// nextStep gives the step that comes behind one, 0 if all fronts come next.
+// nextStep returns the step after current, or 0 if the change goes to all fronts next.
 func (p *Plan) nextStep(current Step) Step {
 	if current < StepFront && p.Front != "" {
 		return StepFront
--- a/fleet/config/entry.go
+++ b/fleet/config/entry.go
@@ -5,23 +5,25 @@
 	"math"
 )
 
-// entryMark is the first byte of each entry. Entries of package lease begin with 1.
+// entryMagic is the first byte of each entry. Entries of package lease, which share the replicated log,
+// begin with 1.
 const entryMagic = 0xC5
 
-// entry is one change of a Log, as it stands in the replicated log.
+// entry is one change of a Log, as stored in the replicated log.
 type entry struct {
-	kind           Kind
-	base           Version
-	to             Version // of a rollback
-	author, reason string
-	at             int64
-	scope          Scope
-	program        uint32
-	patch          []byte // a payload against the scope's text in base; none: the scope is removed
-	plan           *Plan
+	kind    Kind
+	base    Version // version that the entry applies to
+	to      Version // restored version; only of a rollback
+	author  string  // who proposed the entry
+	reason  string  // why
+	at      int64   // when, in Unix milliseconds of the proposer's clock
+	scope   Scope   // changed scope; only of a change
+	program uint32  // minimum program number
+	patch   []byte  // payload against the scope's text in base; empty: the scope is removed
+	plan    *Plan   // roll-out plan; nil: all fronts at once
 }
 
-// Fields of an entry.
+// Field numbers of an encoded entry.
 const (
 	entryKind    = 1
 	entryBase    = 2
@@ -35,10 +37,11 @@
 	entryPlan    = 10
 )
 
-// IsEntry tells whether bytes of the shared replicated log are an entry of this package. Those of package
-// lease are not.
+// IsEntry reports whether an entry of the shared replicated log belongs to this package rather than to
+// package lease.
 func IsEntry(entry []byte) bool { return len(entry) > 0 && entry[0] == entryMagic }
 
+// encode returns the encoded entry.
 func (e *entry) encode() []byte {
 	dst := e.appendHeader([]byte{entryMagic})
 	dst = appendText(dst, entryScope, e.scope)
@@ -50,7 +53,7 @@
 	return dst
 }
 
-// appendHeader appends what history keeps of an entry.
+// appendHeader appends the fields that the history also stores.
 func (e *entry) appendHeader(dst []byte) []byte {
 	dst = appendNumber(dst, entryKind, uint64(e.kind))
 	dst = appendNumber(dst, entryBase, uint64(e.base))
@@ -60,24 +63,25 @@
 	return appendNumber(dst, entryAt, uint64(max(e.at, 0)))
 }
 
+// readEntry decodes an entry. Errors are ErrMalformed.
 func readEntry(encoded []byte) (*entry, error) {
 	if !IsEntry(encoded) || len(encoded) > MaxEntry {
-		return nil, fmt.Errorf("%w: an entry of an unknown shape", ErrMalformed)
+		return nil, fmt.Errorf("%w: unknown entry format or entry too long", ErrMalformed)
 	}
 	e := &entry{}
 	if err := eachField(encoded[1:], e.readField); err != nil {
 		return nil, err
 	}
 	if e.kind < KindChange || e.kind > KindAbort {
-		return nil, fmt.Errorf("%w: an entry of an unknown kind", ErrMalformed)
+		return nil, fmt.Errorf("%w: unknown entry kind", ErrMalformed)
 	}
 	if e.kind == KindChange && !e.scope.valid() {
-		return nil, fmt.Errorf("%w: a scope's name", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid scope name", ErrMalformed)
 	}
 	return e, nil
 }
 
-// readField takes one field in.
+// readField decodes one field of an entry.
 func (e *entry) readField(f field) (err error) {
 	switch f.number {
 	case entryKind:
--- a/fleet/config/history.go
+++ b/fleet/config/history.go
@@ -2,26 +2,27 @@
 
 import "fmt"
 
-// history keeps who made each version, when and why, and how to come back to the version before.
+// history stores who made each version, when and why, and the delta back to the version before it.
 type history struct {
-	records []record // one version after the other
-	size    int      // bytes, encoded
+	records []record // consecutive versions, oldest first
+	size    int      // estimated bytes of the encoded records
 }
 
+// record is the history entry of one version.
 type record struct {
 	Record
-	previousDelta []byte // a payload: from this version's document to the one before
+	previousDelta []byte // payload from this version's document to the previous one
 }
 
-const maxHistoryBytes = 512 << 10 // of all records, encoded
+const maxHistoryBytes = 512 << 10 // of all encoded records
 
-// Fields of a record beside those of an entry's head.
+// Field numbers of an encoded record, in addition to those of an entry's header.
 const (
 	recordVersion = 11
 	recordBefore  = 12
 )
 
-// add notes a new version. The oldest go where there are too many.
+// add appends a new version and drops the oldest ones beyond the limits.
 func (h *history) add(v Version, e *entry, before []byte) {
 	r := record{previousDelta: before, Record: Record{Version: v, Kind: e.kind, Scope: e.scope, To: e.to}}
 	r.Author, r.Reason, r.At = e.author, e.reason, e.at
@@ -33,11 +34,13 @@
 	}
 }
 
+// estimatedSize estimates the encoded size of a record, in bytes.
 func (r *record) estimatedSize() int {
 	return 64 + len(r.Scope) + len(r.Author) + len(r.Reason) + len(r.previousDelta)
 }
 
-// walkBack hands over versions' documents from the newest to the oldest that is known, until it is told to stop.
+// walkBack calls visit with the document of each known version, from the newest to the oldest, until visit
+// returns false.
 func (h *history) walkBack(document []byte, visit func(v Version, document []byte) bool) {
 	for k := len(h.records) - 1; k >= 0; k-- {
 		if !visit(h.records[k].Version, document) {
@@ -53,6 +56,7 @@
 	}
 }
 
+// list returns the records, oldest first.
 func (h *history) list() []Record {
 	list := make([]Record, 0, len(h.records))
 	for k := range h.records {
@@ -61,6 +65,7 @@
 	return list
 }
 
+// oldest returns the oldest known version, or 0 if there is none.
 func (h *history) oldest() Version {
 	if len(h.records) == 0 {
 		return 0
@@ -68,6 +73,7 @@
 	return h.records[0].Version
 }
 
+// newest returns the newest version, or 0 if there is none.
 func (h *history) newest() Version {
 	if len(h.records) == 0 {
 		return 0
@@ -75,6 +81,7 @@
 	return h.records[len(h.records)-1].Version
 }
 
+// append appends the encoded record to dst.
 func (r *record) append(dst []byte) []byte {
 	e := entry{kind: r.Kind, to: r.To, author: r.Author, reason: r.Reason, at: r.At}
 	dst = e.appendHeader(dst)
@@ -83,7 +90,7 @@
 	return appendPart(dst, recordBefore, r.previousDelta)
 }
 
-// readRecord takes one more record in.
+// readRecord decodes a record and appends it to the history.
 func (h *history) readRecord(encoded []byte) error {
 	var e entry
 	var version Version
@@ -103,7 +110,7 @@
 		return err
 	}
 	if version == 0 || len(h.records) > 0 && h.newest()+1 != version || len(h.records) >= MaxHistory {
-		return fmt.Errorf("%w: versions of a history", ErrMalformed)
+		return fmt.Errorf("%w: history versions are not consecutive or too many", ErrMalformed)
 	}
 	h.add(version, &e, before)
 	return nil
--- a/fleet/config/log.go
+++ b/fleet/config/log.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Log is the deterministic state that entries lead to. It is the same on all control machines after the same
-// entries. Not safe for use from several goroutines.
+// Log is the deterministic state machine of the configuration. It has the same state on all control
+// machines that have applied the same entries. It is not safe for concurrent use.
 type Log struct {
-	document *Document
-	chain    chain // the newest version as bytes, and what leads to it
+	document *Document // newest version
+	chain    chain     // newest version, encoded, and the deltas that lead to it
 	history  history
 }
 
-// NewLog gives a log without any version.
+// NewLog returns a log without any version.
 func NewLog() *Log { return &Log{document: &Document{}} }
 
-// Newest gives the newest version, 0 if there is none.
+// Newest returns the newest version, or 0 if there is none.
 func (l *Log) Newest() Version { return l.document.Version }
 
-// Document gives the newest version; it must not be changed. Version 0 has no texts.
+// Document returns the newest version, which must not be modified. Version 0 has no texts.
 func (l *Log) Document() *Document { return l.document }
 
-// Prepare checks a change and gives the entry to propose. The change is not in force by that: its entry has
-// to be applied. Errors: ErrFaulty, ErrTooLarge, ErrVersionConflict, ErrRollout.
+// Prepare checks a change and returns the entry to propose. The change takes effect only when the entry is
+// applied. Errors are ErrInvalid, ErrTooLarge, ErrVersionConflict and ErrRolloutOpen.
 func (l *Log) Prepare(c Change, check CheckFunc) (entry []byte, err error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -43,8 +43,8 @@
 	return l.encodeChecked(e)
 }
 
-// PrepareRollback does the same for a rollback; the old texts are checked as new ones are. Errors:
-// ErrUnknownVersion and those of Prepare but ErrRollout.
+// PrepareRollback checks a rollback and returns the entry to propose. The old texts are checked like new
+// ones. Errors are ErrUnknownVersion and those of Prepare except ErrRolloutOpen.
 func (l *Log) PrepareRollback(r Rollback, check CheckFunc) (entry []byte, err error) {
 	if err := validateAttribution(r.Author, r.Reason, r.At); err != nil {
 		return nil, err
@@ -63,7 +63,8 @@
 	return l.encodeChecked(e)
 }
 
-// PrepareAbort gives the entry that stops the open roll-out. Errors: ErrNoRollout.
+// PrepareAbort returns the entry that ends the open roll-out without its change. Errors are ErrNoRollout,
+// ErrInvalid and ErrTooLarge.
 func (l *Log) PrepareAbort(author, reason string, at int64) (entry []byte, err error) {
 	if err := validateAttribution(author, reason, at); err != nil {
 		return nil, err
@@ -71,27 +72,29 @@
 	return l.encodeChecked(newEntry(KindAbort, l.Newest(), author, reason, at))
 }
 
-// prepareAdvance gives the entry for the next step of the open roll-out.
+// prepareAdvance returns the entry that starts the next step of the open roll-out.
 func (l *Log) prepareAdvance(author, reason string, at int64) ([]byte, error) {
 	return l.encodeChecked(newEntry(KindAdvance, l.Newest(), author, reason, at))
 }
 
-// encodeChecked encodes an entry that would count if it was applied now.
+// encodeChecked encodes an entry, or returns the error that applying it now would give.
 func (l *Log) encodeChecked(e *entry) ([]byte, error) {
 	if _, err := l.evaluate(e); err != nil {
 		return nil, err
 	}
 	encoded := e.encode()
 	if len(encoded) > MaxEntry {
-		return nil, fmt.Errorf("%w: an entry of %d bytes, at most %d", ErrTooLarge, len(encoded), MaxEntry)
+		return nil, fmt.Errorf("%w: entry of %d bytes, at most %d", ErrTooLarge, len(encoded), MaxEntry)
 	}
 	return encoded, nil
 }
 
+// newEntry returns an entry with its header set.
 func newEntry(kind Kind, base Version, author, reason string, at int64) *entry {
 	return &entry{kind: kind, base: base, author: author, reason: reason, at: at}
 }
 
+// entry returns the log entry of a change, without the text.
 func (c *Change) entry() *entry {
 	e := newEntry(KindChange, c.Base, c.Author, c.Reason, c.At)
 	e.scope, e.program = c.Scope, c.Program
@@ -101,29 +104,30 @@
 	return e
 }
 
-// validate tells which bound a change breaks.
+// validate returns an error if a change is incomplete or exceeds a limit.
 func (c *Change) validate() error {
 	if !c.Scope.valid() {
-		return fmt.Errorf("%w: a scope's name is 1 to %d of a-z, 0-9, - and _", ErrInvalid, MaxScopeName)
+		return fmt.Errorf("%w: a scope name has 1 to %d characters of a-z, 0-9, - and _", ErrInvalid, MaxScopeName)
 	}
 	if len(c.Text) > MaxTextBytes {
 		return fmt.Errorf("%w: %s has %d bytes, at most %d", ErrTooLarge, c.Scope, len(c.Text), MaxTextBytes)
 	}
 	if p := c.Plan; p != nil {
 		if len(p.Front) > MaxName || len(p.Zone) > MaxName {
-			return fmt.Errorf("%w: a plan's front or zone has over %d bytes", ErrTooLarge, MaxName)
+			return fmt.Errorf("%w: the front or zone of a plan has more than %d bytes", ErrTooLarge, MaxName)
 		}
 		if p.Soak < 0 || p.Soak > maxSoak || p.Limit < 0 || p.Limit > maxLimit {
-			return fmt.Errorf("%w: a plan's soak is at most an hour, its limit a day", ErrTooLarge)
+			return fmt.Errorf("%w: the soak time of a plan is at most an hour, its limit at most a day", ErrTooLarge)
 		}
 	}
 	return validateAttribution(c.Author, c.Reason, c.At)
 }
 
-// validateAttribution tells which bound the notes for the history break.
+// validateAttribution returns an error if the author, reason or time of an entry is missing or exceeds a
+// limit.
 func validateAttribution(author, reason string, at int64) error {
 	if author == "" || reason == "" || at < 0 {
-		return fmt.Errorf("%w: author, reason and time have to be named", ErrInvalid)
+		return fmt.Errorf("%w: author, reason and time are required", ErrInvalid)
 	}
 	if len(author) > MaxAuthor || len(reason) > MaxReason {
 		return fmt.Errorf("%w: author at most %d bytes, reason %d", ErrTooLarge, MaxAuthor, MaxReason)
@@ -131,7 +135,7 @@
 	return nil
 }
 
-// checkText has a scope's text checked. A scope that is removed is not.
+// checkText validates the text of a scope with check. It does not call check for a scope that is removed.
 func checkText(scope Scope, text []byte, check CheckFunc) error {
 	if len(text) == 0 || check == nil {
 		return nil
@@ -142,13 +146,14 @@
 	return nil
 }
 
-// oneLine gives a text without its ends of lines.
+// oneLine returns text with line breaks replaced by semicolons.
 func oneLine(text string) string {
 	return strings.Join(strings.FieldsFunc(text, func(r rune) bool { return r == '\n' || r == '\r' }), "; ")
 }
 
-// Apply applies a committed entry. What does not fit changes nothing: Result.Err is ErrMalformed,
-// ErrVersionConflict, ErrTooLarge, ErrRollout, ErrNoRollout or ErrUnknownVersion, the same on all machines.
+// Apply applies a committed entry. An entry that is rejected changes nothing, and Result.Err is
+// ErrMalformed, ErrVersionConflict, ErrTooLarge, ErrRolloutOpen, ErrNoRollout or ErrUnknownVersion, the
+// same on all machines.
 func (l *Log) Apply(encoded []byte) Result {
 	e, err := readEntry(encoded)
 	if err != nil {
@@ -162,7 +167,7 @@
 	return Result{Version: next.Version}
 }
 
-// setNewest makes a document the newest version.
+// setNewest makes next the newest version and records e in the history.
 func (l *Log) setNewest(next *Document, e *entry) {
 	document := next.Append(nil)
 	old := l.chain.document
@@ -171,8 +176,9 @@
 	l.document = next
 }
 
-// evaluate gives what an entry leads to, and changes nothing. Danger: an entry may be committed late, by a leader
-// that was deposed, or together with another writer's: it counts for the very version that its proposer saw.
+// evaluate returns the document that an entry produces, without changing the log. An entry can be committed
+// late, by a deposed leader, or concurrently with another writer's; so it applies only to the exact version
+// that its proposer saw.
 func (l *Log) evaluate(e *entry) (*Document, error) {
 	if e.base != l.Newest() {
 		return nil, &ConflictError{e.base, l.Newest()}
@@ -196,7 +202,7 @@
 	return next, err
 }
 
-// applyChange makes a change in a document, or stages it.
+// applyChange applies a change to the document, or stages it if it has a roll-out plan.
 func (d *Document) applyChange(e *entry) error {
 	if d.Stage != nil {
 		return fmt.Errorf("%w since version %d", ErrRolloutOpen, d.Stage.Began)
@@ -222,7 +228,7 @@
 	return whole.checkSize()
 }
 
-// advanceRollout brings the open roll-out one step further.
+// advanceRollout moves the open roll-out to its next step.
 func (d *Document) advanceRollout() error {
 	if d.Stage == nil {
 		return ErrNoRollout
@@ -247,7 +253,7 @@
 	return nil
 }
 
-// applyRollback gives a document the texts of an older version.
+// applyRollback sets the texts of next to those of an older version.
 func (l *Log) applyRollback(next *Document, to Version) error {
 	old, err := l.DocumentAt(to)
 	if err != nil {
@@ -258,7 +264,8 @@
 	return nil
 }
 
-// DocumentAt gives an older version, without its stage if it had one. Errors: ErrUnknownVersion.
+// DocumentAt returns an older version, without its stage if it had one. The error is ErrUnknownVersion if
+// the history does not have it.
 func (l *Log) DocumentAt(v Version) (*Document, error) {
 	var found []byte
 	l.history.walkBack(l.chain.document, func(version Version, document []byte) bool {
@@ -269,7 +276,7 @@
 	})
 	if len(found) == 0 {
 		oldest := l.history.oldest()
-		return nil, fmt.Errorf("%w: %d; known are %d to %d", ErrUnknownVersion, v, oldest, l.Newest())
+		return nil, fmt.Errorf("%w: %d; the history has %d to %d", ErrUnknownVersion, v, oldest, l.Newest())
 	}
 	d, err := ReadDocument(found)
 	if err != nil {
@@ -279,16 +286,16 @@
 	return d, nil
 }
 
-// History gives what is known of versions, the newest last, at most MaxHistory.
+// History returns the records of the known versions, oldest first, at most MaxHistory.
 func (l *Log) History() []Record { return l.history.list() }
 
-// Fields of a snapshot.
+// Field numbers of a snapshot.
 const (
 	snapshotDocument = 1
 	snapshotRecord   = 2
 )
 
-// Snapshot gives the whole state, at most MaxSnapshot bytes.
+// Snapshot returns the encoded state, at most MaxSnapshot bytes; nil if there is no version.
 func (l *Log) Snapshot() []byte {
 	if l.Newest() == 0 {
 		return nil
@@ -300,14 +307,15 @@
 	return dst
 }
 
-// Restore replaces the state by that of a snapshot. On an error nothing has changed. Empty: no version.
+// Restore replaces the state with that of a snapshot; an empty snapshot has no version. If Restore returns
+// an error, the state is unchanged.
 func (l *Log) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		*l = *NewLog()
 		return nil
 	}
 	if snapshot[0] != entryMagic || len(snapshot) > MaxSnapshot {
-		return fmt.Errorf("%w: no snapshot of a configuration", ErrMalformed)
+		return fmt.Errorf("%w: not a configuration snapshot", ErrMalformed)
 	}
 	restored := NewLog()
 	err := eachField(bytes.Clone(snapshot[1:]), func(f field) (err error) {
@@ -330,20 +338,20 @@
 	return nil
 }
 
-// rebuildChain makes the steps between versions from what history keeps.
+// rebuildChain reconstructs the deltas between versions from the history.
 func (l *Log) rebuildChain() error {
 	newest := l.document.Version
 	if newest == 0 || l.history.newest() != newest {
-		return fmt.Errorf("%w: a snapshot whose history is another's", ErrMalformed)
+		return fmt.Errorf("%w: snapshot history does not end with the snapshot's version", ErrMalformed)
 	}
-	var documents [][]byte // from the newest back
+	var documents [][]byte // newest first
 	l.history.walkBack(l.chain.document, func(_ Version, document []byte) bool {
 		documents = append(documents, document)
 		return true
 	})
 	oldest := newest - Version(len(documents)) + 1
 	if len(documents) < len(l.history.records) {
-		return fmt.Errorf("%w: a snapshot whose history does not fit", ErrMalformed)
+		return fmt.Errorf("%w: snapshot history does not match its document", ErrMalformed)
 	}
 	l.chain = chain{version: oldest, document: documents[len(documents)-1]}
 	for k := len(documents) - 2; k >= 0; k-- {
--- a/fleet/config/message.go
+++ b/fleet/config/message.go
@@ -8,60 +8,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// messageKind tells what a message is.
+// messageKind is the kind of a message.
 type messageKind uint8
 
 const (
-	heartbeat   messageKind = 1 + iota // to an upstream: this is what I have; reports beside it
-	acknowledge                        // to a heartbeat: what I have, and how old that is at most
-	offer                              // to a child: there is something newer
-	pull                               // to an upstream: send me something newer
-	chunk                              // a part of a payload
+	heartbeat   messageKind = 1 + iota // to an upstream: the sender's newest version, and reports
+	acknowledge                        // answer to a heartbeat: the sender's newest version and the age of its proof
+	offer                              // to a child: a newer version is available
+	pull                               // to an upstream: request for a newer version
+	chunk                              // one part of a payload
 )
 
-// message is what machines tell each other. Which fields count depends on its kind.
+// message is a message between machines. Which fields are used depends on its kind.
 type message struct {
 	kind           messageKind
-	seq            uint64  // of a heartbeat, and of the answer to it
-	version        Version // the newest that the sender holds whole; of an offer the one that it has or gets
-	receiving      Version // of an answer: the version that a part of has come in, 0 if none
-	proven         bool    // of an answer: nothing newer than version existed
-	age            Time    // at some moment at most this long before the answer was sent
-	full           bool    // of an answer: this upstream takes no more children
-	noDelta        bool    // of an answer: no delta from the bases that the child named
-	reportUpstream bool    // of a heartbeat: this upstream is the one that reports go to
-	bases          []Version
-	payload        payloadID
-	total          uint64 // chunks of a payload
-	index          uint64 // of a chunk
-	wanted         []byte // of a pull: the chunks that are missing, a bit each, the lowest first
-	data           []byte // of a chunk
-	reports        []report
+	seq            uint64    // sequence number of a heartbeat and of its acknowledgement
+	version        Version   // newest version that the sender holds; in an offer also one that it is receiving
+	receiving      Version   // of an acknowledgement: version that the sender has received a part of; 0 if none
+	proven         bool      // of an acknowledgement: version is known to have been the newest, see age
+	age            Time      // upper bound of the time from when version was the newest to when this was sent
+	full           bool      // of an acknowledgement: this upstream accepts no more children
+	noDelta        bool      // of an acknowledgement: no delta from the bases that the child named
+	reportUpstream bool      // of a heartbeat: the receiver is the upstream that the sender reports to
+	bases          []Version // of a pull: versions that a delta may start from
+	payload        payloadID // of a pull or a chunk: the payload
+	total          uint64    // number of chunks of a payload
+	index          uint64    // index of a chunk
+	wanted         []byte    // of a pull: bitmap of the missing chunks, lowest bit first
+	data           []byte    // content of a chunk
+	reports        []report  // of a heartbeat: reports to forward
 }
 
-// payloadID names one payload: the same bytes at all machines that have it.
+// payloadID identifies a payload. Payloads with the same ID have the same bytes on all machines.
 type payloadID struct {
-	from, to Version
-	sum      uint64 // xxhash
+	from Version // base of the delta; 0: the whole document
+	to   Version // version that the delta produces
+	sum  uint64  // xxhash of the payload
 }
 
-// Bounds of a message's parts.
+// Limits of the parts of a message.
 const (
-	chunkSize       = 1000 // bytes; each chunk of a payload has so many but the last
+	chunkSize       = 1000 // bytes of each chunk of a payload except the last
 	maxChunks       = maxDelta/chunkSize + 1
 	maxBases        = 8
 	maxReports      = 32
-	maxReportReason = 120 // bytes of a reason in a report
-	checksumSize    = 4   // bytes of a message's checksum
+	maxReportReason = 120 // bytes of the reason in a report
+	checksumSize    = 4   // bytes of the checksum of a message
 )
 
-// Fields of a message and of a report.
+// Field numbers of a message and of a report.
 const (
 	messageVersion        = 1
 	messageKindOf         = 2
 	messageSeq            = 3
 	messageHolds          = 4
-	messageProven         = 5 // the age and one
+	messageProven         = 5 // age plus one, so that an age of 0 is not omitted
 	messageFull           = 6
 	messageNoDelta        = 7
 	messageBase           = 8
@@ -87,8 +88,8 @@
 	reportAge         = 9
 )
 
-// checksum tells a message of this fleet from a spoilt one and from another fleet's. It is no proof against
-// forging.
+// checksum returns a checksum that detects corrupt messages and messages of other fleets. It does not
+// protect against forgery.
 func checksum(fleet string, body []byte) uint32 {
 	var d xxhash.Digest
 	d.Reset()
@@ -98,6 +99,7 @@
 	return uint32(d.Sum64())
 }
 
+// boolField returns the encoded value of a boolean field.
 func boolField(set bool) uint64 {
 	if set {
 		return 1
@@ -105,7 +107,7 @@
 	return 0
 }
 
-// encode appends a message with its checksum.
+// encode appends the encoded message and its checksum to dst.
 func (m *message) encode(dst []byte, fleet string) []byte {
 	begin := len(dst)
 	dst = appendNumber(dst, messageVersion, MessageVersion)
@@ -137,14 +139,14 @@
 	return binary.LittleEndian.AppendUint32(dst, checksum(fleet, dst[begin:]))
 }
 
-// readMessage reads a message. Its parts share memory with encoded.
+// readMessage decodes a message. The result shares memory with encoded. Errors are ErrMalformed.
 func readMessage(encoded []byte, fleet string) (*message, error) {
 	body := len(encoded) - checksumSize
 	if body < 1 || len(encoded) > MaxMessage {
-		return nil, fmt.Errorf("%w: a message of %d bytes", ErrMalformed, len(encoded))
+		return nil, fmt.Errorf("%w: message of %d bytes", ErrMalformed, len(encoded))
 	}
 	if binary.LittleEndian.Uint32(encoded[body:]) != checksum(fleet, encoded[:body]) {
-		return nil, fmt.Errorf("%w: spoilt, or of another fleet", ErrMalformed)
+		return nil, fmt.Errorf("%w: checksum mismatch: corrupt or from another fleet", ErrMalformed)
 	}
 	m := &message{}
 	formatVersion := uint64(0)
@@ -159,12 +161,12 @@
 		return nil, err
 	}
 	if formatVersion != MessageVersion || m.kind < heartbeat || m.kind > chunk {
-		return nil, fmt.Errorf("%w: a message of another version or kind", ErrMalformed)
+		return nil, fmt.Errorf("%w: unsupported message version or kind", ErrMalformed)
 	}
 	return m, m.validate()
 }
 
-// readField takes one field in.
+// readField decodes one field of a message.
 func (m *message) readField(f field) error {
 	switch f.number {
 	case messageKindOf:
@@ -208,14 +210,14 @@
 	return nil
 }
 
-// validate tells which bound a message breaks.
+// validate returns an error if a message exceeds a limit or its fields contradict each other.
 func (m *message) validate() error {
 	lists := len(m.bases) > maxBases || len(m.reports) > maxReports
 	if lists || m.total > maxChunks || len(m.data) > chunkSize {
-		return fmt.Errorf("%w: a message over its bounds", ErrMalformed)
+		return fmt.Errorf("%w: message exceeds its limits", ErrMalformed)
 	}
 	if len(m.wanted) > (maxChunks+7)/8 {
-		return fmt.Errorf("%w: more chunks wanted than there can be", ErrMalformed)
+		return fmt.Errorf("%w: more chunks requested than a payload can have", ErrMalformed)
 	}
 	if m.kind != chunk {
 		return nil
@@ -223,24 +225,26 @@
 	last := m.index+1 == m.total
 	cut := len(m.data) == 0 || !last && len(m.data) != chunkSize
 	if m.index >= m.total || m.payload.to <= m.payload.from || cut {
-		return fmt.Errorf("%w: a chunk of no payload", ErrMalformed)
+		return fmt.Errorf("%w: chunk does not belong to a valid payload", ErrMalformed)
 	}
 	return nil
 }
 
-// report is what a front says of itself; relays pass it on unread.
+// report is the state of one front, as that front reported it. Relays forward it unchanged except for its
+// age.
 type report struct {
-	id          uint64 // xxhash of its name
-	incarnation uint64 // of the front; a later one counts over an earlier one,
-	seq         uint64 // and in one life a later report
-	inForce     Version
-	received    Version
+	id          uint64  // xxhash of the front's name; see nameID
+	incarnation uint64  // of the front; a report of a later incarnation replaces one of an earlier
+	seq         uint64  // within one incarnation, a report with a larger number replaces an earlier one
+	inForce     Version // version in force; 0 if none
+	received    Version // newest version received
 	state       FrontState
-	program     uint32
-	reason      string
-	age         uint64 // seconds for which relays have had it
+	program     uint32 // program number of the front
+	reason      string // why a newer version is held or refused
+	age         uint64 // seconds that the report has spent on relays
 }
 
+// append appends the encoded report to dst.
 func (r *report) append(dst []byte) []byte {
 	dst = appendFixed(dst, reportID, r.id)
 	dst = appendNumber(dst, reportIncarnation, r.incarnation)
@@ -255,6 +259,7 @@
 	return appendNumber(dst, reportAge, r.age)
 }
 
+// readReport decodes a report.
 func readReport(encoded []byte) (r report, err error) {
 	err = eachField(encoded, func(f field) (err error) {
 		switch f.number {
@@ -281,12 +286,12 @@
 	})
 	r.received = max(r.received, r.inForce)
 	if err == nil && (r.id == 0 || r.state < StateInForce || r.state > StateEmpty) {
-		err = fmt.Errorf("%w: a report of nobody", ErrMalformed)
+		err = fmt.Errorf("%w: report without a front or a valid state", ErrMalformed)
 	}
 	return r, err
 }
 
-// newer tells whether a report is later than another of the same front.
+// newer reports whether r is later than another report of the same front.
 func (r *report) newer(than *report) bool {
 	if r.incarnation != than.incarnation {
 		return r.incarnation > than.incarnation
--- a/fleet/config/node.go
+++ b/fleet/config/node.go
@@ -4,49 +4,53 @@
 	"micatrack/internal/random"
 )
 
-// node is what fronts and control machines have in common: it serves children, asks upstreams and passes
-// reports on.
+// node is the part that fronts and control machines have in common: it serves children, pulls from
+// upstreams and forwards reports.
 type node struct {
-	fleet, name string
-	now         Time
-	source      random.Source
-	budget      budget
-	send        func(addr string, message []byte)
-	buffer      []byte // of the message that is sent
+	fleet  string
+	name   string // name of this machine
+	now    Time   // time of the current call
+	source random.Source
+	budget budget
+	send   func(addr string, message []byte)
+	buffer []byte // reused for encoding messages
 
-	chain         *chain // the versions held
+	chain         *chain // versions held
 	topology      topology
-	topologyKnown bool // topology was told
+	topologyKnown bool // whether the topology was ever set
 	children      children
-	upstreams     []*upstream // the first is where reports go
+	upstreams     []*upstream // the first one receives the reports
 	transfer      transfer
 	recent        recentVersions
 	reports       reports
 	proof         proof
-	onVersion     func(document *Document)      // a version was pulled; nil on a control machine
-	onConfirmed   func(at Time, newest Version) // an upstream said how old it is; nil on a control machine
-	dropped       uint64
+	onVersion     func(document *Document)      // called with a version that was pulled; nil on a control machine
+	onConfirmed   func(at Time, newest Version) // called when a version was proven newest; nil on a control machine
+	dropped       uint64                        // malformed messages dropped
 }
 
+// newNode returns a node without versions, budget and upstreams.
 func newNode(now Time, fleet, name string, seed uint64, send func(addr string, message []byte)) node {
 	return node{fleet: fleet, name: name, now: now, source: random.New(seed), send: send}
 }
 
-// proof is a moment at which no version newer than the one held existed, by this machine's clock.
+// proof records the last time, by this machine's clock, at which no version newer than the one held was
+// known to exist.
 type proof struct {
-	at  Time
-	has bool
+	at  Time // that time; meaningful only if has is set
+	has bool // whether there was a proof at all
 }
 
-// record takes a moment in. Danger: an answer may have been under way for long, so the moment is never that of
-// its arrival: it is that of the question, less the age that the answer tells.
+// record records a proof for the given time, unless a later one is known. An acknowledgement can be delayed
+// arbitrarily, so the time must not be that of its arrival. It is the time at which the heartbeat was sent,
+// less the age in the acknowledgement.
 func (p *proof) record(at Time) {
 	if !p.has || at > p.at {
 		p.at, p.has = at, true
 	}
 }
 
-// age gives for how long nothing was proven, -1 if nothing ever was.
+// age returns the time since the last proof, or -1 if there was none.
 func (p *proof) age(now Time) Time {
 	if !p.has {
 		return -1
@@ -54,9 +58,11 @@
 	return max(now-p.at, 0)
 }
 
+// id returns the ID of this machine in reports.
 func (n *node) id() uint64 { return nameID(n.name) }
 
-// sendMessage sends a message, if the budget allows any. What is left out is asked for again.
+// sendMessage sends a message and reports whether the budget allowed it. A message that is not sent is
+// requested again by its receiver.
 func (n *node) sendMessage(addr string, m *message) bool {
 	if addr == "" || !n.budget.allows(n.now) {
 		return false
@@ -67,7 +73,7 @@
 	return true
 }
 
-// receive takes a message in.
+// receive handles an encoded message from another machine.
 func (n *node) receive(from string, encoded []byte) {
 	n.budget.spend(n.now, len(encoded))
 	m, err := readMessage(encoded, n.fleet)
@@ -89,7 +95,7 @@
 	}
 }
 
-// setPeers takes a new list of machines in. Upstreams stay while they answer: see upstream.review.
+// setPeers sets the known machines. Upstreams that answer are kept; see upstream.review.
 func (n *node) setPeers(peers Peers) {
 	n.topology = newTopology(peers, n.name)
 	if n.topologyKnown || n.onVersion == nil {
@@ -101,7 +107,7 @@
 	}
 }
 
-// tick does what is due.
+// tick performs the work that is due.
 func (n *node) tick() {
 	n.children.expire(n.now)
 	for _, u := range n.upstreams {
@@ -113,7 +119,7 @@
 	n.sendChunks()
 }
 
-// nextTick is when beat must be called again.
+// nextTick returns when tick must be called next.
 func (n *node) nextTick() Time {
 	at := n.now + Second
 	for _, u := range n.upstreams {
@@ -134,8 +140,8 @@
 	return max(at, n.now+1)
 }
 
-// proveNewest takes in that nothing newer than a version existed at a moment. It says as much of any later
-// version.
+// proveNewest records that no version later than newest existed at the given time. That also proves any
+// later version held here to have been the newest.
 func (n *node) proveNewest(at Time, newest Version) {
 	if newest > n.chain.version {
 		return
--- a/fleet/config/peers.go
+++ b/fleet/config/peers.go
@@ -9,36 +9,38 @@
 	"micatrack/internal/random"
 )
 
-// The tree that versions go down and reports go up. All fronts stand in the order of their names' hashes. The
-// first few ask control machines; each later one asks an earlier one, so there are no loops, whatever lists
-// machines go by, and a machine has few children. Who does not answer is passed over for an earlier one that
-// is drawn. The second upstream is drawn among those that are nobody's first, so a version reaches a front
-// also while its first upstream is gone.
+// Versions are sent down a tree, and reports are sent up it. All fronts are ordered by the hashes of their
+// names. The first few fronts use control machines as their primary upstream; each later one uses an earlier
+// front. So there are no loops, even if machines have different lists of peers, and a machine has few
+// children. An upstream that does not answer is replaced by a randomly chosen earlier front. The secondary
+// upstream is chosen at random among the fronts that are nobody's primary upstream, so a version reaches a
+// front even while its primary upstream is down.
 
 const (
 	frontFanOut            = 3  // fronts that have one front as their first choice
 	controlFanOut          = 8  // fronts that have one control machine as their first choice
-	maxFrontChildren       = 12 // of a front, at most
-	maxControlChildren     = 48 // children of a control machine, at most
-	controlAttemptInterval = 4  // one attempt in so many goes to a control machine
+	maxFrontChildren       = 12 // children that a front accepts
+	maxControlChildren     = 48 // children that a control machine accepts
+	controlAttemptInterval = 4  // one in this many attempts to find an upstream goes to a control machine
 )
 
-// topology is who is there, in the tree's order.
+// topology holds the known machines in the order of the tree.
 type topology struct {
-	controls []Peer
-	fronts   []Peer // in the order of hashes, without this machine
-	rank     int    // how many of them are before this machine
+	controls []Peer // control machines without this one, by hash
+	fronts   []Peer // fronts without this one, by hash
+	rank     int    // number of fronts before this one
 }
 
-// nameID is what stands for a name in reports and in the tree's order; never 0.
+// nameID returns the hash that represents a name in reports and in the order of the tree. It is never 0.
 func nameID(name string) uint64 { return xxhash.Sum64String(name) | 1 }
 
+// valid reports whether a peer has a name and an address within the limits.
 func (p *Peer) valid() bool {
 	named := p.Name != "" && len(p.Name) <= MaxName && len(p.Zone) <= MaxName
 	return named && p.Addr != "" && len(p.Addr) <= MaxAddress
 }
 
-// sortedPeers gives a list's sound peers in the order of their hashes, each name once.
+// sortedPeers returns the first limit valid peers of list, ordered by hash and without duplicate names.
 func sortedPeers(list []Peer, limit int) []Peer {
 	kept := make([]Peer, 0, min(len(list), limit))
 	for _, p := range list {
@@ -52,6 +54,7 @@
 	return slices.CompactFunc(kept, func(x, y Peer) bool { return x.Name == y.Name })
 }
 
+// newTopology returns the topology that the machine named self sees.
 func newTopology(peers Peers, self string) topology {
 	notSelf := func(p Peer) bool { return p.Name == self }
 	t := topology{
@@ -66,14 +69,15 @@
 	return t
 }
 
-// has tells whether a front is among the peers, by its id.
+// has reports whether the front with an ID is a known peer.
 func (t *topology) has(id uint64) bool {
 	compare := func(p Peer, id uint64) int { return cmp.Compare(nameID(p.Name), id) }
 	_, found := slices.BinarySearchFunc(t.fronts, id, compare)
 	return found
 }
 
-// primaryUpstream gives the address of the upstream that reports go to, on an attempt from 0.
+// primaryUpstream returns the address of the upstream that receives reports, for the given attempt,
+// starting with 0; "" if there is none.
 func (t *topology) primaryUpstream(attempt int, source *random.Source) string {
 	direct := len(t.controls) * controlFanOut
 	switch {
@@ -92,7 +96,8 @@
 	return ""
 }
 
-// secondaryUpstream gives the address of the upstream beside the first, on an attempt from 0.
+// secondaryUpstream returns the address of the second upstream for the given attempt, starting with 0; ""
+// if there is none.
 func (t *topology) secondaryUpstream(attempt int, source *random.Source) string {
 	toControl := attempt%controlAttemptInterval == controlAttemptInterval-1 || len(t.fronts) == 0
 	if toControl && len(t.controls) > 0 {
@@ -105,7 +110,8 @@
 	return t.fronts[relays+int(source.Below(int64(len(t.fronts)-relays)))].Addr
 }
 
-// relayCount gives how many fronts are somebody's first choice. The others have time for second upstreams.
+// relayCount returns the number of fronts that are the first choice of others. The remaining fronts have
+// the capacity to be secondary upstreams.
 func (t *topology) relayCount() int {
 	return max(len(t.fronts)-len(t.controls)*controlFanOut, 0) / frontFanOut
 }
--- a/fleet/config/reports.go
+++ b/fleet/config/reports.go
@@ -5,46 +5,50 @@
 	"slices"
 )
 
-// reports is what a machine knows of fronts: on a relay those below it, on a control machine all.
+// reports holds the reports that a machine knows: on a relay those of the fronts below it, on a control
+// machine all of them.
 type reports struct {
-	entries      []reportEntry // by id
-	batch        reportBatch
-	flushAt      Time // when what is new has to go up; 0: nothing is
-	pendingSince Time // since when
+	entries      []reportEntry // by ID
+	batch        reportBatch   // reports sent upstream
+	flushAt      Time          // when new reports are sent upstream; 0: there are none
+	pendingSince Time          // since when new reports are waiting
 }
 
+// reportEntry is the latest report of one front.
 type reportEntry struct {
 	report
-	heardAt Time
-	dirty   bool // the upstream has not acknowledged it
+	heardAt Time // when the front made the report, as far as its age tells
+	dirty   bool // not yet acknowledged by the upstream
 }
 
-// reportBatch is what was sent up and is not acknowledged.
+// reportBatch holds the reports that were sent upstream and are not acknowledged.
 type reportBatch struct {
-	seq  uint64
-	at   Time
+	seq  uint64 // sequence number of the heartbeat
+	at   Time   // when it was sent
 	sent []report
 }
 
-// Spans of reports.
+// Timeouts and limits of reports.
 const (
-	reportDelay         = 250 * Millisecond // for which a relay gathers what it passes on together
-	reportRefresh       = 7 * Second        // after which a front says again what it has
-	SilentAfter         = 20 * Second       // without a report a front counts as silent
-	reportTTL           = 30 * Second       // after which a relay forgets a front that it does not hear of
-	maxReportBudgetUsed = 300               // thousandths of the budget, then reports wait: versions go first;
-	maxReportWait       = 3 * Second        // for so long at most
+	reportDelay         = 250 * Millisecond // for which a relay collects reports before it forwards them together
+	reportRefresh       = 7 * Second        // after which a front repeats its report
+	SilentAfter         = 20 * Second       // without a report, after which a front counts as silent
+	reportTTL           = 30 * Second       // after which a relay drops a report that was not renewed
+	maxReportBudgetUsed = 300               // thousandths of the budget, above which reports wait: versions go first
+	maxReportWait       = 3 * Second        // maximum time that reports wait for budget
 	maxBatchBytes       = 900               // bytes of reports in one message
 )
 
+// find returns the index of the entry of a front, or the index at which it would be inserted, and whether
+// it is present.
 func (r *reports) find(id uint64) (int, bool) {
 	compare := func(e reportEntry, id uint64) int { return cmp.Compare(e.id, id) }
 	return slices.BinarySearchFunc(r.entries, id, compare)
 }
 
-// add takes a report in, if it is newer than what is known. Danger: a relay that tells a new upstream all it
-// knows would make fronts fresh that have long gone elsewhere, and those reports would go round for ever; so
-// a report has an age.
+// add stores a report if it is newer than the known one of the same front. Reports carry an age because a
+// relay sends all reports it knows to a new upstream: without the age, reports of fronts that have long
+// moved to another relay would seem fresh and would circulate forever.
 func (r *reports) add(now Time, reported report) {
 	heardAt := now - Time(reported.age)*Second
 	if now-heardAt > reportTTL {
@@ -65,6 +69,7 @@
 	r.scheduleFlush(now, reportDelay)
 }
 
+// scheduleFlush has new reports sent upstream after delay at the latest.
 func (r *reports) scheduleFlush(now, delay Time) {
 	if r.flushAt == 0 {
 		r.pendingSince = now
@@ -74,7 +79,7 @@
 	}
 }
 
-// evictSilent forgets the front that was silent for longest, if one is silent.
+// evictSilent removes the front that has been silent for longest, and reports whether there was one.
 func (r *reports) evictSilent(now Time) bool {
 	oldest := 0
 	for k := range r.entries {
@@ -89,12 +94,12 @@
 	return true
 }
 
-// expire drops fronts that were not heard of for a span.
+// expire removes the fronts that were not heard from for the given duration.
 func (r *reports) expire(now, span Time) {
 	r.entries = slices.DeleteFunc(r.entries, func(e reportEntry) bool { return now-e.heardAt > span })
 }
 
-// resendAll has everything told once more, to an upstream that knows nothing of it.
+// resendAll marks all reports to be sent again, to an upstream that has none of them.
 func (r *reports) resendAll(now Time) {
 	for k := range r.entries {
 		r.entries[k].dirty = true
@@ -105,8 +110,8 @@
 	}
 }
 
-// nextBatch gives the reports for the message with a number. What was in an earlier one goes again with later
-// words.
+// nextBatch returns the reports to send with the heartbeat numbered seq. Reports of an earlier,
+// unacknowledged batch are included again in their current state.
 func (r *reports) nextBatch(now Time, seq uint64) []report {
 	r.flushAt = 0
 	r.batch = reportBatch{seq: seq, at: now}
@@ -126,7 +131,7 @@
 	return r.batch.sent
 }
 
-// acknowledged notes that the upstream has the reports of a message.
+// acknowledged marks the reports of the heartbeat numbered seq as received by the upstream.
 func (r *reports) acknowledged(now Time, seq uint64) {
 	if seq != r.batch.seq || len(r.batch.sent) == 0 {
 		return
--- a/fleet/config/rollout.go
+++ b/fleet/config/rollout.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// rollout is how a leading distributor sees the open roll-out.
+// rollout is the state of the open roll-out on the leading control machine.
 type rollout struct {
-	checkAt    Time
-	stepSince  Time // when the step became the newest version here
+	checkAt    Time // when the roll-out is checked next
+	stepSince  Time // when the current step became the newest version on this machine
 	doneAt     Time // when every front of the step had it in force; 0: not yet
-	proposedAt Time // when an entry was proposed; 0: none is open
+	proposedAt Time // when an entry was last proposed; 0: no proposal is pending
 }
 
-// Spans of roll-outs.
+// Timeouts of roll-outs.
 const (
-	rolloutInterval = 200 * Millisecond
-	proposeTimeout  = 3 * Second   // after which an entry that has not come is proposed again
-	frontTTL        = 600 * Second // after which a control machine forgets a front that it does not hear of
-	rolloutAuthor   = "roll-out"   // of entries that a distributor makes
+	rolloutInterval = 200 * Millisecond // between two checks of the open roll-out
+	proposeTimeout  = 3 * Second        // after which an entry that was not applied is proposed again
+	frontTTL        = 600 * Second      // after which a control machine drops a front that it does not hear from
+	rolloutAuthor   = "roll-out"        // author of the entries that a distributor proposes
 )
 
-// checkRollout brings the open roll-out a step further, or stops it.
-// Danger: a change that fronts refuse, or that has them fall silent, would go on to all of them.
+// checkRollout advances the open roll-out or aborts it. Aborting prevents a change that fronts refuse, or
+// that makes them fall silent, from reaching all fronts.
 func (d *Distributor) checkRollout() {
 	stage := d.log.Document().Stage
 	if stage == nil || !d.isLeader || d.rollout.proposedAt != 0 && d.now-d.rollout.proposedAt < proposeTimeout {
@@ -42,8 +42,9 @@
 	}
 }
 
-// audience counts the fronts that a stage reaches and those of them that have it in force. One that has
-// fallen silent since it had it in force is reached and not done.
+// audience returns the number of fronts that a stage includes, how many of them have it in force, and a
+// description of the first refusal, if any. A front that has fallen silent since it received the stage
+// counts as reached but not as done.
 func (d *Distributor) audience(stage *Stage) (reached, done int, refusal string) {
 	for _, f := range d.frontStatuses(d.now) {
 		if !stage.Includes(f.Name, f.Zone) || f.State == StateSilent && f.Received < stage.Began {
@@ -60,7 +61,7 @@
 	return reached, done, refusal
 }
 
-// abortIfOverdue stops a roll-out whose step takes too long.
+// abortIfOverdue aborts a roll-out whose current step has exceeded its limit.
 func (d *Distributor) abortIfOverdue(stage *Stage, reached, done int) {
 	limit := stage.Plan.Limit
 	if limit == 0 {
@@ -72,6 +73,7 @@
 	}
 }
 
+// propose proposes the entry that advances or aborts the open roll-out.
 func (d *Distributor) propose(kind Kind, reason string) {
 	prepare := d.log.PrepareAbort
 	if kind == KindAdvance {
--- a/fleet/config/status.go
+++ b/fleet/config/status.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// FrontState is what a front last said of itself.
+// FrontState is the state that a front last reported.
 type FrontState uint8
 
-// The states of a front.
+// States of a front.
 const (
-	StateSilent  FrontState = iota // not heard for SilentAfter, or never
-	StateInForce                   // the version that it holds is in force
-	StateHeld                      // a newer one needs a newer program
-	StateRefused                   // it refused a newer one
-	StateEmpty                     // it has none in force
+	StateSilent  FrontState = iota // not heard from for SilentAfter, or never
+	StateInForce                   // the newest version received is in force
+	StateHeld                      // a newer version needs a newer program
+	StateRefused                   // the front refused a newer version
+	StateEmpty                     // no version is in force
 )
 
-// String names a state in one word.
+// String returns the name of the state in one word.
 func (s FrontState) String() string {
 	switch s {
 	case StateSilent:
@@ -34,38 +34,41 @@
 	return "unknown"
 }
 
-// FrontStatus is one front as a distributor knows it.
+// FrontStatus is the state of one front as a distributor knows it.
 type FrontStatus struct {
-	Name, Zone string // no name: a front reports that the list of peers does not hold
-	State      FrontState
-	InForce    Version // last told; it may have a newer one by now
-	Received   Version
-	Program    uint32
-	Reason     string // of a refusal, or why it is held
-	Silent     Time   // since when nothing came from it; -1: nothing ever did
+	Name     string // empty: a front that reports but is not among the known peers
+	Zone     string
+	State    FrontState
+	InForce  Version // as last reported; the front may have a newer one by now
+	Received Version // newest version received, as last reported
+	Program  uint32  // program number of the front
+	Reason   string  // why a newer version is held or refused
+	Silent   Time    // time since its last report; -1: it never reported
 }
 
-// Status tells how far the configuration has come in the fleet.
+// Status is the state of the configuration in the fleet.
 type Status struct {
-	Newest Version
-	Lowest Version // in force, of all fronts that are not silent; 0: none, or one has none
-	// Everywhere: every front that is not silent has Newest in force, and silent ones act on no guarded
-	// setting of an older one.
+	Newest Version // newest version
+	Lowest Version // lowest version in force on a front that is not silent; 0: a front has none, or there is no front
+
+	// Everywhere reports whether every front that is not silent has Newest in force and no silent front acts
+	// on a guarded setting of an older version.
 	Everywhere bool
-	InForce    int           // fronts with Newest in force
-	Silent     int           // fronts not heard: cut off or gone; they may serve with an old version
-	Stage      *Stage        // the open roll-out
-	Fronts     []FrontStatus // by name
-	Age        Time          // since Newest was proven to be the fleet's newest; -1: never
-	Dropped    uint64        // malformed messages
+
+	InForce int           // fronts that have Newest in force
+	Silent  int           // silent fronts, cut off or down; they may serve requests with an old version
+	Stage   *Stage        // open roll-out; nil if there is none
+	Fronts  []FrontStatus // sorted by name
+	Age     Time          // time since Newest was proven to be the fleet's newest; -1: never
+	Dropped uint64        // malformed messages dropped
 }
 
-// guardMargin is added to GuardSpan before a silent front counts as one that acts on no guarded setting:
-// clocks may run apart by a part in ten over the span.
+// guardMargin is added to ProofTTL before a silent front is assumed to act on no guarded setting. It allows
+// clocks to differ by a tenth of that time.
 const guardMargin = ProofTTL / 10
 
-// Status tells how far the newest version has come. Complete where this machine leads, and once reports have
-// come in.
+// Status returns how far the newest version has spread. It is complete only on the leader, and only once
+// reports have arrived.
 func (d *Distributor) Status(now Time) Status {
 	s := Status{Newest: d.log.Newest(), Stage: d.log.Document().Stage, Age: d.proof.age(now)}
 	s.Dropped = d.dropped
@@ -90,7 +93,8 @@
 	return s
 }
 
-// frontStatuses joins the fronts that are known as peers with those that have reported.
+// frontStatuses returns the state of the known fronts and of those that report without being known, sorted
+// by name.
 func (d *Distributor) frontStatuses(now Time) []FrontStatus {
 	list := make([]FrontStatus, 0, len(d.reports.entries))
 	for _, p := range d.topology.fronts {
@@ -112,6 +116,7 @@
 	return list
 }
 
+// update sets the state of a front from its latest report.
 func (f *FrontStatus) update(now Time, e *reportEntry) {
 	f.Silent = now - e.heardAt
 	f.InForce, f.Received, f.Program, f.Reason = e.inForce, e.received, e.program, e.reason
--- a/fleet/config/transfer.go
+++ b/fleet/config/transfer.go
@@ -6,43 +6,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// transfer is a payload on its way to this machine.
+// transfer is a payload that this machine is receiving.
 type transfer struct {
-	active      bool
-	addr        string // whom it is asked of
-	*payload           // nil: no chunk has come yet
-	missing     int    // chunks
-	awaited     []byte // chunks that were asked for, a bit each
-	retryAt     Time   // when it is asked for again, or for more of it
-	lastChunkAt Time   // when the last new chunk came
-	attempts    int    // in a row without a new chunk
+	active      bool   // a payload is wanted
+	addr        string // machine that it is pulled from
+	*payload           // chunks received so far; nil before the first one
+	missing     int    // number of chunks not received
+	awaited     []byte // bitmap of the chunks that were requested
+	retryAt     Time   // when missing or further chunks are requested
+	lastChunkAt Time   // when the last new chunk arrived
+	attempts    int    // consecutive requests without a new chunk
 }
 
-// Spans and bounds of a transfer.
+// Timeouts and limits of a transfer.
 const (
 	pullTimeout        = 500 * Millisecond // after which an unanswered pull is sent again
-	chunkTimeout       = 400 * Millisecond // the same where some chunks have come
-	replaceTimeout     = 2 * Second        // without a new chunk, then another payload may take this one's place
-	smallPayloadChunks = 4                 // chunks; so many are asked for at once,
-	largeWindow        = 2                 // and of a larger one only these, so that the receiver sets the pace
-	maxPullAttempts    = 8                 // in a row, then the transfer is given up and begun anew
-	transferTimeout    = 60 * Second       // without a new chunk
-	maxRecentVersions  = maxBases - 1      // versions kept beside the newest, so that an upstream finds a base
-	maxRecentBytes     = 128 << 10         // bytes of them
+	chunkTimeout       = 400 * Millisecond // the same once some chunks have arrived
+	replaceTimeout     = 2 * Second        // without a new chunk, after which another payload may replace this one
+	smallPayloadChunks = 4                 // chunks; payloads up to this size are requested at once
+	largeWindow        = 2                 // chunks of a larger payload requested at once, so the receiver sets the pace
+	maxPullAttempts    = 8                 // consecutive attempts, after which the transfer is restarted
+	transferTimeout    = 60 * Second       // without a new chunk, after which the transfer is restarted
+	maxRecentVersions  = maxBases - 1      // versions kept besides the newest, so that an upstream finds a common base
+	maxRecentBytes     = 128 << 10         // bytes of those versions
 )
 
-// recentVersions are versions held before, as bytes, the newest last. An upstream that went from one version to a
-// later one in one step knows those between no more: it needs a base that both have.
+// recentVersions holds earlier versions, newest last. An upstream that went from one version to a later one
+// in a single step does not know the versions between; a delta from it needs a base that both machines
+// have.
 type recentVersions struct {
 	list []recentVersion
-	size int
+	size int // bytes of the documents
 }
 
+// recentVersion is one earlier version.
 type recentVersion struct {
 	version  Version
-	document []byte
+	document []byte // encoded
 }
 
+// add appends a version and drops the oldest ones beyond the limits.
 func (r *recentVersions) add(v Version, document []byte) {
 	if v == 0 {
 		return
@@ -55,7 +58,7 @@
 	}
 }
 
-// newPayload cuts an encoded delta into chunks.
+// newPayload splits an encoded delta into chunks.
 func newPayload(from, to Version, encoded []byte) *payload {
 	p := &payload{payloadID: payloadID{from, to, xxhash.Sum64(encoded)}}
 	for len(encoded) > chunkSize {
@@ -66,10 +69,10 @@
 	return p
 }
 
-// canRelay tells whether a part has come in that children can be sent already.
+// canRelay reports whether chunks have arrived that can already be sent to children.
 func (t *transfer) canRelay() bool { return t.active && t.payload != nil && len(t.chunks) > 1 }
 
-// usableFor tells whether a child that pulls can do with the payload that is on its way here.
+// usableFor reports whether the payload that is being received would serve a child that sent the pull m.
 func (t *transfer) usableFor(m *message) bool {
 	if m.payload == t.payloadID {
 		return true
@@ -85,7 +88,7 @@
 	return len(m.bases) == 0 && t.from == 0
 }
 
-// startTransfer begins a transfer if an upstream has something newer.
+// startTransfer starts a transfer if an upstream has a newer version.
 func (n *node) startTransfer() {
 	if n.onVersion == nil || n.transfer.active {
 		return
@@ -96,9 +99,9 @@
 	}
 }
 
-// pullSource gives the address of a machine to pull from: an upstream with something newer, another than the
-// one named if there is another, else the one named; a control machine where no upstream has a delta from
-// what is held.
+// pullSource returns the address of a machine to pull from: an upstream with a newer version, preferably
+// another one than avoid; or a control machine, if no upstream has a delta from the versions held here. It
+// returns "" if there is none.
 func (n *node) pullSource(avoid string) string {
 	found, stuck := "", false
 	for _, u := range n.upstreams {
@@ -116,7 +119,7 @@
 	return found
 }
 
-// sendPull sends a pull for what is missing.
+// sendPull requests the missing chunks, or any payload if none has arrived.
 func (n *node) sendPull() {
 	t := &n.transfer
 	m := &message{kind: pull, version: n.chain.version}
@@ -136,8 +139,8 @@
 	n.sendMessage(t.addr, m)
 }
 
-// retryDelay gives after what span chunks that did not come are asked for again. Of a large payload that is
-// longer with each try, since the sender may have spent its budget.
+// retryDelay returns the time after which missing chunks are requested again. For a large payload it grows
+// with each attempt, since the sender may have used up its budget.
 func (t *transfer) retryDelay() Time {
 	if len(t.chunks) <= smallPayloadChunks {
 		return chunkTimeout
@@ -145,7 +148,7 @@
 	return chunkTimeout * Time(1+min(t.attempts, 6))
 }
 
-// windowSize gives how many of a payload's chunks are asked for at once.
+// windowSize returns how many chunks of a payload with the given number of chunks are requested at once.
 func windowSize(chunks int) int {
 	if chunks > smallPayloadChunks {
 		return largeWindow
@@ -153,7 +156,7 @@
 	return chunks
 }
 
-// nextWanted gives the first few chunks that have not come.
+// nextWanted returns a bitmap of the first missing chunks, as many as the window allows.
 func (t *transfer) nextWanted() []byte {
 	bits := make([]byte, (len(t.chunks)+7)/8)
 	count := 0
@@ -166,15 +169,15 @@
 	return bits
 }
 
-// replaceAfter gives after what span without a new chunk another payload may take this one's place.
+// replaceAfter returns the time without a new chunk after which another payload may replace this one.
 func (t *transfer) replaceAfter() Time {
 	if len(t.chunks) <= smallPayloadChunks {
-		return pullTimeout // little is lost
+		return pullTimeout // little progress is lost
 	}
 	return replaceTimeout
 }
 
-// awaiting tells whether a chunk that was asked for has not come.
+// awaiting reports whether a chunk that was requested has not arrived.
 func (t *transfer) awaiting() bool {
 	if t.payload == nil {
 		return true
@@ -187,14 +190,14 @@
 	return false
 }
 
-// tickTransfer asks again for what has not come, of another machine where that is possible.
+// tickTransfer requests missing chunks again when that is due, from another machine if possible.
 func (n *node) tickTransfer() {
 	t := &n.transfer
 	if !t.active || n.now < t.retryAt {
 		return
 	}
 	if !t.awaiting() {
-		n.sendPull() // for more
+		n.sendPull() // requests the next window
 		return
 	}
 	t.attempts++
@@ -210,7 +213,7 @@
 	n.sendPull()
 }
 
-// dropTransfer gives a transfer up. Who waits for its chunks asks again.
+// dropTransfer abandons the transfer. Children that wait for its chunks will pull again.
 func (n *node) dropTransfer() {
 	for k := range n.children.list {
 		c := &n.children.list[k]
@@ -221,7 +224,7 @@
 	n.transfer = transfer{}
 }
 
-// handleNoDelta notes that a machine has no delta from what is held here.
+// handleNoDelta records that a machine has no delta from the versions held here.
 func (n *node) handleNoDelta(addr string) {
 	if u := n.upstreamAt(addr); u != nil {
 		u.noDeltaFrom = n.chain.version
@@ -233,8 +236,9 @@
 	}
 }
 
-// handleChunk takes a part of a payload in.
-// Danger: chunks of two payloads, or what nobody asked for, would make a text of two versions.
+// handleChunk stores a chunk. Chunks of another payload and chunks from a machine that is neither an
+// upstream nor the source of the transfer are ignored; without this, the result could be a mix of two
+// versions.
 func (n *node) handleChunk(from string, m *message) {
 	t := &n.transfer
 	if n.onVersion == nil || m.payload.to <= n.chain.version || !n.holdsVersion(m.payload.from) {
@@ -243,7 +247,7 @@
 	if n.upstreamAt(from) == nil && (!t.active || from != t.addr) {
 		return
 	}
-	if !t.active { // an upstream sent it unasked
+	if !t.active { // pushed by an upstream
 		n.transfer = transfer{active: true, addr: from, lastChunkAt: n.now}
 	}
 	if t.payload != nil && t.payloadID != m.payload && n.now-t.lastChunkAt > t.replaceAfter() {
@@ -266,7 +270,7 @@
 		n.finishTransfer()
 		return
 	}
-	if !t.awaiting() { // Danger: a sender with a larger budget than this machine's
+	if !t.awaiting() { // paced by this machine's budget, since the sender's may be larger
 		t.retryAt = n.budget.chunkAllowedAt(n.now, windowSize(len(t.chunks))*chunkSize, chunkReserve(len(t.chunks)))
 	}
 	if len(t.chunks)-t.missing == 1 {
@@ -275,12 +279,14 @@
 	n.sendChunks()
 }
 
-// holdsVersion tells whether a version's document is here.
+// holdsVersion reports whether the document of a version is known here.
 func (n *node) holdsVersion(v Version) bool {
 	_, has := n.documentOf(v)
 	return has
 }
 
+// documentOf returns the encoded document of a version and whether it is known here. Version 0 is known and
+// empty.
 func (n *node) documentOf(v Version) ([]byte, bool) {
 	if v == 0 {
 		return nil, true
@@ -296,8 +302,8 @@
 	return nil, false
 }
 
-// finishTransfer takes the version of a whole payload over. Danger: a spoilt payload; nothing of it counts, and it is
-// asked for of another machine.
+// finishTransfer adopts the version of a complete payload. A corrupt payload is discarded as a whole and
+// requested from another machine.
 func (n *node) finishTransfer() {
 	p := n.transfer.payload
 	document, encoded := n.decodePayload(p)
@@ -325,7 +331,8 @@
 	n.startTransfer()
 }
 
-// decodePayload gives the document that a payload leads to, nil if it leads to none.
+// decodePayload returns the document that a payload produces and its encoding, or nil if the payload is not
+// valid.
 func (n *node) decodePayload(p *payload) (*Document, []byte) {
 	joined := bytes.Join(p.chunks, nil)
 	if xxhash.Sum64(joined) != p.sum {
--- a/fleet/config/upstream.go
+++ b/fleet/config/upstream.go
@@ -1,42 +1,42 @@
 package config
 
-// upstream is a machine that this one asks for versions; to the first one reports go as well.
+// upstream is a machine that this one pulls versions from. The first upstream also receives reports.
 type upstream struct {
-	reportsTo       bool
-	fixed           bool // the leader, of another control machine; it stays until another leads
-	addr            string
-	attempt         int // how many were passed over since the first choice
-	chosenAt        Time
-	reviewAt        Time
-	nextAt          Time // of the next heartbeat
-	answered        bool // since it was chosen
-	unanswered      int  // heartbeats in a row,
-	unansweredSince Time // and when the first of them went
-	seq             uint64
-	sentHeartbeats  [4]sentHeartbeat // the last heartbeats
-	version         Version          // the newest that it told of
-	noDeltaFrom     Version          // it has no delta from this version; 0: nothing is known
+	reportsTo       bool             // reports are sent to it
+	fixed           bool             // the leader, seen from another control machine; kept until the leader changes
+	addr            string           // "" if no machine is known
+	attempt         int              // machines tried since the first choice
+	chosenAt        Time             // when it was chosen
+	reviewAt        Time             // when the choice is reviewed
+	nextAt          Time             // when the next heartbeat is sent
+	answered        bool             // whether it has answered since it was chosen
+	unanswered      int              // consecutive heartbeats without an answer
+	unansweredSince Time             // when the first of them was sent
+	seq             uint64           // sequence number of the last heartbeat
+	sentHeartbeats  [4]sentHeartbeat // last heartbeats, by sequence number modulo the length
+	version         Version          // newest version that it has announced
+	noDeltaFrom     Version          // it has no delta from this version; 0: not known
 }
 
-// sentHeartbeat is a heartbeat on its way.
+// sentHeartbeat is a heartbeat that was sent and may still be answered.
 type sentHeartbeat struct {
 	seq uint64
-	at  Time
+	at  Time // when it was sent
 }
 
-// Spans of heartbeats.
+// Timeouts of heartbeats.
 const (
 	heartbeatInterval = Second
-	heartbeatJitter   = 100 * Millisecond  // drawn on top, so that machines do not go in step
+	heartbeatJitter   = 100 * Millisecond  // random addition to the interval, so that machines do not synchronize
 	answerTimeout     = 500 * Millisecond  // after which an unanswered heartbeat is sent again
 	probeTimeout      = 700 * Millisecond  // for which a newly chosen upstream may stay silent
-	maxUnanswered     = 3                  // heartbeats in a row, and
-	silenceTimeout    = 1400 * Millisecond // that no answer came for so long: then another upstream is chosen
-	slowAttempts      = 12                 // attempts after which they come once in two seconds
-	reviewInterval    = 30 * Second        // after which the first choice is tried again, and so much is drawn
+	maxUnanswered     = 3                  // consecutive unanswered heartbeats; see silenceTimeout
+	silenceTimeout    = 1400 * Millisecond // with maxUnanswered heartbeats, after which another upstream is chosen
+	slowAttempts      = 12                 // attempts, after which one is made every two seconds
+	reviewInterval    = 30 * Second        // after which the choice is reviewed; a random time of up to as much is added
 )
 
-// choose takes another upstream, or the first choice on attempt 0.
+// choose selects the upstream for the given attempt; attempt 0 is the first choice.
 func (u *upstream) choose(n *node, attempt int) {
 	u.attempt = attempt
 	u.addr = u.candidate(n)
@@ -48,8 +48,8 @@
 	}
 }
 
-// candidate gives the address for an attempt. The second upstream is another than the first where there is
-// another.
+// candidate returns the address for the current attempt. The secondary upstream differs from the primary
+// one if the second draw finds another machine.
 func (u *upstream) candidate(n *node) string {
 	if u.reportsTo {
 		return n.topology.primaryUpstream(u.attempt, &n.source)
@@ -61,15 +61,15 @@
 	return addr
 }
 
-// tick sends a heartbeat when one is due, or gives the upstream up.
-// Danger: a relay that has died, or is cut off, would cut off all that hang on it.
+// tick sends a heartbeat if one is due, and replaces an upstream that does not answer. Without this, a
+// relay that has failed or is cut off would cut off all machines below it.
 func (u *upstream) tick(n *node) {
 	if n.now < u.nextAt || !n.topologyKnown && !u.fixed {
 		return
 	}
 	switch {
 	case u.fixed:
-	case u.addr == "": // nobody was known
+	case u.addr == "": // no machine was known
 		u.choose(n, 0)
 	case u.unresponsive(n.now):
 		u.choose(n, u.attempt+1)
@@ -81,8 +81,8 @@
 	u.sendHeartbeat(n, nil)
 }
 
-// unresponsive tells whether an upstream has to be taken for gone. Reports may go several times a second, so it
-// takes a span as well as a number.
+// unresponsive reports whether the upstream is considered down. Reports can be sent several times a second,
+// so a number of unanswered heartbeats is not enough: a minimum time must have passed as well.
 func (u *upstream) unresponsive(now Time) bool {
 	if !u.answered {
 		return u.unanswered > 0
@@ -90,8 +90,8 @@
 	return u.unanswered >= maxUnanswered && now-u.unansweredSince >= silenceTimeout
 }
 
-// review looks whether the first choice is another one since the list of machines has changed. The second
-// upstream is drawn anew, so that children spread over the machines that have come.
+// review selects a new primary upstream if the first choice has changed with the list of machines. The
+// secondary upstream is always drawn again, so that children spread over machines that have joined.
 func (u *upstream) review(n *node) {
 	u.reviewAt = n.now + reviewInterval + n.source.Below(reviewInterval)
 	if !u.reportsTo || n.topology.primaryUpstream(0, &n.source) != u.addr {
@@ -99,6 +99,7 @@
 	}
 }
 
+// sendHeartbeat sends a heartbeat. With reports, the caller has already assigned the sequence number.
 func (u *upstream) sendHeartbeat(n *node, reports []report) {
 	if reports == nil {
 		u.seq++
@@ -123,17 +124,17 @@
 	n.sendMessage(u.addr, m)
 }
 
-// flushReports sends what the upstream does not know yet.
+// flushReports sends the upstream the reports that it does not know yet, if that is due.
 func (n *node) flushReports() {
 	if n.reports.flushAt == 0 || n.now < n.reports.flushAt {
 		return
 	}
 	if len(n.upstreams) == 0 || !n.upstreams[0].answered {
-		n.reports.flushAt = n.now + answerTimeout // it is tried whether it is there
+		n.reports.flushAt = n.now + answerTimeout // the upstream is still being probed
 		return
 	}
 	if at := n.reports.batch.at + answerTimeout; len(n.reports.batch.sent) > 0 && n.now < at {
-		n.reports.flushAt = at // the last ones are not acknowledged
+		n.reports.flushAt = at // the previous batch is not acknowledged
 		return
 	}
 	if n.budget.usedPermille(n.now) > maxReportBudgetUsed && n.now-n.reports.pendingSince < maxReportWait {
@@ -147,10 +148,10 @@
 	}
 	u.seq++
 	u.sendHeartbeat(n, reports)
-	n.reports.scheduleFlush(n.now, answerTimeout) // again, unless it is acknowledged
+	n.reports.scheduleFlush(n.now, answerTimeout) // sent again unless acknowledged
 }
 
-// upstreamAt gives the upstream with an address, nil if none has it.
+// upstreamAt returns the upstream with an address, or nil.
 func (n *node) upstreamAt(addr string) *upstream {
 	for _, u := range n.upstreams {
 		if u.addr == addr {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// handleAcknowledge takes an upstream's answer in.
+// handleAcknowledge handles an upstream's answer to a heartbeat or a pull.
 func (n *node) handleAcknowledge(from string, m *message) {
 	if m.noDelta {
 		n.handleNoDelta(from)
@@ -171,7 +172,7 @@
 	}
 	sent := u.sentHeartbeats[m.seq%uint64(len(u.sentHeartbeats))]
 	if sent.seq != m.seq {
-		return // it was too long under way
+		return // too late: the heartbeat is no longer remembered
 	}
 	if m.full && !u.fixed {
 		u.choose(n, u.attempt+1)
@@ -189,7 +190,7 @@
 	n.startTransfer()
 }
 
-// handleOffer notes that an upstream has, or is getting, something newer.
+// handleOffer records that an upstream has, or is receiving, a newer version.
 func (n *node) handleOffer(from string, m *message) {
 	u := n.upstreamAt(from)
 	if u == nil {
--- a/fleet/config/wire.go
+++ b/fleet/config/wire.go
@@ -6,17 +6,18 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// All encodings are fields in the wire format of protocol buffers: a field that a program does not know is
-// passed over, so an older program reads what a newer one writes.
+// All encodings consist of fields in the Protocol Buffers wire format. Unknown fields are skipped, so an older
+// program can read what a newer one writes.
 
-// field is one field as it is read. One of the two values is set.
+// field is a decoded field. Only one of value and bytes is set.
 type field struct {
 	number protowire.Number
-	value  uint64 // of a varint or a fixed64
-	bytes  []byte // within the text that is read
+	value  uint64 // of a varint or fixed64 field
+	bytes  []byte // of a length-delimited field; shares memory with the input
 }
 
-// eachField hands over the fields of an encoding in their order, at most as many as it has bytes.
+// eachField calls handle for each field of an encoding, in order, and stops at the first error. A field
+// takes at least one byte, so the number of calls is at most the length of encoded.
 func eachField(encoded []byte, handle func(f field) error) error {
 	for len(encoded) > 0 {
 		number, kind, size := protowire.ConsumeTag(encoded)
@@ -34,7 +35,7 @@
 			f.bytes, size = protowire.ConsumeBytes(encoded)
 		default:
 			size = protowire.ConsumeFieldValue(number, kind, encoded)
-			f.number = 0 // of a kind that no field has here
+			f.number = 0 // a wire type that no known field has
 		}
 		if size < 0 {
 			return ErrMalformed
@@ -47,23 +48,23 @@
 	return nil
 }
 
-// text gives a field's bytes as a string of at most limit bytes.
+// text returns the bytes of a field as a string, or an error if there are more than limit.
 func (f field) text(limit int) (string, error) {
 	if len(f.bytes) > limit {
-		return "", fmt.Errorf("%w: a text of %d bytes, at most %d", ErrMalformed, len(f.bytes), limit)
+		return "", fmt.Errorf("%w: text of %d bytes, at most %d", ErrMalformed, len(f.bytes), limit)
 	}
 	return string(f.bytes), nil
 }
 
-// duration gives a field's value as a span of at most limit.
+// duration returns the value of a field as a duration, or an error if it exceeds limit.
 func (f field) duration(limit Time) (Time, error) {
 	if f.value > uint64(limit) {
-		return 0, fmt.Errorf("%w: a span over its bound", ErrMalformed)
+		return 0, fmt.Errorf("%w: duration exceeds its limit", ErrMalformed)
 	}
 	return Time(f.value), nil
 }
 
-// appendNumber appends a number's field; 0 is left out.
+// appendNumber appends a varint field; 0 is omitted.
 func appendNumber(dst []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return dst
@@ -71,12 +72,12 @@
 	return protowire.AppendVarint(protowire.AppendTag(dst, number, protowire.VarintType), value)
 }
 
-// appendFixed appends a field of eight bytes, for numbers that are hashes.
+// appendFixed appends a field of eight bytes, which suits hashes.
 func appendFixed(dst []byte, number protowire.Number, value uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(dst, number, protowire.Fixed64Type), value)
 }
 
-// appendText appends a text's field; an empty one is left out.
+// appendText appends a text field; an empty text is omitted.
 func appendText[T string | Scope | []byte](dst []byte, number protowire.Number, text T) []byte {
 	if len(text) == 0 {
 		return dst
@@ -84,12 +85,13 @@
 	return appendPart(dst, number, []byte(text))
 }
 
-// appendPart appends a field of bytes, empty or not.
+// appendPart appends a length-delimited field, even if it is empty.
 func appendPart(dst []byte, number protowire.Number, part []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(dst, number, protowire.BytesType), part)
 }
 
-// valid tells whether a scope's name is one: small letters, digits, dashes and underscores.
+// valid reports whether a scope name has an allowed length and consists of lower-case letters, digits,
+// hyphens and underscores.
 func (s Scope) valid() bool {
 	if len(s) == 0 || len(s) > MaxScopeName {
 		return false
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -1,9 +1,9 @@
-// Package configuration carries what fleet/config decides for one machine: messages go by internal/peers,
-// entries into the voters' log by internal/leases, the version in force to the front's disk. It checks texts
-// by the code that checks files, and decides nothing else.
+// Package configuration connects fleet/config to one process: it sends messages through internal/peers,
+// proposes entries to the voters' log of internal/leases, and stores the version in force on the front's
+// disk. It validates texts with the code that validates files, and makes no other decisions.
 //
-// Front is the loop's part on every front. Control is the voter's part on the control machines and lives in
-// the voter's goroutine. Service answers the commands, in goroutines of its own.
+// Front is the part that runs on every front, in its event loop. Control is the part that runs on control
+// machines, in the voter's goroutine. Service answers the configuration commands, in goroutines of its own.
 package configuration
 
 import (
@@ -18,21 +18,21 @@
 	"micatrack/internal/settings"
 )
 
-// The scopes of the configuration.
+// Scopes of the configuration.
 const (
-	SettingsScope  config.Scope = "settings"  // as "settings" in a front's file, but for the zone
-	OperatorsScope config.Scope = "operators" // as the operators' file, but only parts that are alike on all fronts
+	SettingsScope  config.Scope = "settings"  // like "settings" in a front's file, without the zone
+	OperatorsScope config.Scope = "operators" // like the operators' file, only the parts that all fronts share
 	DiscoveryScope config.Scope = "discovery" // {"discovery": "HOST:PORT"}
 )
 
-// Program is this program's number, which a change may ask for.
+// ProgramVersion is the program number of this build, which a change can require as a minimum.
 const ProgramVersion = 1
 
-// shared are the parts of the operators' file that all fronts may have from the fleet's configuration. The
-// others name addresses and files of one machine.
+// sharedKeys are the keys of the operators' file that the fleet's configuration may contain. The other keys
+// name addresses and files of a single machine.
 var sharedKeys = []string{"$schema", "door"}
 
-// Check tells what is wrong with a scope's text, by the code that checks files.
+// Check validates the text of a scope with the code that validates files.
 func Check(scope config.Scope, text []byte) error {
 	var err error
 	switch scope {
@@ -43,12 +43,12 @@
 	case DiscoveryScope:
 		_, err = FleetDiscovery(text)
 	default:
-		err = fmt.Errorf("no such scope; there are %s, %s and %s", SettingsScope, OperatorsScope, DiscoveryScope)
+		err = fmt.Errorf("no such scope; the scopes are %s, %s and %s", SettingsScope, OperatorsScope, DiscoveryScope)
 	}
 	return err
 }
 
-// ReadSettings reads the settings of a front's file, or of the fleet's configuration.
+// ReadSettings parses the settings of a front's file or of the fleet's configuration.
 func ReadSettings(text []byte) (balance.Settings, settings.Process, error) {
 	if len(text) == 0 {
 		return balance.Settings{}, settings.Process{}, fmt.Errorf("missing")
@@ -60,16 +60,17 @@
 	return c, host, err
 }
 
-// FleetSettings reads the settings of the fleet's configuration. The zone is each front's own.
+// FleetSettings parses the settings of the fleet's configuration, which must not contain a zone: each front
+// has its own.
 func FleetSettings(text []byte) (balance.Settings, settings.Process, error) {
 	c, host, err := ReadSettings(text)
 	if err == nil && c.Zone != "" {
-		err = fmt.Errorf("the zone, Az, is each front's own and stays in its file")
+		err = fmt.Errorf("the zone, Az, is specific to each front and must stay in its file")
 	}
 	return c, host, err
 }
 
-// FleetOperators reads the shared parts of the operators' file.
+// FleetOperators parses the shared keys of the operators' file. Other keys are an error.
 func FleetOperators(text []byte) (operators.Options, error) {
 	o, err := operators.Parse(text)
 	if err != nil {
@@ -86,16 +87,16 @@
 		}
 	}
 	if len(own) > 0 {
-		return o, fmt.Errorf("/%s is each front's own and stays in its file", slices.Min(own))
+		return o, fmt.Errorf("/%s is specific to each front and must stay in its file", slices.Min(own))
 	}
 	return o, nil
 }
 
-// FleetDiscovery reads the address of discovery.
+// FleetDiscovery parses the address of the discovery service.
 func FleetDiscovery(text []byte) (addr string, err error) {
 	var w map[string]json.RawMessage
 	if err := json.Unmarshal(text, &w); err != nil {
-		return "", fmt.Errorf("no JSON object: %w", err)
+		return "", fmt.Errorf("not a JSON object: %w", err)
 	}
 	for key := range w {
 		if key != "discovery" {
--- a/internal/configuration/control.go
+++ b/internal/configuration/control.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	confirmInterval = config.Second // between two reads by quorum of a leader
-	never           = math.MaxInt64
+	confirmInterval = config.Second // between two quorum reads of a leader
+	never           = math.MaxInt64 // no time
 )
 
-// Voter is what a control machine's part needs of the voter; lease.Voter is one.
+// Voter is the part of lease.Voter that Control uses.
 type Voter interface {
 	Propose(now Time, entry []byte, done func(err error)) error
 	Confirm(now Time, done func())
 	Ready() bool
 }
 
-// ControlOptions is what a control machine's part is started with.
+// ControlOptions are the parameters of a new Control.
 type ControlOptions struct {
-	Fleet, Name   string
-	Addr          string // where other machines reach this one
-	Seed          uint64
-	ServeVersions bool // versions are served; without it they are only kept, as the log tells them
+	Fleet         string // name of the fleet
+	Name          string // name of this machine
+	Addr          string // address at which other machines reach this one
+	Seed          uint64 // seed of the distributor's random source
+	ServeVersions bool   // whether to serve versions; otherwise they are only stored as the log delivers them
 }
 
-// Control is the control machine's part: the second state machine in the voters' log, and what hands its
-// versions out. It is the voter's goroutine's.
+// Control is the configuration part of a control machine: the second state machine on the voters' log, and
+// the distributor of its versions. Only the voter's goroutine may use it.
 type Control struct {
 	options        ControlOptions
 	log            *slog.Logger
 	peers          *peers.Transport
 	state          *config.Log
-	distributor    *config.Distributor // nil: versions are only kept
+	distributor    *config.Distributor // nil: versions are only stored
 	voter          Voter
 	now            Time
-	deliverToFront func(body []byte) // hands a message to this machine's front
-	confirmAt      Time
-	tickAt         Time // when the distributor has something to do
+	deliverToFront func(body []byte) // delivers a message to this machine's front
+	confirmAt      Time              // when leadership is confirmed next
+	tickAt         Time              // when the distributor's Tick is due
 }
 
-// NewControl starts a control machine's part, empty: the voter fills it.
+// NewControl returns a Control without any version; the voter restores or replays its state.
 func NewControl(o ControlOptions, p *peers.Transport, log *slog.Logger) *Control {
 	return &Control{options: o, log: log, peers: p, state: config.NewLog()}
 }
 
-// Owns tells whether an entry of the voters' log is a change of the configuration.
+// Owns reports whether an entry of the voters' log is a change of the configuration.
 func (c *Control) Owns(entry []byte) bool { return config.IsEntry(entry) }
 
-// MaxEntry gives the bound of an entry's bytes.
+// MaxEntry returns the maximum size of an entry in bytes.
 func (c *Control) MaxEntry() int { return config.MaxEntry }
 
-// Apply takes a committed entry.
+// Apply applies a committed entry.
 func (c *Control) Apply(entry []byte) error {
 	r := c.state.Apply(entry)
 	if c.options.ServeVersions && r.Err == nil {
@@ -66,19 +67,20 @@
 	return r.Err
 }
 
-// Snapshot gives all versions that are known.
+// Snapshot returns the encoded state with all known versions.
 func (c *Control) Snapshot() []byte { return c.state.Snapshot() }
 
-// Check tells whether Restore would take a snapshot.
+// Check returns the error that Restore would return for a snapshot, without changing the state.
 func (c *Control) Check(snapshot []byte) error { return config.NewLog().Restore(snapshot) }
 
-// Restore replaces all versions.
+// Restore replaces the state with that of a snapshot.
 func (c *Control) Restore(snapshot []byte) error { return c.state.Restore(snapshot) }
 
-// SetFrontDelivery has messages for this machine's front handed to it. To be called before the voter starts.
+// SetFrontDelivery sets the function that delivers messages to this machine's front. Call it before the
+// voter starts.
 func (c *Control) SetFrontDelivery(deliver func(body []byte)) { c.deliverToFront = deliver }
 
-// Started begins to hand versions out.
+// Started starts the distributor once the voter runs.
 func (c *Control) Started(now Time, v *lease.Voter) {
 	c.now, c.voter = now, v
 	if c.options.ServeVersions {
@@ -89,7 +91,8 @@
 	}
 }
 
-// Send sends a distributor's message.
+// Send sends a message of the distributor. It implements config.DistributorHost, as do Propose,
+// UnixMilliseconds and Log.
 func (c *Control) Send(addr string, message []byte) {
 	target, control := strings.CutPrefix(addr, controlPrefix)
 	if !control && target == c.options.Addr && c.deliverToFront != nil {
@@ -100,22 +103,22 @@
 	c.peers.SendConfig(target, &m)
 }
 
-// Propose proposes an entry of the distributor's own: the next step of a roll-out, or its end.
+// Propose proposes an entry of the distributor: the next step of a roll-out, or its end.
 func (c *Control) Propose(entry []byte) error {
 	return c.voter.Propose(c.now, entry, func(err error) {
 		if err != nil {
-			c.log.Warn("roll-out: the entry did not count", "error", err.Error())
+			c.log.Warn("roll-out: entry was rejected", "error", err.Error())
 		}
 	})
 }
 
-// UnixMilliseconds gives the wall clock.
+// UnixMilliseconds returns the wall clock time.
 func (c *Control) UnixMilliseconds() int64 { return time.Now().UnixMilli() }
 
-// Log tells what the distributor has to say.
+// Log logs a message of the distributor.
 func (c *Control) Log(text string) { c.log.Info(text) }
 
-// Receive takes a message of another machine in.
+// Receive handles a message from another machine.
 func (c *Control) Receive(now Time, m peers.ConfigMessage) {
 	from := m.Addr
 	if m.FromControl {
@@ -124,6 +127,7 @@
 	c.receive(now, from, m.Body)
 }
 
+// receive passes a message to the distributor and updates the time of the next tick.
 func (c *Control) receive(now Time, from string, body []byte) {
 	if c.now = now; c.distributor != nil {
 		c.distributor.Receive(now, from, body)
@@ -131,18 +135,18 @@
 	}
 }
 
-// ReceiveFromFront takes a message of this machine's front in.
+// ReceiveFromFront handles a message from this machine's front.
 func (c *Control) ReceiveFromFront(now Time, body []byte) { c.receive(now, c.options.Addr, body) }
 
-// SetPeers tells who is there.
+// SetPeers sets the known machines.
 func (c *Control) SetPeers(now Time, members config.Peers) {
 	if c.now = now; c.distributor != nil {
 		c.distributor.SetPeers(now, withControlPrefix(members))
 	}
 }
 
-// Tick does what is due, after each step of the voter. leader is where the voter that leads is reached, if
-// that is known.
+// Tick performs the work that is due. Call it after each step of the voter. leader is the address of the
+// leading voter, if known.
 func (c *Control) Tick(now Time, leader string) {
 	if c.now = now; c.distributor == nil {
 		return
@@ -163,7 +167,7 @@
 	c.tickAt = min(c.tickAt, c.distributor.Next())
 }
 
-// Next is when Beat must be called again.
+// Next returns when Tick must be called next.
 func (c *Control) Next() Time {
 	if c.distributor == nil {
 		return never
@@ -171,9 +175,9 @@
 	return c.tickAt
 }
 
-// alreadyCommitted tells whether the version that follows a base is this very request's.
-// Danger: a request that is asked again, since its answer was lost, would be told that another's change was
-// first.
+// alreadyCommitted reports whether the version after the request's base was created by this same request.
+// Without this check, a request that is retried because its answer was lost would be refused with a
+// conflict with itself.
 func (c *Control) alreadyCommitted(r *Request) bool {
 	for _, record := range c.state.History() {
 		if record.Version != config.Version(r.Base)+1 {
@@ -186,7 +190,8 @@
 	return false
 }
 
-// textMatches tells whether a version holds what a request sets, as far as history tells.
+// textMatches reports whether a version contains the text that the request sets, as far as the history can
+// tell.
 func (c *Control) textMatches(version config.Version, r *Request) bool {
 	if r.Op != OpSet || r.Rollout != nil {
 		return true
@@ -199,7 +204,7 @@
 	return string(text) == r.Text
 }
 
-// Handle works on a request; tell is called once with the answer, by the voter's goroutine.
+// Handle processes a request. It calls respond once with the answer, in the voter's goroutine.
 func (c *Control) Handle(now Time, r *Request, leader string, respond func(a Answer)) {
 	c.now = now
 	if c.distributor == nil {
@@ -216,11 +221,12 @@
 	case OpSet, OpRollback:
 		c.change(now, r, respond)
 	default:
-		respond(Answer{Outcome: Refused, Error: "an unknown request"})
+		respond(Answer{Outcome: Refused, Error: "unknown operation"})
 	}
 }
 
-// query answers from what this machine has applied, as the leader.
+// query answers a request that changes nothing from the entries applied here. This machine must be the
+// leader.
 func (c *Control) query(now Time, r *Request) Answer {
 	a := Answer{Outcome: Done, Version: uint64(c.state.Newest())}
 	switch r.Op {
@@ -242,7 +248,7 @@
 	return a
 }
 
-// change proposes a change, unless it is the version that follows its base already.
+// change proposes a change, unless this same request was already committed.
 func (c *Control) change(now Time, r *Request, respond func(a Answer)) {
 	base := config.Version(r.Base)
 	switch {
@@ -250,7 +256,8 @@
 		respond(Answer{Outcome: Done, Version: r.Base + 1})
 		return
 	case base > c.state.Newest():
-		// Danger: a leader that was deposed and does not know it yet would refuse what others have accepted.
+		// A deposed leader that does not know it yet must not refuse a change that is based on a version
+		// which a newer leader has committed.
 		respond(Answer{Outcome: NotHandled})
 		return
 	}
@@ -262,7 +269,7 @@
 	version := c.state.Newest() + 1
 	err = c.voter.Propose(now, entry, func(err error) {
 		switch {
-		case err == nil, c.alreadyCommitted(r): // an earlier try of it was before this one
+		case err == nil, c.alreadyCommitted(r): // an earlier attempt of the same request was committed first
 			respond(Answer{Outcome: Done, Version: uint64(version)})
 		case err == lease.ErrOutcomeUnknown:
 			respond(Answer{Outcome: Unknown, Error: err.Error()})
@@ -275,7 +282,7 @@
 	}
 }
 
-// prepare checks a request's change and gives its entry.
+// prepare checks the change of a request and returns the entry to propose.
 func (c *Control) prepare(r *Request) ([]byte, error) {
 	if r.Op == OpRollback {
 		return c.state.PrepareRollback(r.rollback(), Check)
@@ -283,7 +290,7 @@
 	return c.state.Prepare(r.change(), Check)
 }
 
-// rolloutOf gives an open roll-out, as it is shown.
+// rolloutOf returns an open roll-out in the form of an Answer, or nil if there is none.
 func rolloutOf(s *config.Stage) *Rollout {
 	if s == nil {
 		return nil
--- a/internal/configuration/disk.go
+++ b/internal/configuration/disk.go
@@ -12,12 +12,12 @@
 	"micatrack/fleet/config"
 )
 
-// The file of the version in force: a mark, a checksum over what follows, the moments at which the version
-// was last known to be the fleet's newest and was put in force, what fleet/config keeps, and the texts that
-// count for this front.
+// Layout of the file of the version in force: a magic line, a checksum over the rest, the time at which the
+// version was last known to be the fleet's newest, the time at which it was put in force, the agent's state,
+// and the texts that apply to this front.
 const (
 	fileMagic   = "micatrack configuration 1\n"
-	headerSize  = len(fileMagic) + 4 + 8 + 8 + 4 // mark, checksum, two moments, length of what fleet/config keeps
+	headerSize  = len(fileMagic) + 4 + 8 + 8 + 4 // magic line, checksum, two times, length of the agent's state
 	maxFileSize = 4 * config.MaxDocument
 )
 
@@ -26,21 +26,22 @@
 	errCorrupt = errors.New("it is spoilt")
 )
 
-// StoredVersion is what a front finds on its disk.
+// StoredVersion is the version in force as stored on a front's disk.
 type StoredVersion struct {
 	ProvenAt   int64 // Unix milliseconds at which the version was last known to be the fleet's newest; 0: never
 	InForceAt  int64 // Unix milliseconds at which it was put in force here
 	Version    config.Version
-	Texts      []config.ScopeText // that count for this front
-	AgentState []byte             // for the agent
+	Texts      []config.ScopeText // texts that apply to this front
+	AgentState []byte             // for config.AgentOptions.Persisted
 }
 
-// Text gives a scope's text.
+// Text returns the text of a scope and whether the scope exists.
 func (s *StoredVersion) Text(scope config.Scope) ([]byte, bool) {
 	d := config.Document{Texts: s.Texts}
 	return d.Text(scope)
 }
 
+// encode returns the content of the file.
 func (s *StoredVersion) encode() []byte {
 	body := binary.BigEndian.AppendUint64(nil, uint64(s.ProvenAt))
 	body = binary.BigEndian.AppendUint64(body, uint64(s.InForceAt))
@@ -52,6 +53,7 @@
 	return append(file, body...)
 }
 
+// decode parses the content of the file.
 func decode(file []byte) (s StoredVersion, err error) {
 	if len(file) < headerSize || string(file[:len(fileMagic)]) != fileMagic {
 		return s, errCorrupt
@@ -75,8 +77,9 @@
 	return s, nil
 }
 
-// Load reads the file of the version in force; without a path, or a file, there is none.
-// Danger: a spoilt file read as a whole one would put in force what nobody wrote; it is told and left aside.
+// Load reads the file of the version in force. It returns a zero StoredVersion if path is empty or there is
+// no such file. A corrupt file is an error and is left in place; using it could put a text in force that
+// nobody wrote.
 func Load(path string) (StoredVersion, error) {
 	if path == "" {
 		return StoredVersion{}, nil
@@ -103,8 +106,8 @@
 	return s, nil
 }
 
-// Save writes the file whole: under another name, written through, then renamed.
-// Danger: a crash half-way must leave the file that was there.
+// Save replaces the file atomically: it writes a temporary file, syncs it and renames it. A crash at any
+// point leaves the old or the new file in place.
 func Save(path string, s *StoredVersion) error {
 	temporary := path + ".part"
 	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
@@ -130,21 +133,23 @@
 	return dir.Sync()
 }
 
-// writer writes versions in a goroutine of its own, the newest only. Danger: the loop would wait for a disk
-// that stands still.
+// writer writes versions in its own goroutine, so that a stalled disk does not block the event loop. Only
+// the newest version is written.
 type writer struct {
 	path string
-	next chan *StoredVersion
-	done chan struct{}
+	next chan *StoredVersion // newest version not yet written
+	done chan struct{}       // closed when the goroutine has ended
 	log  func(err error)
 }
 
+// newWriter starts a writer. Close the channel next to stop it.
 func newWriter(path string, log func(err error)) *writer {
 	w := &writer{path: path, next: make(chan *StoredVersion, 1), done: make(chan struct{}), log: log}
 	go w.run()
 	return w
 }
 
+// run writes versions until the channel next is closed.
 func (w *writer) run() {
 	defer close(w.done)
 	for s := range w.next {
@@ -154,7 +159,7 @@
 	}
 }
 
-// enqueue has a version written; one that waits is replaced. It is one goroutine's to call.
+// enqueue has a version written, in place of one that is still waiting. Only one goroutine may call it.
 func (w *writer) enqueue(s *StoredVersion) {
 	select {
 	case <-w.next:
--- a/internal/configuration/front.go
+++ b/internal/configuration/front.go
@@ -11,39 +11,47 @@
 	"micatrack/internal/peers"
 )
 
-// Time is a moment or a span in whole tenths of a millisecond.
+// Time is a point in time or a duration, in tenths of a millisecond.
 type Time = config.Time
 
 const (
-	controlPrefix       = "control/"        // before the address of a control machine's part, as fleet/config knows it
-	controlName         = "c/"              // before its name, which the front on that machine has too
-	peerRefreshInterval = config.Second     // between two looks at who is there
-	provenWriteInterval = time.Minute       // after which the file says again that its version is the newest
-	closeTimeout        = time.Second       // that an end waits for the disk
-	maxQueuedMessages   = 256               // messages of this machine's control part that wait for the loop
+	controlPrefix       = "control/"        // prefix of a control machine's address in fleet/config
+	controlName         = "c/"              // prefix of its name, which differs from that of the front on the same machine
+	peerRefreshInterval = config.Second     // between two updates of the known machines
+	provenWriteInterval = time.Minute       // after which the file is updated with the time of the last proof
+	closeTimeout        = time.Second       // for which Close waits for the disk
+	maxQueuedMessages   = 256               // messages of this machine's control part that wait for the event loop
 	neverProven         = int64(-1)         // an age
-	freshWithin         = 3 * config.Second // a version proven within it counts as the newest at the moment
+	freshWithin         = 3 * config.Second // age of the last proof up to which a version is shown as the newest
 )
 
-// FrontOptions is what a front's part is started with.
+// FrontOptions are the parameters of a new Front.
 type FrontOptions struct {
-	Fleet, Name, Zone string
-	Addr              string // where other machines reach this one
-	Incarnation, Seed uint64
-	Path              string        // of the file of the version in force; none: there is no disk
-	Stored            StoredVersion // what it held at the start; its texts are in force from the start on
+	Fleet       string        // name of the fleet
+	Name        string        // name of this front
+	Zone        string        // zone of this front
+	Addr        string        // address at which other machines reach this one
+	Incarnation uint64        // see config.AgentOptions
+	Seed        uint64        // seed of the agent's random source
+	Path        string        // file of the version in force; empty: there is no disk
+	Stored      StoredVersion // content of the file at the start; its texts are in force from the start
 }
 
-// FrontHost is what the front does for its configuration.
+// FrontHost is the router process that a Front runs in.
 type FrontHost interface {
-	// PutInForce has the front go by a version's texts, all of them or, if it returns an error, none. What a scope
-	// without a text would say comes from the front's files. Texts were checked.
+	// PutInForce makes the front use the texts of a version, either all of them or, if it returns an error,
+	// none. For a scope without a text the front uses its files. The texts are already validated.
 	PutInForce(texts []config.ScopeText) error
-	Peers() config.Peers               // who is there; addresses as the fleet has them
-	DeliverToControl(body []byte) bool // hands a message to the control part of this machine, if there is one
+
+	// Peers returns the known machines, with their addresses in the fleet.
+	Peers() config.Peers
+
+	// DeliverToControl passes a message to this machine's control part and reports whether there is one.
+	DeliverToControl(body []byte) bool
 }
 
-// Front is one front's part, the loop's but for Hand.
+// Front is the configuration part of a front. Only the event loop may use it, except for
+// ReceiveFromControl.
 type Front struct {
 	agent       *config.Agent
 	options     FrontOptions
@@ -51,30 +59,31 @@
 	now         func() Time
 	peers       *peers.Transport
 	log         *slog.Logger
-	wake        func()
-	fromControl chan localMessage
-
-	texts      []config.ScopeText // in force
-	lastPeers  config.Peers
-	peersAt    Time
-	tickAt     Time    // when the agent has something to do
-	writer     *writer // nil: no disk
-	agentState []byte
-	provenAt   int64 // Unix milliseconds; 0: never
-	writtenAt  int64 // provenAt, as the disk has it
-	inForceAt  int64 // Unix milliseconds
+	wake        func()            // wakes the event loop
+	fromControl chan localMessage // messages from this machine's control part
+
+	texts      []config.ScopeText // texts in force
+	lastPeers  config.Peers       // known machines as last passed to the agent
+	peersAt    Time               // when the known machines are updated next
+	tickAt     Time               // when the agent's Tick is due
+	writer     *writer            // nil: there is no disk
+	agentState []byte             // state of the agent to be stored
+	provenAt   int64              // Unix milliseconds of the last proof that the version is the newest; 0: never
+	writtenAt  int64              // provenAt as written to disk
+	inForceAt  int64              // Unix milliseconds at which the version was put in force
 }
 
-// localMessage is a message of this machine's control part.
+// localMessage is a message from this machine's control part.
 type localMessage struct {
 	from string
 	body []byte
 }
 
-// NewFront starts a front's part.
+// NewFront starts the configuration part of a front.
 func NewFront(o FrontOptions, now func() Time, p *peers.Transport, h FrontHost, wake func(), log *slog.Logger) *Front {
 	f := &Front{
-		options: o, host: h, now: now, peers: p, log: log, wake: wake, fromControl: make(chan localMessage, maxQueuedMessages),
+		options: o, host: h, now: now, peers: p, log: log, wake: wake,
+		fromControl: make(chan localMessage, maxQueuedMessages),
 	}
 	f.texts, f.inForceAt = o.Stored.Texts, o.Stored.InForceAt
 	f.provenAt, f.writtenAt = o.Stored.ProvenAt, o.Stored.ProvenAt
@@ -82,7 +91,8 @@
 		f.writer = newWriter(o.Path, func(err error) { log.Error("configuration not kept", "error", err.Error()) })
 	}
 	f.agent = config.NewAgent(now(), config.AgentOptions{
-		Fleet: o.Fleet, Name: o.Name, Zone: o.Zone, Incarnation: o.Incarnation, Program: ProgramVersion, Seed: o.Seed, Persisted: o.Stored.AgentState,
+		Fleet: o.Fleet, Name: o.Name, Zone: o.Zone, Incarnation: o.Incarnation, Program: ProgramVersion,
+		Seed: o.Seed, Persisted: o.Stored.AgentState,
 	}, f)
 	if version := f.agent.InForce(); version != 0 {
 		log.Info("configuration from disk", "version", version, "age_ms", f.Status().AgeMS)
@@ -90,7 +100,7 @@
 	return f
 }
 
-// Send sends an agent's message.
+// Send sends a message of the agent. It implements config.AgentHost, as do PutInForce, Persist and Log.
 func (f *Front) Send(addr string, message []byte) {
 	target, control := strings.CutPrefix(addr, controlPrefix)
 	if control && target == f.options.Addr && f.host.DeliverToControl(bytes.Clone(message)) {
@@ -99,7 +109,7 @@
 	f.peers.SendConfig(target, &peers.ConfigMessage{ToControl: control, Addr: f.options.Addr, Body: message})
 }
 
-// PutInForce checks all texts of a version and has the front act on them.
+// PutInForce validates all texts of a version and puts them in force.
 func (f *Front) PutInForce(version config.Version, texts []config.ScopeText) error {
 	for _, t := range texts {
 		if err := Check(t.Scope, t.Text); err != nil {
@@ -110,14 +120,14 @@
 		return err
 	}
 	f.texts = slices.Clone(texts)
-	if f.agent != nil { // else it is that of the start before
+	if f.agent != nil { // otherwise the version and its times were loaded from disk
 		f.inForceAt, f.provenAt, f.writtenAt = time.Now().UnixMilli(), 0, 0
 	}
 	f.log.Info("configuration in force", "version", version)
 	return nil
 }
 
-// textError is why a front does not take a version.
+// textError is the error that makes a front refuse a version.
 type textError struct {
 	scope config.Scope
 	err   error
@@ -131,8 +141,9 @@
 	f.write()
 }
 
+// write has the version in force written to disk with the current time of its last proof.
 func (f *Front) write() {
-	if f.writer == nil || f.agent == nil { // at the start it is what the disk has
+	if f.writer == nil || f.agent == nil { // during NewFront the disk already has this version
 		return
 	}
 	f.writtenAt = f.provenAt
@@ -141,10 +152,10 @@
 	})
 }
 
-// Log tells what the agent has to say.
+// Log logs a message of the agent.
 func (f *Front) Log(text string) { f.log.Warn(text) }
 
-// Receive takes a message of another machine in.
+// Receive handles a message from another machine.
 func (f *Front) Receive(m peers.ConfigMessage) {
 	from := m.Addr
 	if m.FromControl {
@@ -153,23 +164,24 @@
 	f.receive(f.now(), from, bytes.Clone(m.Body))
 }
 
-// receive hands a message to the agent. Danger: what an agent has to do next is told from the moment at
-// which it was called last, so where messages come all the while its own matters would never be due.
+// receive passes a message to the agent. It only ever moves the next tick to an earlier time: the agent
+// computes that time from its last call, so under a steady stream of messages its own work would otherwise
+// never be due.
 func (f *Front) receive(now Time, from string, body []byte) {
 	f.agent.Receive(now, from, body)
 	f.tickAt = min(f.tickAt, f.agent.Next())
 }
 
-// ReceiveFromControl takes a message of this machine's control part; any goroutine may call it.
+// ReceiveFromControl handles a message from this machine's control part. Any goroutine may call it.
 func (f *Front) ReceiveFromControl(body []byte) {
 	select {
 	case f.fromControl <- localMessage{controlPrefix + f.options.Addr, bytes.Clone(body)}:
 		f.wake()
-	default: // lost, as on any link
+	default: // dropped, as a datagram can be on any link
 	}
 }
 
-// Poll is the configuration's part of a turn of the loop.
+// Poll performs the configuration's part of one iteration of the event loop.
 func (f *Front) Poll(now Time) {
 	for range maxQueuedMessages {
 		select {
@@ -190,7 +202,8 @@
 	}
 }
 
-// refreshPeers tells the agent who is there, where that has changed, and notes on disk how fresh the version is.
+// refreshPeers passes the known machines to the agent if they have changed, and updates the time of the
+// last proof on disk.
 func (f *Front) refreshPeers(now Time) {
 	members := f.host.Peers()
 	if !slices.Equal(members.Controls, f.lastPeers.Controls) || !slices.Equal(members.Fronts, f.lastPeers.Fronts) {
@@ -208,7 +221,7 @@
 	}
 }
 
-// withControlPrefix marks the addresses of control machines.
+// withControlPrefix adds the prefixes to the names and addresses of control machines.
 func withControlPrefix(members config.Peers) config.Peers {
 	marked := config.Peers{Fronts: members.Fronts}
 	for _, c := range members.Controls {
@@ -218,10 +231,10 @@
 	return marked
 }
 
-// Next is when Turn must be called again.
+// Next returns when Poll must be called next.
 func (f *Front) Next() Time { return min(f.tickAt, f.peersAt) }
 
-// Close waits for the disk, for a while.
+// Close stops writing and waits for the disk, for closeTimeout at most.
 func (f *Front) Close() {
 	if f.writer == nil {
 		return
@@ -233,25 +246,26 @@
 	}
 }
 
-// FrontStatus is what one front has in force, as it is shown.
+// FrontStatus is the configuration in force on one front, as shown to operators.
 type FrontStatus struct {
-	Front    string      `json:"front"`
-	Version  uint64      `json:"version"`  // in force; 0: none, the front goes by its files
-	Received uint64      `json:"received"` // newer where that one is held or refused
-	State    string      `json:"state"`
-	Reason   string      `json:"reason,omitempty"`
-	AgeMS    int64       `json:"age_ms"` // since it was known to be the fleet's newest; -1: never
-	ForMS    int64       `json:"for_ms"` // since it was put in force here, also by the start before
-	Fresh    bool        `json:"fresh"`  // that is so at the moment
-	Texts    []ScopeText `json:"texts"`
+	Front    string      `json:"front"`            // name of the front
+	Version  uint64      `json:"version"`          // version in force; 0: none, the front uses its files
+	Received uint64      `json:"received"`         // newest version received, which may be held or refused
+	State    string      `json:"state"`            // see config.FrontState
+	Reason   string      `json:"reason,omitempty"` // why a newer version is held or refused
+	AgeMS    int64       `json:"age_ms"`           // time since Version was known to be the fleet's newest; -1: never
+	ForMS    int64       `json:"for_ms"`           // time since Version was put in force here, including before a restart
+	Fresh    bool        `json:"fresh"`            // whether Version counts as the newest now
+	Texts    []ScopeText `json:"texts"`            // texts in force
 }
 
-// ScopeText is one scope's text, as it is shown.
+// ScopeText is the text of one scope, as shown to operators.
 type ScopeText struct {
 	Scope string `json:"scope"`
 	Text  string `json:"text"`
 }
 
+// scopeTexts converts texts to the form shown to operators.
 func scopeTexts(texts []config.ScopeText) []ScopeText {
 	list := []ScopeText{}
 	for _, t := range texts {
@@ -260,10 +274,10 @@
 	return list
 }
 
-// InForce gives the texts in force.
+// InForce returns the texts in force.
 func (f *Front) InForce() []config.ScopeText { return f.texts }
 
-// Status tells what is in force here.
+// Status returns the configuration in force on this front.
 func (f *Front) Status() FrontStatus {
 	s := f.agent.Status(f.now())
 	v := FrontStatus{
--- a/internal/configuration/service.go
+++ b/internal/configuration/service.go
@@ -10,28 +10,31 @@
 )
 
 const (
-	changeTimeout   = 4 * time.Second        // that a change takes at most, an election included
-	readTimeout     = 2 * time.Second        // and a question
-	roundInterval   = 100 * time.Millisecond // between two rounds
+	changeTimeout   = 4 * time.Second        // for a change, including an election
+	readTimeout     = 2 * time.Second        // for a query
+	roundInterval   = 100 * time.Millisecond // between two rounds over the control machines
 	unknownMessage  = "no control machine answered in time; it may come into force: see 'micatrack config history'"
-	maxHops         = 3 // to another machine that is said to lead, before the next one in the list is asked
+	maxHops         = 3 // redirections to a leader that are followed before the next machine in the list is asked
 	noLeaderMessage = "no control machine leads, or none can be reached; nothing was changed"
 )
 
-// Service asks the control machines for one front's commands. Any goroutine may use it, but not the loop.
+// Service sends the configuration commands of one front to the control machines. It is safe for concurrent
+// use. Its methods block, so the event loop must not call them.
 type Service struct {
-	// Ask asks one control machine; peers.ErrUnreachable: nothing was sent.
+	// Ask sends a request to one control machine and returns its answer. The error peers.ErrUnreachable means
+	// that nothing was sent.
 	Ask func(addr string, request []byte) ([]byte, error)
 }
 
-// command is how far a command has come.
+// command is the state of one Request that is being sent to the control machines.
 type command struct {
-	uncertain bool // an earlier try may be committed, or come to be
-	answer    Answer
+	uncertain bool   // an earlier attempt may be committed, now or later
+	answer    Answer // final answer; valid if finished
 	finished  bool
 }
 
-// Do asks the control machines at these addresses until one of them has worked on a request.
+// Do sends a request to the control machines at the given addresses until one of them has processed it or
+// the time is up.
 func (s *Service) Do(controls []string, r Request) Answer {
 	if err := r.check(); err != nil {
 		return Answer{Outcome: Refused, Error: err.Error()}
@@ -47,7 +50,8 @@
 	}
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(roundInterval) {
 		for _, addr := range controls {
-			// Danger: two that take each other for the leader would be asked in turn without a pause.
+			// The hops are limited, because two machines that each take the other for the leader would
+			// otherwise be asked in turn without a pause.
 			for hops := 0; addr != "" && hops < maxHops && !cmd.finished && time.Now().Before(end); hops++ {
 				addr = cmd.askOne(s, addr, request, &r)
 			}
@@ -62,7 +66,8 @@
 	return Answer{Outcome: NotHandled, Error: noLeaderMessage}
 }
 
-// askOne asks one control machine, and gives who has to be asked in its place, if it says so.
+// askOne sends the request to one control machine. It returns the address of the leader if the machine
+// redirects to it, else "".
 func (c *command) askOne(s *Service, addr string, request []byte, r *Request) (leader string) {
 	text, err := s.Ask(addr, request)
 	if errors.Is(err, peers.ErrUnreachable) {
@@ -79,8 +84,8 @@
 	case Done:
 		c.answer, c.finished = answer, true
 	case Refused:
-		// Danger: a try whose answer was lost may be committed, so what refuses this one must refuse that one
-		// as well.
+		// An earlier attempt whose answer was lost may still be committed. The refusal is final only if it
+		// also applies to that attempt.
 		c.answer, c.finished = answer, !c.uncertain || answer.Conflict
 	case Unknown:
 		c.uncertain = c.uncertain || r.isChange()
@@ -92,5 +97,5 @@
 	return ""
 }
 
-// isChange tells whether a request changes anything.
+// isChange reports whether a request changes the configuration.
 func (r *Request) isChange() bool { return r.Op == OpSet || r.Op == OpRollback }
