--- a/fleet/config/budget.go
+++ b/fleet/config/budget.go
@@ -13,7 +13,7 @@
 const (
 	frontRate      = 1_200  // bytes a second; with frontBurst about 20,000 bytes in any ten seconds
 	frontBurst     = 8_000  // bytes
-	controlRate    = 40_000 // bytes a second; higher than a front's, because a control machine serves no requests
+	controlRate    = 40_000 // bytes a second; higher, because a control machine has no other work
 	controlBurst   = 80_000 // bytes
 	packetOverhead = 28     // bytes of the IPv4 and UDP headers
 	smallReserve   = 1_000  // bytes that sending a chunk must leave for small messages
--- a/fleet/config/document.go
+++ b/fleet/config/document.go
@@ -117,9 +117,9 @@
 // clone returns a copy that can be changed without changing d. The texts themselves are shared; they are
 // never written to.
 func (d *Document) clone() *Document {
-	twin := *d
-	twin.Texts = slices.Clone(d.Texts)
-	return &twin
+	c := *d
+	c.Texts = slices.Clone(d.Texts)
+	return &c
 }
 
 // Field numbers of an encoded document, of a text in it and of a stage.
--- a/fleet/config/fleet_test.go
+++ b/fleet/config/fleet_test.go
@@ -6,21 +6,22 @@
 	"testing"
 )
 
-// Bounds that the users have set.
+// Requirements of the users.
 const (
-	maxPropagation = 6 * Second
-	maxTrafficRate = 3000 // bytes a second, sent and received, in the worst ten seconds
-	warmupSeconds  = 20   // seconds after the world's start that are told apart
+	maxPropagation = 6 * Second // after which a change must be in force on all fronts
+	maxTrafficRate = 3000       // bytes a second of a front, sent and received, in its worst ten seconds
+	warmupSeconds  = 20         // seconds after the start that are not measured
 )
 
-// propagation gathers, for each change, how long after its commit each front had it in force.
+// propagation measures the time from the commit of each change until each front has it in force.
 type propagation struct {
-	committed []Time // by version
-	all, last []Time
-	late      int // fronts that were up all the while and did not have it within lastFront
+	committed []Time // time of the commit, by version
+	all       []Time // delay of each change on each front
+	last      []Time // largest delay of each change, by version
+	late      int    // fronts that were up all the time and did not have a change within maxPropagation
 }
 
-// trackPropagation notes each change from its commit on.
+// trackPropagation starts measuring.
 func trackPropagation(w *world) *propagation {
 	d := &propagation{committed: make([]Time, 1)}
 	reached := map[*machine]Version{}
@@ -36,6 +37,7 @@
 	return d
 }
 
+// commit commits a change and counts the fronts that do not have it in time.
 func (d *propagation) commit(w *world, scope Scope, text string, plan *Plan) Version {
 	d.committed = append(d.committed, w.now)
 	d.last = append(d.last, 0)
@@ -51,13 +53,13 @@
 	return v
 }
 
-// permille gives a part in a thousand of sorted spans, in milliseconds.
+// permille returns the given quantile of durations, in thousandths, as milliseconds.
 func permille(spans []Time, part int) Time {
 	slices.Sort(spans)
 	return spans[(len(spans)-1)*part/1000] / Millisecond
 }
 
-// trafficRates gives the fronts' worst ten seconds, in bytes a second: the median front's and the worst front's.
+// trafficRates returns the worst ten seconds of the median front and of the worst front, in bytes a second.
 func (w *world) trafficRates(from int) (median, most int64) {
 	var worst []int64
 	for _, m := range w.fronts {
@@ -67,7 +69,7 @@
 	return worst[len(worst)/2], worst[len(worst)-1]
 }
 
-// stopFor has machines go at once, and come back together after a while.
+// stopFor stops machines at once and starts them together after the given duration.
 func (w *world) stopFor(span Time, machines []*machine) {
 	for _, m := range machines {
 		m.stop()
@@ -83,6 +85,7 @@
 	})
 }
 
+// inZone returns the machines of a zone.
 func (w *world) inZone(zone string) (list []*machine) {
 	for _, m := range slices.Concat(w.controls, w.fronts) {
 		if m.zone == zone {
@@ -92,7 +95,7 @@
 	return list
 }
 
-// fullSize is how many fronts the largest plays have.
+// fullSize returns the number of fronts of the largest simulations.
 func fullSize() int {
 	if raceEnabled {
 		return 120
@@ -100,8 +103,12 @@
 	return 800
 }
 
+// longRun reports whether the long variants of the tests are requested.
 func longRun() bool { return os.Getenv("MICATRACK_LONG") != "" }
 
+// TestLargeFleetWithLossAndRestarts commits changes in a large fleet with 5 % message loss and slow fronts,
+// while fronts, a rack and a zone restart. Every change must reach all fronts in time and within the
+// traffic limit.
 func TestLargeFleetWithLossAndRestarts(t *testing.T) {
 	changes, restarts := 12, 3
 	if longRun() {
@@ -135,15 +142,15 @@
 		changes, permille(d.all, 500), permille(d.all, 990), permille(d.last, 1000), permille(d.last, 500))
 	t.Logf("worst ten seconds of a front: median %d B/s, most %d B/s; of control machine 0 %d B/s", median, most, w.controls[0].worstRate(warmupSeconds))
 	if d.late > 0 || permille(d.last, 1000) > maxPropagation/Millisecond {
-		t.Errorf("%d fronts later than %d ms", d.late, maxPropagation/Millisecond)
+		t.Errorf("%d fronts had a change later than %d ms", d.late, maxPropagation/Millisecond)
 	}
 	if most > maxTrafficRate {
-		t.Errorf("%d bytes a second", most)
+		t.Errorf("a front used %d bytes a second, at most %d allowed", most, maxTrafficRate)
 	}
 	w.reportFailures()
 }
 
-// TestAllFrontsStartAtOnce: nobody has a disk, so each needs the whole snapshot.
+// TestAllFrontsStartAtOnce restarts all fronts without a disk, so each one needs the whole document.
 func TestAllFrontsStartAtOnce(t *testing.T) {
 	w := newWorld(t, 9, 5, fullSize(), 6)
 	w.loss = 50
@@ -162,7 +169,7 @@
 	t.Logf("%d bytes, %d as carried: all %d have it %d ms after their start; worst ten seconds median %d B/s, most %d B/s",
 		len(text), payload.size(), len(w.fronts), took/Millisecond, median, most)
 	if took < 0 || most > maxTrafficRate {
-		t.Errorf("%d ms, %d B/s", took/Millisecond, most)
+		t.Errorf("all fronts had the version after %d ms, with at most %d B/s", took/Millisecond, most)
 	}
 	w.reportFailures()
 }
--- a/fleet/config/log.go
+++ b/fleet/config/log.go
@@ -223,9 +223,9 @@
 		return nil
 	}
 	d.Stage = &Stage{Change: text, Began: d.Version, Step: e.plan.nextStep(0), Plan: *e.plan}
-	whole := d.clone()
-	whole.put(text)
-	return whole.checkSize()
+	final := d.clone()
+	final.put(text)
+	return final.checkSize()
 }
 
 // advanceRollout moves the open roll-out to its next step.
--- a/fleet/config/log_test.go
+++ b/fleet/config/log_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// applyText applies a change to a log and gives the version.
+// applyText commits a new text of a scope in a log and returns the version.
 func applyText(t testing.TB, l *Log, scope Scope, text string, plan *Plan) Version {
 	t.Helper()
 	entry, err := l.Prepare(Change{l.Newest(), scope, []byte(text), "ana", "a test", 5, 0, plan}, nil)
@@ -24,6 +24,8 @@
 	return r.Version
 }
 
+// TestConcurrentWritersOneWins checks that of several changes made from the same version only the first one
+// is applied.
 func TestConcurrentWritersOneWins(t *testing.T) {
 	l := NewLog()
 	applyText(t, l, "settings", "one", nil)
@@ -46,7 +48,7 @@
 		t.Errorf("%s", text)
 	}
 	if r := l.Apply(entries[0]); !errors.Is(r.Err, ErrVersionConflict) {
-		t.Errorf("the same entry twice: %+v", r)
+		t.Errorf("entry applied twice: %+v", r)
 	}
 }
 
@@ -56,7 +58,7 @@
 		applyText(t, l, "settings", settings(20, k%20, k), nil)
 	}
 	if h := l.History(); len(h) != MaxHistory || h[0].Version != 700-MaxHistory+1 || h[0].Author != "ana" || h[0].At != 5 {
-		t.Errorf("%d, %+v", len(h), h[0])
+		t.Errorf("history has %d records, the first is %+v", len(h), h[0])
 	}
 	if _, err := l.PrepareRollback(Rollback{700, 100, "ana", "too old", 1}, nil); !errors.Is(err, ErrUnknownVersion) {
 		t.Errorf("%v", err)
@@ -72,21 +74,22 @@
 		t.Errorf("%s", text)
 	}
 	if len(l.Snapshot()) > MaxSnapshot {
-		t.Errorf("a snapshot of %d bytes", len(l.Snapshot()))
+		t.Errorf("snapshot has %d bytes", len(l.Snapshot()))
 	}
-	twin := NewLog()
-	if err := twin.Restore(l.Snapshot()); err != nil || !bytes.Equal(twin.Snapshot(), l.Snapshot()) {
+	restored := NewLog()
+	if err := restored.Restore(l.Snapshot()); err != nil || !bytes.Equal(restored.Snapshot(), l.Snapshot()) {
 		t.Errorf("%v", err)
 	}
-	if !twin.chain.hasDeltaFrom(400) || twin.chain.hasDeltaFrom(100) {
-		t.Error("steps of a restored log")
+	if !restored.chain.hasDeltaFrom(400) || restored.chain.hasDeltaFrom(100) {
+		t.Error("a restored log has the wrong deltas")
 	}
-	text, err := twin.chain.deltaFrom(400).apply(l.mustEncode(t, 400))
+	text, err := restored.chain.deltaFrom(400).apply(l.mustEncode(t, 400))
 	if err != nil || !bytes.Equal(text, l.chain.document) {
 		t.Errorf("%v", err)
 	}
 }
 
+// mustEncode returns the encoded document of a version.
 func (l *Log) mustEncode(t *testing.T, v Version) []byte {
 	d, err := l.DocumentAt(v)
 	if err != nil {
@@ -117,6 +120,8 @@
 	}
 }
 
+// TestDeltasCompose checks that a composed and encoded delta has the effect of its two parts, and that it
+// does not apply to another text.
 func TestDeltasCompose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.Map(rapid.SliceOfN(rapid.SampledFrom([]string{"0123456789abcdef", "class one\n", "x", "freshness 400\n"}), 0, 20),
@@ -131,11 +136,12 @@
 			t.Fatalf("%q, %v", got, err)
 		}
 		if got, err := read.apply(two); err == nil && !bytes.Equal(got, three) {
-			t.Fatalf("against another text: %q", got)
+			t.Fatalf("applied to another text: %q", got)
 		}
 	})
 }
 
+// TestCorruptDiskStartsWithoutVersion flips a bit in each byte of the persisted state.
 func TestCorruptDiskStartsWithoutVersion(t *testing.T) {
 	w := newWorld(t, 1, 1, 1, 1)
 	w.change("settings", settings(5, 0, 1), nil)
@@ -143,18 +149,18 @@
 	m := w.fronts[0]
 	kept := m.persisted
 	for k := range kept {
-		spoilt := bytes.Clone(kept)
-		spoilt[k] ^= 1
-		if a := NewAgent(w.now, AgentOptions{Fleet: "blue", Name: "x", Persisted: spoilt}, m); a.InForce() != 0 {
-			t.Fatalf("byte %d spoilt: version %d", k, a.InForce())
+		corrupt := bytes.Clone(kept)
+		corrupt[k] ^= 1
+		if a := NewAgent(w.now, AgentOptions{Fleet: "blue", Name: "x", Persisted: corrupt}, m); a.InForce() != 0 {
+			t.Fatalf("byte %d corrupt: version %d", k, a.InForce())
 		}
 	}
 	if a := NewAgent(w.now, AgentOptions{Fleet: "green", Name: "x", Persisted: kept}, m); a.InForce() != 0 {
-		t.Error("another fleet's disk")
+		t.Error("the persisted state of another fleet is used")
 	}
 }
 
-// FuzzBytes: whatever comes in, nothing panics, and what is read and written again is the same.
+// FuzzBytes checks that no input causes a panic, and that decoded input encodes to the same bytes again.
 func FuzzBytes(f *testing.F) {
 	l := NewLog()
 	applyText(f, l, "settings", settings(5, 0, 1), nil)
@@ -174,7 +180,7 @@
 		log := NewLog()
 		log.Apply(given)
 		if log.Restore(given) == nil && len(log.Snapshot()) > MaxSnapshot {
-			t.Error("a snapshot over its bound")
+			t.Error("snapshot exceeds its limit")
 		}
 		if d, err := ReadDocument(given); err == nil {
 			if again, err := ReadDocument(d.Append(nil)); err != nil || !bytes.Equal(again.Append(nil), d.Append(nil)) {
@@ -203,8 +209,8 @@
 	})
 }
 
-// BenchmarkFrontSecond is the processor time of one front in a second of a fleet of 800 in calm, network
-// included.
+// BenchmarkFrontSecond measures the processor time of one front for one second in an idle fleet of 800,
+// including the simulated network.
 func BenchmarkFrontSecond(b *testing.B) {
 	w := newWorld(b, 1, 5, 800, 6)
 	w.change("settings", settings(40, 0, 1), nil)
--- a/fleet/config/reports.go
+++ b/fleet/config/reports.go
@@ -17,7 +17,7 @@
 // reportEntry is the latest report of one front.
 type reportEntry struct {
 	report
-	heardAt Time // when the front made the report, as far as its age tells
+	heardAt Time // when the front made the report, derived from its age
 	dirty   bool // not yet acknowledged by the upstream
 }
 
--- a/fleet/config/scenarios_test.go
+++ b/fleet/config/scenarios_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// newLossyFleet gives a fleet of 150 fronts in two regions and six zones, with 5 % loss, that has a first version.
+// newLossyFleet returns a fleet of 150 fronts in two regions and six zones, with 5 % message loss, in which
+// a first version is in force everywhere.
 func newLossyFleet(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed, 5, 150, 6)
 	w.loss = 50
@@ -21,6 +22,7 @@
 	return w
 }
 
+// mustReach fails the test if a version is not in force on all counted fronts within span.
 func (w *world) mustReach(v Version, span Time, count func(m *machine) bool) {
 	w.t.Helper()
 	if w.runUntil(span, func() bool { return w.allInForce(v, count) }) < 0 {
@@ -28,49 +30,53 @@
 	}
 }
 
-// currentSecond gives the world's second, as machine.traffic counts.
+// currentSecond returns the current index in machine.traffic.
 func (w *world) currentSecond() int { return int(w.now/Second) - 1000 }
 
+// checkTraffic fails the test if a front exceeded the traffic limit.
 func (w *world) checkTraffic(from int) {
 	w.t.Helper()
 	median, most := w.trafficRates(from)
 	w.t.Logf("worst ten seconds of a front: median %d B/s, most %d B/s", median, most)
 	if most > maxTrafficRate {
-		w.t.Errorf("%d bytes a second", most)
+		w.t.Errorf("a front used %d bytes a second, at most %d allowed", most, maxTrafficRate)
 	}
 }
 
+// TestZoneAndRegionPartitionAndRecovery cuts off a zone, then a region. The other fronts must receive
+// changes in time, the fronts cut off must stop acting on guarded settings, and all must catch up
+// afterwards within the traffic limit.
 func TestZoneAndRegionPartitionAndRecovery(t *testing.T) {
 	w := newLossyFleet(t, 3)
-	lost := map[string]func(m *machine) bool{
+	partitions := map[string]func(m *machine) bool{
 		"zone":   func(m *machine) bool { return m.zone == "zone4" },
 		"region": func(m *machine) bool { return m.region == 1 },
 	}
 	for _, name := range []string{"zone", "region"} {
-		away := lost[name]
-		here := func(m *machine) bool { return !away(m) }
+		isCutOff := partitions[name]
+		isConnected := func(m *machine) bool { return !isCutOff(m) }
 		d := trackPropagation(w)
 		d.committed = make([]Time, w.leader().log.Newest()+1)
 		d.last = make([]Time, len(d.committed)-1)
-		v := w.change("settings", settings(40, 1, 7), nil) // on its way when the cut comes
+		v := w.change("settings", settings(40, 1, 7), nil) // still spreading when the partition begins
 		d.committed, d.last = append(d.committed, w.now), append(d.last, 0)
 		w.run(200 * Millisecond)
-		w.cut = func(x, y *machine) bool { return away(x) != away(y) }
+		w.cut = func(x, y *machine) bool { return isCutOff(x) != isCutOff(y) }
 		w.updateLeader()
-		w.mustReach(v, maxPropagation, here)
-		hour := Time(3600)
+		w.mustReach(v, maxPropagation, isConnected)
+		outage := Time(3600)
 		if !longRun() {
-			hour = 300
+			outage = 300
 		}
 		for k := range 30 {
 			v = d.commit(w, "settings", settings(40, k%40, 100+k), nil)
-			w.run(hour * Second / 30)
-			w.mustReach(v, maxPropagation, here)
+			w.run(outage * Second / 30)
+			w.mustReach(v, maxPropagation, isConnected)
 		}
-		w.run(ProofTTL + 2*guardMargin) // of the last change
+		w.run(ProofTTL + 2*guardMargin) // after the last change
 		behind, guarded := 0, 0
 		for _, m := range w.fronts {
-			if away(m) && m.agent.InForce() < v {
+			if isCutOff(m) && m.agent.InForce() < v {
 				behind++
 				if m.agent.ProofFresh(w.now) {
 					guarded++
@@ -78,7 +84,7 @@
 			}
 		}
 		status := w.leader().control.Status(w.now)
-		t.Logf("%s cut off for %d s: %d fronts behind, %d silent; version %d", name, hour, behind, status.Silent, v)
+		t.Logf("%s cut off for %d s: %d fronts behind, %d silent; version %d", name, outage, behind, status.Silent, v)
 		if guarded > 0 || behind == 0 || status.Silent != behind || !status.Everywhere {
 			t.Errorf("%d of %d fronts cut off act on guarded settings; silent %d, everywhere %v", guarded, behind, status.Silent, status.Everywhere)
 		}
@@ -96,6 +102,7 @@
 	w.reportFailures()
 }
 
+// TestBurstOfChanges commits 100 changes in three seconds.
 func TestBurstOfChanges(t *testing.T) {
 	w := newLossyFleet(t, 4)
 	from := w.currentSecond()
@@ -108,13 +115,14 @@
 	w.run(2 * maxPropagation)
 	t.Logf("100 changes in 3 s: at the last front after %d ms, 99 of 100 after %d ms", permille(d.last, 1000), permille(d.all, 990))
 	if d.late > 0 {
-		t.Errorf("%d fronts late", d.late)
+		t.Errorf("%d fronts had a change too late", d.late)
 	}
 	w.checkTraffic(from)
 	w.reportFailures()
 }
 
-// TestHardCase4LargestChange: nothing of it can be compressed, so it takes as long as the budget says.
+// TestLargestChange commits the largest allowed change, of random bytes. It cannot be compressed, so the
+// traffic budget decides how long it takes.
 func TestLargestChange(t *testing.T) {
 	w := newLossyFleet(t, 5)
 	random := rand.New(rand.NewSource(1))
@@ -131,7 +139,7 @@
 	w.reportFailures()
 }
 
-// TestHardCase4ChangesOfAllSizes: up to which size a change is in force everywhere in time.
+// TestPropagationByChangeSize checks that changes of up to FastChangeBytes are in force everywhere in time.
 func TestPropagationByChangeSize(t *testing.T) {
 	w := newWorld(t, 6, 5, fullSize(), 6)
 	w.loss = 50
@@ -151,6 +159,8 @@
 	w.reportFailures()
 }
 
+// TestInvalidChangeIsRejected checks that a change which its check rejects, or which exceeds a limit, is
+// not prepared, and that the error names the key in one line.
 func TestInvalidChangeIsRejected(t *testing.T) {
 	l := NewLog()
 	check := func(scope Scope, text []byte) error {
@@ -165,30 +175,33 @@
 		t.Errorf("%v", err)
 	}
 	if l.Newest() != 0 {
-		t.Error("a faulty change is in force")
+		t.Error("an invalid change is in force")
 	}
 	c.Text = []byte("good")
-	for name, spoil := range map[string]func(c *Change){
+	for name, modify := range map[string]func(c *Change){
 		"text":   func(c *Change) { c.Text = make([]byte, MaxTextBytes+1) },
 		"reason": func(c *Change) { c.Reason = strings.Repeat("x", MaxReason+1) },
 	} {
 		x := c
-		spoil(&x)
+		modify(&x)
 		if _, err := l.Prepare(x, check); !errors.Is(err, ErrTooLarge) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
+// TestAllControlMachinesDown restarts fronts while all control machines are down. Fronts must continue with
+// the version that they have, get it from other fronts if they have no disk, and not act on guarded
+// settings.
 func TestAllControlMachinesDown(t *testing.T) {
 	w := newLossyFleet(t, 5)
 	v := w.leader().log.Newest()
 	for _, m := range w.controls {
 		m.down = true
 	}
-	hour := Time(3600)
+	outage := Time(3600)
 	if !longRun() {
-		hour = 300
+		outage = 300
 	}
 	from := w.currentSecond()
 	for k := range 30 {
@@ -199,19 +212,19 @@
 		w.run(Second)
 		w.start(m)
 		if s := m.agent.Status(w.now); s.ProofFresh || (s.InForce == v) == m.diskless || (s.State == StateEmpty) != m.diskless {
-			t.Errorf("%s starts alone, without a disk %v: %+v", m.name, m.diskless, s)
+			t.Errorf("%s after a start in isolation, diskless %v: %+v", m.name, m.diskless, s)
 		}
 		w.run(Second)
 		w.cut = nil
-		w.run(hour*Second/30 - 2*Second)
+		w.run(outage*Second/30 - 2*Second)
 		if w.runUntil(maxPropagation, func() bool { return m.agent.InForce() == v }) < 0 {
-			t.Errorf("%s restarts into version %d", m.name, m.agent.InForce())
+			t.Errorf("%s has version %d after a restart", m.name, m.agent.InForce())
 		}
 	}
 	for _, m := range w.fronts {
 		s := m.agent.Status(w.now)
 		known := m.startedAt < 1000*Second+2*Second
-		if s.InForce != v || s.ProofFresh || known && (s.Age < (hour-30)*Second || s.Age > (hour+200)*Second) {
+		if s.InForce != v || s.ProofFresh || known && (s.Age < (outage-30)*Second || s.Age > (outage+200)*Second) {
 			t.Errorf("%s: %+v", m.name, s)
 		}
 	}
@@ -223,10 +236,13 @@
 	back := w.now
 	v = w.change("settings", settings(40, 3, 9), nil)
 	w.mustReach(v, 10*Second, nil)
-	t.Logf("control machines back after %d s: the next change in force everywhere after %d ms", hour, (w.now-back)/Millisecond)
+	t.Logf("control machines back after %d s: the next change in force everywhere after %d ms", outage, (w.now-back)/Millisecond)
 	w.reportFailures()
 }
 
+// TestForgedAndCorruptMessages sends fronts random bytes, messages of another fleet and forged chunks, and
+// corrupts and duplicates messages. All changes must still arrive, and the invalid messages must be
+// counted.
 func TestForgedAndCorruptMessages(t *testing.T) {
 	w := newLossyFleet(t, 6)
 	w.corrupted, w.duplicated = 100, 100
@@ -236,31 +252,34 @@
 		for _, m := range w.fronts {
 			noise := make([]byte, random.Intn(2*MaxMessage))
 			random.Read(noise)
-			m.receive("stranger", noise)
+			m.receive("unknown", noise)
 			m.receive(m.agent.Status(w.now).Upstream, foreign)
 			forged := &message{kind: chunk, payload: payloadID{0, 1 << 40, 7}, total: maxChunks, index: 3, data: make([]byte, chunkSize)}
-			m.receive("stranger", forged.encode(nil, "blue"))
+			m.receive("unknown", forged.encode(nil, "blue"))
 		}
 		v := w.change("settings", settings(40, k, 900+k), nil)
 		w.mustReach(v, 2*maxPropagation, nil)
 	}
 	for _, m := range w.fronts {
 		if m.agent.Status(w.now).Dropped < 20 {
-			t.Errorf("%s dropped %d", m.name, m.agent.Status(w.now).Dropped)
+			t.Errorf("%s dropped only %d messages", m.name, m.agent.Status(w.now).Dropped)
 		}
 	}
 	w.reportFailures()
 }
 
+// TestOlderProgramOnHalfOfFronts commits a change that needs program 2 while half of the fronts run program
+// 1. Those must keep the previous version and report the newer one as held. It also checks that unknown
+// fields of a newer program are ignored.
 func TestOlderProgramOnHalfOfFronts(t *testing.T) {
 	newer := appendPart(appendNumber(nil, messageVersion, MessageVersion), 99, []byte("of a newer program"))
 	newer = appendNumber(newer, messageKindOf, uint64(offer))
 	newer = binary.LittleEndian.AppendUint32(newer, checksum("blue", newer))
 	if m, err := readMessage(newer, "blue"); err != nil || m.kind != offer {
-		t.Errorf("a field of a newer program: %v", err)
+		t.Errorf("message with an unknown field: %v", err)
 	}
 	w := newLossyFleet(t, 7)
-	old := func(m *machine) bool { return m.program == 1 }
+	isOld := func(m *machine) bool { return m.program == 1 }
 	for k, m := range w.fronts {
 		if k%2 == 0 {
 			m.program = 2
@@ -276,7 +295,7 @@
 		t.Fatal(err)
 	}
 	w.commit(entry)
-	w.mustReach(before+1, maxPropagation, func(m *machine) bool { return !old(m) })
+	w.mustReach(before+1, maxPropagation, func(m *machine) bool { return !isOld(m) })
 	w.run(3 * Second)
 	status := leader.control.Status(w.now)
 	held := 0
@@ -286,10 +305,10 @@
 		}
 	}
 	if held != 75 || status.Everywhere || status.Lowest != before {
-		t.Errorf("%d fronts are told as held, lowest %d, everywhere %v", held, status.Lowest, status.Everywhere)
+		t.Errorf("%d fronts are reported as held, want 75; lowest %d, everywhere %v", held, status.Lowest, status.Everywhere)
 	}
 	for _, m := range w.fronts {
-		if old(m) {
+		if isOld(m) {
 			m.program = 2
 			m.stop()
 			w.start(m)
@@ -299,6 +318,8 @@
 	w.reportFailures()
 }
 
+// TestRolloutAbortsOnRefusal checks that a roll-out goes through its steps, and that it is aborted if a
+// front of a step refuses the change, before the change reaches other fronts.
 func TestRolloutAbortsOnRefusal(t *testing.T) {
 	w := newLossyFleet(t, 8)
 	plan := &Plan{Front: "front3", Zone: "zone2", Soak: 2 * Second, Limit: 30 * Second}
@@ -312,20 +333,20 @@
 	}
 	began := w.change("settings", settings(40, 4, 8888), plan)
 	if took := w.runUntil(60*Second, func() bool { return w.leader().log.Document().Stage == nil }); took < 4*Second {
-		t.Errorf("a roll-out of two steps with 2 s each took %d ms", took/Millisecond)
+		t.Errorf("roll-out with two steps of at least 2 s took %d ms", took/Millisecond)
 	}
 	if text, _ := w.leader().log.Document().Text("settings"); !strings.Contains(string(text), "8888") || w.leader().log.Newest() != began+2 {
-		t.Errorf("version %d", w.leader().log.Newest())
+		t.Errorf("version %d does not contain the change after its roll-out", w.leader().log.Newest())
 	}
 	w.run(maxPropagation)
 	for k, name := range []string{"front", "zone"} {
 		where := []int{3, 8}[k]
 		w.fronts[where].refuse = refuse
-		acted := map[string]bool{}
+		affectedZones := map[string]bool{}
 		w.onInForce = func(m *machine, v Version) {
 			for _, s := range w.committed[v].TextsFor(m.name, m.zone) {
 				if strings.Contains(string(s.Text), "9999") {
-					acted[m.zone] = true
+					affectedZones[m.zone] = true
 				}
 			}
 		}
@@ -336,7 +357,7 @@
 			t.Errorf("%s: %+v", name, r)
 		}
 		w.mustReach(w.leader().log.Newest(), maxPropagation, nil)
-		for zone := range acted {
+		for zone := range affectedZones {
 			if zone != "zone2" && zone != "zone3" {
 				t.Errorf("%s: fronts of %s acted on a refused change", name, zone)
 			}
@@ -346,6 +367,7 @@
 	w.reportFailures()
 }
 
+// TestTooManyPeersAndChildren checks the limits on peers, children and reports.
 func TestTooManyPeersAndChildren(t *testing.T) {
 	var p Peers
 	for k := range 3 * MaxFronts {
--- a/fleet/config/seeds_test.go
+++ b/fleet/config/seeds_test.go
@@ -9,17 +9,19 @@
 	"testing"
 )
 
-// history of one seed: a small fleet, faults and changes drawn from the seed, then whole again.
+// randomRun is a run of a small fleet with random faults and changes, which ends with all faults repaired.
 type randomRun struct {
 	*world
 	zones  int
-	values int
+	values int // number of texts made, so that each one is different
 }
 
+// below returns a random number from 0 to n-1.
 func (d *randomRun) below(n int) int { return int(d.source.Below(int64(n))) }
 
-// TestSeeds: no change that was accepted is lost or out of order, no refused one appears, no front goes back
-// or acts on two versions, and nothing is said to be in force everywhere that is not.
+// TestRandomFaults checks in random runs that no accepted change is lost or reordered, no rejected change
+// appears, no front goes back to an older version or acts on two versions, and no version is reported to be
+// in force everywhere before it is.
 func TestRandomFaults(t *testing.T) {
 	seeds := 150
 	if raceEnabled {
@@ -35,14 +37,16 @@
 	}
 }
 
+// TestDeterministic checks that two runs of the same seed send the same messages.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
 		if one, two := runSeed(t, seed), runSeed(t, seed); one.digest.Sum64() != two.digest.Sum64() {
-			t.Errorf("seed %d: two plays differ", seed)
+			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
 }
 
+// runSeed performs the run of a seed.
 func runSeed(t *testing.T, seed uint64) *randomRun {
 	d := &randomRun{world: newWorld(t, seed, 3, 0, 3), zones: 3}
 	for k := range 6 + d.below(8) {
@@ -64,13 +68,13 @@
 	}
 	d.heal()
 	if d.runUntil(60*Second, d.converged) < 0 {
-		d.failf("not whole a minute after all was mended: %+v", d.leader().control.Status(d.now))
+		d.failf("not converged a minute after all faults were repaired: %+v", d.leader().control.Status(d.now))
 	}
 	d.checkLogs()
 	return d
 }
 
-// step does one thing that changes something.
+// step makes one random change or causes or repairs one random fault.
 func (d *randomRun) step() {
 	switch d.below(12) {
 	case 0, 1, 2, 3:
@@ -106,6 +110,7 @@
 	}
 }
 
+// restoreControls restarts the control machines that are down from their snapshots.
 func (d *randomRun) restoreControls() {
 	for _, m := range d.controls {
 		if !m.down {
@@ -121,6 +126,7 @@
 	d.updateLeader()
 }
 
+// heal repairs all faults except for some message loss, and commits a last change.
 func (d *randomRun) heal() {
 	d.cut, d.loss, d.duplicated, d.corrupted = nil, 50, 0, 0
 	d.restoreControls()
@@ -132,9 +138,10 @@
 	d.concurrentWriters(1)
 }
 
-// concurrentWriters has several change the same version at once: one wins.
+// concurrentWriters commits several changes of the same version, of which exactly the first must be
+// accepted.
 func (d *randomRun) concurrentWriters(count int) {
-	d.updateLeader() // as a leader of the log does, it applies all entries before it proposes one
+	d.updateLeader() // a real leader also applies all entries before it proposes one
 	leader := d.leader()
 	if leader == nil {
 		return
@@ -167,6 +174,7 @@
 	}
 }
 
+// rollback commits a rollback to a random version.
 func (d *randomRun) rollback() {
 	leader := d.leader()
 	if leader == nil || leader.log.Newest() < 2 {
@@ -182,11 +190,12 @@
 	d.commit(entry)
 	old, _ := leader.log.DocumentAt(r.To)
 	if !bytes.Equal((&Document{Texts: old.Texts}).Append(nil), (&Document{Texts: leader.log.Document().Texts}).Append(nil)) {
-		d.failf("rollback to %d has other texts", r.To)
+		d.failf("the texts after a rollback to %d are not those of that version", r.To)
 	}
 }
 
-// converged tells whether every front has the newest version, no roll-out is open, and the leader says so.
+// converged reports whether every front has the newest version and may act on guarded settings, no roll-out
+// is open, and the leader's status says so.
 func (d *randomRun) converged() bool {
 	s := d.leader().control.Status(d.now)
 	for _, m := range d.fronts {
@@ -197,7 +206,7 @@
 	return s.Everywhere && s.Stage == nil && s.InForce == len(d.fronts) && s.Lowest == s.Newest
 }
 
-// checkInvariants holds what is said against what is so.
+// checkInvariants compares the leader's status and the fronts' guards with the actual state.
 func (d *randomRun) checkInvariants() {
 	if leader := d.leader(); leader != nil {
 		d.checkStatus(leader.control.Status(d.now))
@@ -210,17 +219,19 @@
 	}
 }
 
+// checkStatus checks that a version reported to be in force everywhere is.
 func (d *randomRun) checkStatus(s Status) {
 	for _, f := range s.Fronts {
 		m := d.machines[f.Name]
 		older := !m.down && m.agent.InForce() > 0 && m.agent.InForce() < s.Newest
 		if s.Everywhere && older && (f.State != StateSilent || m.agent.ProofFresh(d.now)) {
-			d.failf("%s has version %d, and %d is said to be in force everywhere", m.name, m.agent.InForce(), s.Newest)
+			d.failf("%s has version %d, but %d is reported to be in force everywhere", m.name, m.agent.InForce(), s.Newest)
 		}
 	}
 }
 
-// judgeLogs: all control machines have the same state, and its history is what was accepted, in order.
+// checkLogs checks that all control machines have the same state, and that the history contains exactly the
+// accepted changes in order.
 func (d *randomRun) checkLogs() {
 	d.run(2 * Second)
 	accepted := Version(0)
@@ -229,21 +240,21 @@
 			accepted++
 		}
 		if r.Version != accepted {
-			d.failf("entry %d leads to version %d in place of %d", k, r.Version, accepted)
+			d.failf("entry %d produced version %d instead of %d", k, r.Version, accepted)
 		}
 	}
 	want := d.controls[0].log
 	for _, m := range d.controls {
 		if !bytes.Equal(m.log.Snapshot(), want.Snapshot()) || m.log.Newest() != accepted {
-			d.failf("%s has another state", m.name)
+			d.failf("%s has a different state", m.name)
 		}
 	}
 	for k, r := range want.History() {
 		if r.Version != Version(k+1) {
-			d.failf("history has version %d in place %d", r.Version, k)
+			d.failf("history has version %d at index %d", r.Version, k)
 		}
 		if at, err := want.DocumentAt(r.Version); err != nil || !bytes.Equal((&Document{Texts: at.Texts}).Append(nil), (&Document{Texts: d.committed[r.Version].Texts}).Append(nil)) {
-			d.failf("version %d in history is another: %v", r.Version, err)
+			d.failf("version %d in the history differs from the committed one: %v", r.Version, err)
 		}
 	}
 }
--- a/fleet/config/world_test.go
+++ b/fleet/config/world_test.go
@@ -11,16 +11,18 @@
 	"micatrack/internal/random"
 )
 
-// A world of fronts and control machines on one virtual clock, over links that delay, lose, double and spoil.
-// In place of consensus, which package lease has, stands a list of entries that a majority of control
-// machines extends.
+// This file simulates fronts and control machines on one virtual clock, with links that delay, lose, duplicate
+// and corrupt messages. Consensus, which package lease implements, is replaced by a list of entries that a
+// majority of control machines can append to.
 
+// event is a scheduled call.
 type event struct {
 	at    Time
-	order uint64
+	order uint64 // order of scheduling, for events at the same time
 	do    func()
 }
 
+// events is a heap of events, earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -38,51 +40,54 @@
 // machine is a front or a control machine.
 type machine struct {
 	w              *world
-	name, zone     string
+	name           string
+	zone           string
 	region         int
 	down           bool
-	incarnation    uint64
-	startedAt      Time // when this life began
-	extraDelay     Time // by which it handles each message later
-	wakeAt         Time
-	agent          *Agent
-	control        *Distributor
-	log            *Log
-	appliedEntries int // entries
-	persisted      []byte
-	inForce        Version // over all lives, as far as it has a disk
-	inForceAt      Time
+	incarnation    uint64       // number of starts
+	startedAt      Time         // when this incarnation started
+	extraDelay     Time         // added to the delivery time of each message
+	wakeAt         Time         // when the next tick is scheduled
+	agent          *Agent       // nil on a control machine
+	control        *Distributor // nil on a front
+	log            *Log         // nil on a front
+	appliedEntries int          // number of entries applied to log
+	persisted      []byte       // state of the agent on disk
+	inForce        Version      // over all incarnations, if the machine has a disk
+	inForceAt      Time         // when inForce was put in force
 	diskless       bool
 	program        uint32
-	refuse         func(texts []ScopeText) error
-	traffic        []int64 // bytes sent and received in each second
-	messages       int
+	refuse         func(texts []ScopeText) error // if not nil, the front's own check of texts
+	traffic        []int64                       // bytes sent and received in each second
+	messages       int                           // messages sent
 }
 
+// world is a simulated fleet.
 type world struct {
 	t                testing.TB
 	now              Time
 	queue            events
-	order            uint64
+	order            uint64 // number of events scheduled
 	source           random.Source
-	machines         map[string]*machine
+	machines         map[string]*machine // by name, which is also the address
 	controls         []*machine
 	fronts           []*machine
-	entries          [][]byte
-	committed        map[Version]*Document // what each version says
-	results          []Result
+	entries          [][]byte              // replicated log
+	committed        map[Version]*Document // content of each version
+	results          []Result              // result of each entry
 	committedAt      map[Version]Time
-	loss             int64 // of a thousand
-	duplicated       int64
-	corrupted        int64
+	loss             int64 // messages lost, in thousandths
+	duplicated       int64 // messages duplicated, in thousandths
+	corrupted        int64 // messages corrupted, in thousandths
 	sameRegionDelay  Time
 	crossRegionDelay Time
-	cut              func(x, y *machine) bool
+	cut              func(x, y *machine) bool // whether messages from x to y are lost; nil: none are
 	failures         []string
-	digest           xxhash.Digest // of all that was sent
+	digest           xxhash.Digest // digest of all messages sent
 	onInForce        func(m *machine, v Version)
 }
 
+// newWorld returns a fleet in which all machines have started.
 func newWorld(t testing.TB, seed uint64, controls, fronts, zones int) *world {
 	w := &world{t: t, now: 1000 * Second, source: random.New(seed), machines: map[string]*machine{},
 		committed: map[Version]*Document{}, committedAt: map[Version]Time{}, sameRegionDelay: 30 * Millisecond, crossRegionDelay: 80 * Millisecond}
@@ -104,17 +109,20 @@
 	return w
 }
 
+// add creates a machine that is not started. The zones are spread over two regions.
 func (w *world) add(name string, zone, zones int) *machine {
 	m := &machine{w: w, name: name, zone: fmt.Sprint("zone", zone), region: zone * 2 / max(zones, 2), program: 1}
 	w.machines[name] = m
 	return m
 }
 
+// at schedules a call.
 func (w *world) at(at Time, do func()) {
 	w.order++
 	heap.Push(&w.queue, event{at, w.order, do})
 }
 
+// run advances the clock and runs the events that are due.
 func (w *world) run(span Time) {
 	for until := w.now + span; ; {
 		if len(w.queue) == 0 || w.queue[0].at > until {
@@ -127,7 +135,7 @@
 	}
 }
 
-// runUntil runs until something holds, for a span at most, and tells for how long it ran; -1: it never held.
+// runUntil runs until holds returns true, for span at most. It returns the time that took, or -1.
 func (w *world) runUntil(span Time, holds func() bool) Time {
 	for begin := w.now; w.now-begin <= span; w.run(10 * Millisecond) {
 		if holds() {
@@ -137,6 +145,7 @@
 	return -1
 }
 
+// peers returns all machines.
 func (w *world) peers() Peers {
 	var p Peers
 	for _, m := range w.controls {
@@ -148,6 +157,7 @@
 	return p
 }
 
+// start starts or restarts a machine.
 func (w *world) start(m *machine) {
 	m.down = false
 	m.incarnation++
@@ -162,7 +172,7 @@
 			kept, m.inForce = nil, 0
 		}
 		if len(kept) > 0 {
-			m.inForce-- // the same version is put in force again
+			m.inForce-- // the agent puts the persisted version in force again
 		}
 		m.agent = NewAgent(w.now, AgentOptions{Fleet: "blue", Name: m.name, Zone: m.zone, Incarnation: m.incarnation,
 			Program: m.program, Seed: seed, Persisted: kept}, m)
@@ -174,7 +184,7 @@
 
 func (m *machine) stop() { m.down = true }
 
-// wake has the machine's next beat come.
+// wake schedules the machine's next tick.
 func (m *machine) wake() {
 	next := Time(0)
 	if m.agent != nil {
@@ -200,6 +210,7 @@
 	})
 }
 
+// count adds a message to the traffic of the current second.
 func (m *machine) count(size int) {
 	second := int(m.w.now/Second) - 1000
 	for len(m.traffic) <= second {
@@ -208,7 +219,8 @@
 	m.traffic[second] += int64(size + packetOverhead)
 }
 
-// worstRate gives the most bytes a second over ten seconds in a row, from a second on.
+// worstRate returns the highest average rate over ten consecutive seconds, in bytes a second, beginning
+// with the second numbered from.
 func (m *machine) worstRate(from int) int64 {
 	most, sum := int64(0), int64(0)
 	for k := from; k < len(m.traffic); k++ {
@@ -228,7 +240,7 @@
 	w.digest.WriteString(m.name + addr)
 	w.digest.Write(message)
 	if len(message) > MaxMessage {
-		w.failf("%s: a message of %d bytes", m.name, len(message))
+		w.failf("%s sent a message of %d bytes", m.name, len(message))
 	}
 	copies := 1
 	if w.duplicated > 0 && w.source.Below(1000) < w.duplicated {
@@ -239,6 +251,7 @@
 	}
 }
 
+// deliver delivers a message, unless it is lost.
 func (w *world) deliver(from, to *machine, message []byte) {
 	if to == nil || w.source.Below(1000) < w.loss || w.cut != nil && w.cut(from, to) {
 		return
@@ -254,6 +267,7 @@
 	w.at(w.now+delay, func() { to.receive(from.name, message) })
 }
 
+// receive passes a message to the machine if it is up.
 func (m *machine) receive(from string, message []byte) {
 	if m.down {
 		return
@@ -277,26 +291,27 @@
 	return nil
 }
 
+// failf records a failed invariant; only the first ten are kept.
 func (w *world) failf(format string, values ...any) {
 	if len(w.failures) < 10 {
 		w.failures = append(w.failures, fmt.Sprintf(format, values...))
 	}
 }
 
-// PutInForce is the rule that all tests hold: a version goes forward only, and is the very one that the log
-// has.
+// PutInForce checks the invariant of all tests: the version in force only increases, and its texts are
+// exactly those that were committed.
 func (m *machine) PutInForce(v Version, texts []ScopeText) error {
 	w := m.w
 	if v <= m.inForce {
-		w.failf("%s: version %d after %d", m.name, v, m.inForce)
+		w.failf("%s: version %d put in force after version %d", m.name, v, m.inForce)
 	}
 	want := w.committed[v]
 	if want == nil {
-		w.failf("%s: version %d was never committed", m.name, v)
+		w.failf("%s: version %d put in force but never committed", m.name, v)
 		return nil
 	}
 	if !bytes.Equal((&Document{Texts: texts}).Append(nil), (&Document{Texts: want.TextsFor(m.name, m.zone)}).Append(nil)) {
-		w.failf("%s: version %d is not what was committed", m.name, v)
+		w.failf("%s: texts of version %d differ from those committed", m.name, v)
 	}
 	if m.refuse != nil {
 		if err := m.refuse(texts); err != nil {
@@ -310,7 +325,7 @@
 	return nil
 }
 
-// leader gives the first control machine that reaches a majority, nil if there is none.
+// leader returns the first control machine that reaches a majority, or nil.
 func (w *world) leader() *machine {
 	for _, m := range w.controls {
 		reached := 0
@@ -326,9 +341,10 @@
 	return nil
 }
 
+// reaches reports whether messages from x to y are not cut off.
 func (w *world) reaches(x, y *machine) bool { return w.cut == nil || !w.cut(x, y) }
 
-// updateLeader tells control machines who leads, and has them catch up.
+// updateLeader tells the control machines who leads. Those that the leader reaches catch up with the log.
 func (w *world) updateLeader() {
 	leader := w.leader()
 	for _, m := range w.controls {
@@ -345,7 +361,7 @@
 	}
 }
 
-// confirmLeadership stands for the read by quorum.
+// confirmLeadership simulates the quorum read of the leader, once a second.
 func (w *world) confirmLeadership() {
 	w.updateLeader()
 	if leader := w.leader(); leader != nil {
@@ -354,7 +370,8 @@
 	w.at(w.now+Second, w.confirmLeadership)
 }
 
-// commit adds an entry; each control machine applies it after a delay of its own.
+// commit appends an entry to the log and reports whether there is a leader. Each control machine applies
+// the entry after a random delay.
 func (w *world) commit(entry []byte) bool {
 	leader := w.leader()
 	if leader == nil {
@@ -372,6 +389,7 @@
 	return true
 }
 
+// catchUp applies the entries that a control machine has not applied.
 func (w *world) catchUp(m *machine) {
 	for ; m.appliedEntries < len(w.entries); m.appliedEntries++ {
 		result := m.log.Apply(w.entries[m.appliedEntries])
@@ -382,14 +400,14 @@
 				w.committed[result.Version], _ = ReadDocument(m.log.Document().Append(nil))
 			}
 		} else if w.results[m.appliedEntries].Version != result.Version {
-			w.failf("%s: entry %d leads to another version", m.name, m.appliedEntries)
+			w.failf("%s: entry %d produced a different version than on another machine", m.name, m.appliedEntries)
 		}
 	}
 	m.control.LogChanged(w.now)
 	m.wake()
 }
 
-// change commits a change of a scope to a text, and gives its version.
+// change commits a new text of a scope and returns the version; 0 if there is no leader.
 func (w *world) change(scope Scope, text string, plan *Plan) Version {
 	leader := w.leader()
 	if leader == nil {
@@ -404,7 +422,8 @@
 	return leader.log.Newest()
 }
 
-// allInForce tells whether all live fronts that a test counts have a version in force.
+// allInForce reports whether all running fronts, or those that count selects, have at least the given
+// version in force.
 func (w *world) allInForce(v Version, count func(m *machine) bool) bool {
 	for _, m := range w.fronts {
 		if !m.down && (count == nil || count(m)) && m.agent.InForce() < v {
@@ -414,14 +433,16 @@
 	return true
 }
 
+// reportFailures fails the test if an invariant failed.
 func (w *world) reportFailures() {
 	w.t.Helper()
-	for _, trouble := range w.failures {
-		w.t.Error(trouble)
+	for _, failure := range w.failures {
+		w.t.Error(failure)
 	}
 }
 
-// settings gives a text of many keys, with one that a change alters.
+// settings returns a text with the given number of keys, in which the key numbered changed has the given
+// value.
 func settings(keys, changed, value int) string {
 	var text bytes.Buffer
 	text.WriteString("{\n")
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -14,6 +14,7 @@
 	"micatrack/internal/peers"
 )
 
+// sampleVersion returns a stored version for tests.
 func sampleVersion() *StoredVersion {
 	discovery := config.ScopeText{Scope: DiscoveryScope, Text: []byte(`{"discovery":"127.0.0.1:8500"}`)}
 	settings := config.ScopeText{Scope: SettingsScope, Text: []byte(`{}`)}
@@ -23,6 +24,7 @@
 	}
 }
 
+// sameVersion reports whether two stored versions are equal, as far as the tests need.
 func sameVersion(a, b *StoredVersion) bool {
 	x, _ := a.Text(SettingsScope)
 	y, _ := b.Text(SettingsScope)
@@ -30,15 +32,15 @@
 	return moments && a.Version == b.Version && bytes.Equal(a.AgentState, b.AgentState) && bytes.Equal(x, y)
 }
 
-// TestDiskWholeOrNot: a file is read as it was written, or not at all: cut at each byte, with any bit
-// flipped, missing.
+// TestLoadRejectsCorruptFiles checks that a file is either read as it was written or rejected: truncated at
+// each byte, with random bits flipped, and missing.
 func TestLoadRejectsCorruptFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "configuration")
 	if s, err := Load(path); err != nil || s.Version != 0 {
 		t.Errorf("no file: %+v, %v", s, err)
 	}
 	want := sampleVersion()
-	for range 2 { // the second takes the place of the first
+	for range 2 { // the second file replaces the first
 		if err := Save(path, want); err != nil {
 			t.Fatal(err)
 		}
@@ -47,34 +49,35 @@
 		}
 	}
 	if left, _ := os.ReadDir(filepath.Dir(path)); len(left) != 1 {
-		t.Errorf("%v are left", left)
+		t.Errorf("files after saving: %v", left)
 	}
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range len(whole) + 2000 {
-		spoilt := bytes.Clone(whole[:min(n, len(whole))])
+		corrupt := bytes.Clone(whole[:min(n, len(whole))])
 		if n >= len(whole) {
-			spoilt[chance.IntN(len(spoilt))] ^= 1 << chance.IntN(8)
+			corrupt[rng.IntN(len(corrupt))] ^= 1 << rng.IntN(8)
 		}
-		if bytes.Equal(spoilt, whole) {
+		if bytes.Equal(corrupt, whole) {
 			continue
 		}
-		if s, err := decode(spoilt); err == nil {
-			t.Fatalf("a spoilt file is read: %+v", s)
+		if s, err := decode(corrupt); err == nil {
+			t.Fatalf("corrupt file was read: %+v", s)
 		}
 	}
-	// A crash between the writing and the renaming leaves a part, which counts for nothing.
+	// A crash before the rename leaves a temporary file, which must be ignored.
 	if err := os.WriteFile(path+".part", whole[:len(whole)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := Load(path); err != nil || !sameVersion(&got, want) {
-		t.Errorf("beside a part: %+v, %v", got, err)
+		t.Errorf("with a temporary file present: %+v, %v", got, err)
 	}
 }
 
+// TestCheckNamesTheKey checks that errors name the offending key in one line.
 func TestCheckNamesTheKey(t *testing.T) {
 	for _, c := range []struct {
 		scope config.Scope
@@ -97,45 +100,46 @@
 			t.Errorf("%s %s: %v", c.scope, c.text, err)
 		}
 	}
-	sound := map[config.Scope]string{DiscoveryScope: `{"discovery":"127.0.0.1:1"}`, OperatorsScope: `{"door":{"on":true}}`}
-	for scope, text := range sound {
+	valid := map[config.Scope]string{DiscoveryScope: `{"discovery":"127.0.0.1:1"}`, OperatorsScope: `{"door":{"on":true}}`}
+	for scope, text := range valid {
 		if err := Check(scope, []byte(text)); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestServiceOutcomes: what control machines say in a row, and what the command may say then. After a try whose
-// answer was lost, nothing may be called refused but what can no more be committed.
+// TestServiceOutcomes checks the outcome of a command for sequences of answers from control machines. After
+// an attempt whose answer was lost, a change may be reported as refused only if that attempt cannot be
+// committed any more.
 func TestServiceOutcomes(t *testing.T) {
-	down, lost := peers.ErrUnreachable, peers.ErrNoAnswer
-	done, elsewhere := Answer{Outcome: Done, Version: 3}, Answer{Outcome: NotHandled}
-	faulty, conflict := Answer{Outcome: Refused, Error: "faulty"}, Answer{Outcome: Refused, Conflict: true}
+	unreachable, lost := peers.ErrUnreachable, peers.ErrNoAnswer
+	done, notHandled := Answer{Outcome: Done, Version: 3}, Answer{Outcome: NotHandled}
+	invalid, conflict := Answer{Outcome: Refused, Error: "faulty"}, Answer{Outcome: Refused, Conflict: true}
 	for name, c := range map[string]struct {
-		told []any // by one machine after the other, the last again and again
-		op   Op
-		want Outcome
+		answers []any // in order of the requests; the last one repeats
+		op      Op
+		want    Outcome
 	}{
-		"all gone":                      {[]any{down}, OpSet, NotHandled},
-		"done":                          {[]any{down, elsewhere, done}, OpSet, Done},
-		"faulty at once":                {[]any{faulty}, OpSet, Refused},
-		"lost, then done":               {[]any{lost, done}, OpSet, Done},
-		"lost, then all gone":           {[]any{lost, down}, OpSet, Unknown},
-		"lost, then faulty":             {[]any{lost, faulty}, OpSet, Unknown},
-		"lost, then another was first":  {[]any{lost, conflict}, OpSet, Refused},
-		"not known, then all gone":      {[]any{Answer{Outcome: Unknown}, down}, OpSet, Unknown},
-		"a question's answer was lost":  {[]any{lost, down}, OpGet, NotHandled},
-		"an answer that cannot be read": {[]any{"?", down}, OpRollback, Unknown},
+		"all unreachable":                   {[]any{unreachable}, OpSet, NotHandled},
+		"done":                              {[]any{unreachable, notHandled, done}, OpSet, Done},
+		"invalid at once":                   {[]any{invalid}, OpSet, Refused},
+		"answer lost, then done":            {[]any{lost, done}, OpSet, Done},
+		"answer lost, then all unreachable": {[]any{lost, unreachable}, OpSet, Unknown},
+		"answer lost, then invalid":         {[]any{lost, invalid}, OpSet, Unknown},
+		"answer lost, then conflict":        {[]any{lost, conflict}, OpSet, Refused},
+		"unknown, then all unreachable":     {[]any{Answer{Outcome: Unknown}, unreachable}, OpSet, Unknown},
+		"answer to a query lost":            {[]any{lost, unreachable}, OpGet, NotHandled},
+		"unreadable answer":                 {[]any{"?", unreachable}, OpRollback, Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := -1
 			s := Service{Ask: func(string, []byte) ([]byte, error) {
-				n = min(n+1, len(c.told)-1)
-				if err, is := c.told[n].(error); is {
+				n = min(n+1, len(c.answers)-1)
+				if err, is := c.answers[n].(error); is {
 					return nil, err
 				}
-				return json.Marshal(c.told[n])
+				return json.Marshal(c.answers[n])
 			}}
 			r := Request{Op: c.op, Scope: "discovery", Text: `{"discovery":"127.0.0.1:1"}`}
 			got := s.Do([]string{"a", "b", "c"}, r)
@@ -145,7 +149,7 @@
 		})
 	}
 	none := Service{Ask: func(string, []byte) ([]byte, error) {
-		t.Error("a faulty change is asked for")
+		t.Error("an invalid change was sent")
 		return nil, errors.New("")
 	}}
 	if a := none.Do([]string{"a"}, Request{Op: OpSet, Scope: "plans", Text: "{}"}); a.Outcome != Refused {
