--- a/internal/configuration/control.go
+++ b/internal/configuration/control.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	confirmEvery = config.Second // between two reads by quorum of a leader
-	never        = math.MaxInt64
+	confirmInterval = config.Second // between two quorum reads of a leader
+	never           = math.MaxInt64 // no time
 )
 
-// Voter is what a control machine's part needs of the voter; lease.Voter is one.
+// Voter is the part of lease.Voter that Control uses.
 type Voter interface {
 	Propose(now Time, entry []byte, done func(err error)) error
 	Confirm(now Time, done func())
 	Ready() bool
 }
 
-// ControlOptions is what a control machine's part is started with.
+// ControlOptions are the parameters of a new Control.
 type ControlOptions struct {
-	Fleet, Name   string
-	Addr          string // where other machines reach this one
-	Seed          uint64
-	ServeVersions bool // versions are served; without it they are only kept, as the log tells them
+	Fleet         string // name of the fleet
+	Name          string // name of this machine
+	Addr          string // address at which other machines reach this one
+	Seed          uint64 // seed of the distributor's random source
+	ServeVersions bool   // whether to serve versions; otherwise they are only stored as the log delivers them
 }
 
-// Control is the control machine's part: the second state machine in the voters' log, and what hands its
-// versions out. It is the voter's goroutine's.
+// Control is the configuration part of a control machine: the second state machine on the voters' log, and
+// the distributor of its versions. Only the voter's goroutine may use it.
 type Control struct {
-	options     ControlOptions
-	log         *slog.Logger
-	peers       *peers.Transport
-	state       *config.Log
-	distributor *config.Distributor // nil: versions are only kept
-	voter       Voter
-	now         Time
-	toFront     func(body []byte) // hands a message to this machine's front
-	confirmAt   Time
-	due         Time // when the distributor has something to do
+	options        ControlOptions
+	log            *slog.Logger
+	peers          *peers.Transport
+	state          *config.Log
+	distributor    *config.Distributor // nil: versions are only stored
+	voter          Voter
+	now            Time
+	deliverToFront func(body []byte) // delivers a message to this machine's front
+	confirmAt      Time              // when leadership is confirmed next
+	tickAt         Time              // when the distributor's Tick is due
 }
 
-// NewControl starts a control machine's part, empty: the voter fills it.
+// NewControl returns a Control without any version; the voter restores or replays its state.
 func NewControl(o ControlOptions, p *peers.Transport, log *slog.Logger) *Control {
 	return &Control{options: o, log: log, peers: p, state: config.NewLog()}
 }
 
-// Owns tells whether an entry of the voters' log is a change of the configuration.
+// Owns reports whether an entry of the voters' log is a change of the configuration.
 func (c *Control) Owns(entry []byte) bool { return config.IsEntry(entry) }
 
-// MaxEntry gives the bound of an entry's bytes.
+// MaxEntry returns the maximum size of an entry in bytes.
 func (c *Control) MaxEntry() int { return config.MaxEntry }
 
-// Apply takes a committed entry.
+// Apply applies a committed entry.
 func (c *Control) Apply(entry []byte) error {
 	r := c.state.Apply(entry)
 	if c.options.ServeVersions && r.Err == nil {
@@ -66,19 +67,20 @@
 	return r.Err
 }
 
-// Snapshot gives all versions that are known.
+// Snapshot returns the encoded state with all known versions.
 func (c *Control) Snapshot() []byte { return c.state.Snapshot() }
 
-// Check tells whether Restore would take a snapshot.
+// Check returns the error that Restore would return for a snapshot, without changing the state.
 func (c *Control) Check(snapshot []byte) error { return config.NewLog().Restore(snapshot) }
 
-// Restore replaces all versions.
+// Restore replaces the state with that of a snapshot.
 func (c *Control) Restore(snapshot []byte) error { return c.state.Restore(snapshot) }
 
-// SetFrontDelivery has messages for this machine's front handed to it. To be called before the voter starts.
-func (c *Control) SetFrontDelivery(hand func(body []byte)) { c.toFront = hand }
+// SetFrontDelivery sets the function that delivers messages to this machine's front. Call it before the
+// voter starts.
+func (c *Control) SetFrontDelivery(deliver func(body []byte)) { c.deliverToFront = deliver }
 
-// Started begins to hand versions out.
+// Started starts the distributor once the voter runs.
 func (c *Control) Started(now Time, v *lease.Voter) {
 	c.now, c.voter = now, v
 	if c.options.ServeVersions {
@@ -89,60 +91,62 @@
 	}
 }
 
-// Send sends a distributor's message.
+// Send sends a message of the distributor. It implements config.DistributorHost, as do Propose,
+// UnixMilliseconds and Log.
 func (c *Control) Send(addr string, message []byte) {
 	target, control := strings.CutPrefix(addr, controlPrefix)
-	if !control && target == c.options.Addr && c.toFront != nil {
-		c.toFront(message)
+	if !control && target == c.options.Addr && c.deliverToFront != nil {
+		c.deliverToFront(message)
 		return
 	}
 	m := peers.ConfigMessage{ToControl: control, FromControl: true, Addr: c.options.Addr, Body: message}
 	c.peers.SendConfig(target, &m)
 }
 
-// Propose proposes an entry of the distributor's own: the next step of a roll-out, or its end.
+// Propose proposes an entry of the distributor: the next step of a roll-out, or its end.
 func (c *Control) Propose(entry []byte) error {
 	return c.voter.Propose(c.now, entry, func(err error) {
 		if err != nil {
-			c.log.Warn("roll-out: the entry did not count", "error", err.Error())
+			c.log.Warn("roll-out: entry was rejected", "error", err.Error())
 		}
 	})
 }
 
-// UnixMilliseconds gives the wall clock.
+// UnixMilliseconds returns the wall clock time.
 func (c *Control) UnixMilliseconds() int64 { return time.Now().UnixMilli() }
 
-// Log tells what the distributor has to say.
+// Log logs a message of the distributor.
 func (c *Control) Log(text string) { c.log.Info(text) }
 
-// Receive takes a message of another machine in.
+// Receive handles a message from another machine.
 func (c *Control) Receive(now Time, m peers.ConfigMessage) {
 	from := m.Addr
 	if m.FromControl {
 		from = controlPrefix + m.Addr
 	}
-	c.take(now, from, m.Body)
+	c.receive(now, from, m.Body)
 }
 
-func (c *Control) take(now Time, from string, body []byte) {
+// receive passes a message to the distributor and updates the time of the next tick.
+func (c *Control) receive(now Time, from string, body []byte) {
 	if c.now = now; c.distributor != nil {
 		c.distributor.Receive(now, from, body)
-		c.due = min(c.due, c.distributor.Next())
+		c.tickAt = min(c.tickAt, c.distributor.Next())
 	}
 }
 
-// ReceiveFromFront takes a message of this machine's front in.
-func (c *Control) ReceiveFromFront(now Time, body []byte) { c.take(now, c.options.Addr, body) }
+// ReceiveFromFront handles a message from this machine's front.
+func (c *Control) ReceiveFromFront(now Time, body []byte) { c.receive(now, c.options.Addr, body) }
 
-// SetPeers tells who is there.
-func (c *Control) SetPeers(now Time, there config.Peers) {
+// SetPeers sets the known machines.
+func (c *Control) SetPeers(now Time, members config.Peers) {
 	if c.now = now; c.distributor != nil {
-		c.distributor.SetPeers(now, controlled(there))
+		c.distributor.SetPeers(now, withControlPrefix(members))
 	}
 }
 
-// Tick does what is due, after each step of the voter. leader is where the voter that leads is reached, if
-// that is known.
+// Tick performs the work that is due. Call it after each step of the voter. leader is the address of the
+// leading voter, if known.
 func (c *Control) Tick(now Time, leader string) {
 	if c.now = now; c.distributor == nil {
 		return
@@ -153,41 +157,42 @@
 	c.distributor.SetLeader(now, c.voter.Ready(), leader)
 	c.distributor.LogChanged(now)
 	if c.voter.Ready() && now >= c.confirmAt {
-		c.confirmAt = now + confirmEvery
+		c.confirmAt = now + confirmInterval
 		c.voter.Confirm(now, func() { c.distributor.LeadershipConfirmed(c.now, now) })
 	}
-	if now >= c.due {
+	if now >= c.tickAt {
 		c.distributor.Tick(now)
-		c.due = c.distributor.Next()
+		c.tickAt = c.distributor.Next()
 	}
-	c.due = min(c.due, c.distributor.Next())
+	c.tickAt = min(c.tickAt, c.distributor.Next())
 }
 
-// Next is when Beat must be called again.
+// Next returns when Tick must be called next.
 func (c *Control) Next() Time {
 	if c.distributor == nil {
 		return never
 	}
-	return c.due
+	return c.tickAt
 }
 
-// committed tells whether the version that follows a base is this very request's.
-// Danger: a request that is asked again, since its answer was lost, would be told that another's change was
-// first.
-func (c *Control) committed(r *Request) bool {
+// alreadyCommitted reports whether the version after the request's base was created by this same request.
+// Without this check, a request that is retried because its answer was lost would be refused with a
+// conflict with itself.
+func (c *Control) alreadyCommitted(r *Request) bool {
 	for _, record := range c.state.History() {
 		if record.Version != config.Version(r.Base)+1 {
 			continue
 		}
-		mine := record.Author == r.Author && record.Reason == r.Reason && record.At == r.At && r.At > 0
-		alike := record.Kind.String() == r.kind() && string(record.Scope) == r.Scope && uint64(record.To) == r.To
-		return mine && alike && c.says(record.Version, r)
+		sameOrigin := record.Author == r.Author && record.Reason == r.Reason && record.At == r.At && r.At > 0
+		sameChange := record.Kind.String() == r.historyKind() && string(record.Scope) == r.Scope && uint64(record.To) == r.To
+		return sameOrigin && sameChange && c.textMatches(record.Version, r)
 	}
 	return false
 }
 
-// says tells whether a version holds what a request sets, as far as history tells.
-func (c *Control) says(version config.Version, r *Request) bool {
+// textMatches reports whether a version contains the text that the request sets, as far as the history can
+// tell.
+func (c *Control) textMatches(version config.Version, r *Request) bool {
 	if r.Op != OpSet || r.Rollout != nil {
 		return true
 	}
@@ -199,29 +204,30 @@
 	return string(text) == r.Text
 }
 
-// Handle works on a request; tell is called once with the answer, by the voter's goroutine.
-func (c *Control) Handle(now Time, r *Request, leader string, tell func(a Answer)) {
+// Handle processes a request. It calls respond once with the answer, in the voter's goroutine.
+func (c *Control) Handle(now Time, r *Request, leader string, respond func(a Answer)) {
 	c.now = now
 	if c.distributor == nil {
-		tell(Answer{Outcome: Refused, Error: "this control machine does not serve the configuration"})
+		respond(Answer{Outcome: Refused, Error: "this control machine does not serve the configuration"})
 		return
 	}
 	if !c.voter.Ready() {
-		tell(Answer{Outcome: NotHandled, Leader: leader})
+		respond(Answer{Outcome: NotHandled, Leader: leader})
 		return
 	}
 	switch r.Op {
 	case OpGet, OpHistory, OpStatus:
-		tell(c.read(now, r))
+		respond(c.query(now, r))
 	case OpSet, OpRollback:
-		c.change(now, r, tell)
+		c.change(now, r, respond)
 	default:
-		tell(Answer{Outcome: Refused, Error: "an unknown request"})
+		respond(Answer{Outcome: Refused, Error: "unknown operation"})
 	}
 }
 
-// read answers from what this machine has applied, as the leader.
-func (c *Control) read(now Time, r *Request) Answer {
+// query answers a request that changes nothing from the entries applied here. This machine must be the
+// leader.
+func (c *Control) query(now Time, r *Request) Answer {
 	a := Answer{Outcome: Done, Version: uint64(c.state.Newest())}
 	switch r.Op {
 	case OpGet:
@@ -229,53 +235,54 @@
 		if r.Version != 0 && r.Version != a.Version {
 			var err error
 			if d, err = c.state.DocumentAt(config.Version(r.Version)); err != nil {
-				return refused(err)
+				return refusedAnswer(err)
 			}
 		}
-		a.Version, a.Texts, a.Stage = uint64(d.Version), shown(d.Texts), stageOf(d.Stage)
+		a.Version, a.Texts, a.Stage = uint64(d.Version), scopeTexts(d.Texts), rolloutOf(d.Stage)
 	case OpHistory:
 		a.History = c.state.History()
 	case OpStatus:
 		s := c.distributor.Status(now)
-		a.Status, a.Stage = &s, stageOf(s.Stage)
+		a.Status, a.Stage = &s, rolloutOf(s.Stage)
 	}
 	return a
 }
 
-// change proposes a change, unless it is the version that follows its base already.
-func (c *Control) change(now Time, r *Request, tell func(a Answer)) {
+// change proposes a change, unless this same request was already committed.
+func (c *Control) change(now Time, r *Request, respond func(a Answer)) {
 	base := config.Version(r.Base)
 	switch {
-	case c.committed(r):
-		tell(Answer{Outcome: Done, Version: r.Base + 1})
+	case c.alreadyCommitted(r):
+		respond(Answer{Outcome: Done, Version: r.Base + 1})
 		return
 	case base > c.state.Newest():
-		// Danger: a leader that was deposed and does not know it yet would refuse what others have accepted.
-		tell(Answer{Outcome: NotHandled})
+		// A deposed leader that does not know it yet must not refuse a change that is based on a version
+		// which a newer leader has committed.
+		respond(Answer{Outcome: NotHandled})
 		return
 	}
 	entry, err := c.prepare(r)
 	if err != nil {
-		tell(refused(err))
+		respond(refusedAnswer(err))
 		return
 	}
 	version := c.state.Newest() + 1
 	err = c.voter.Propose(now, entry, func(err error) {
 		switch {
-		case err == nil, c.committed(r): // an earlier try of it was before this one
-			tell(Answer{Outcome: Done, Version: uint64(version)})
+		case err == nil, c.alreadyCommitted(r): // an earlier attempt of the same request was committed first
+			respond(Answer{Outcome: Done, Version: uint64(version)})
 		case err == lease.ErrOutcomeUnknown:
-			tell(Answer{Outcome: Unknown, Error: err.Error()})
+			respond(Answer{Outcome: Unknown, Error: err.Error()})
 		default:
-			tell(refused(err))
+			respond(refusedAnswer(err))
 		}
 	})
 	if err != nil {
-		tell(Answer{Outcome: NotHandled, Error: err.Error()})
+		respond(Answer{Outcome: NotHandled, Error: err.Error()})
 	}
 }
 
-// prepare checks a request's change and gives its entry.
+// prepare checks the change of a request and returns the entry to propose.
 func (c *Control) prepare(r *Request) ([]byte, error) {
 	if r.Op == OpRollback {
 		return c.state.PrepareRollback(r.rollback(), Check)
@@ -283,8 +290,8 @@
 	return c.state.Prepare(r.change(), Check)
 }
 
-// stageOf gives an open roll-out, as it is shown.
-func stageOf(s *config.Stage) *Rollout {
+// rolloutOf returns an open roll-out in the form of an Answer, or nil if there is none.
+func rolloutOf(s *config.Stage) *Rollout {
 	if s == nil {
 		return nil
 	}
