--- a/internal/bolt/bolt_test.go
+++ b/internal/bolt/bolt_test.go
@@ -147,12 +147,12 @@
 	}
 }
 
-func run(query string, extra func(dst []byte) []byte) []byte {
+func runMessage(query string, extra func(dst []byte) []byte) []byte {
 	b := AppendString(AppendStruct(nil, byte(Run), 3), query)
 	return extra(AppendMap(b, 0))
 }
 
-func termsOf(dst []byte) []byte {
+func appendTestExtra(dst []byte) []byte {
 	dst = AppendMap(dst, 5)
 	dst = AppendList(AppendString(dst, "bookmarks"), 3)
 	dst = AppendString(dst, AppendBookmark(nil, 3, 500))
@@ -168,7 +168,7 @@
 }
 
 func TestRequests(t *testing.T) {
-	r, err := ReadRequest(run("MATCH (n) RETURN n", termsOf))
+	r, err := ReadRequest(runMessage("MATCH (n) RETURN n", appendTestExtra))
 	if err != nil || r.Type != Run || string(r.Query) != "MATCH (n) RETURN n" || !r.Extra.ReadOnly || r.Extra.Timeout != 250 {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -183,12 +183,16 @@
 			return AppendPair(AppendMap(AppendString(AppendMap(b, 1), "tx_metadata"), 1), "c", "x")
 		},
 		"no group": func(b []byte) []byte {
-			return bytes.Replace(termsOf(b), []byte("\x82db\x813"), []byte("\x82db\x81x"), 1)
+			return bytes.Replace(appendTestExtra(b), []byte("\x82db\x813"), []byte("\x82db\x81x"), 1)
+		},
+		"no bookmark": func(b []byte) []byte {
+			return bytes.Replace(appendTestExtra(b), []byte("mt1:3:500"), []byte("mt2:3:500"), 1)
+		},
+		"no position": func(b []byte) []byte {
+			return bytes.Replace(appendTestExtra(b), []byte("mt1:3:500"), []byte("mt1:3:-50"), 1)
 		},
-		"no bookmark": func(b []byte) []byte { return bytes.Replace(termsOf(b), []byte("mt1:3:500"), []byte("mt2:3:500"), 1) },
-		"no position": func(b []byte) []byte { return bytes.Replace(termsOf(b), []byte("mt1:3:500"), []byte("mt1:3:-50"), 1) },
 	} {
-		r, err := ReadRequest(run("RETURN 1", extra))
+		r, err := ReadRequest(runMessage("RETURN 1", extra))
 		if _, err2 := r.Extra.ParseRequest(); err != nil || err2 == nil {
 			t.Errorf("%s: %v, %v", name, err, err2)
 		}
@@ -199,10 +203,10 @@
 		"too few fields":  {0xb1, 0x10, 0x80},
 		"bytes behind":    {0xb0, 0x12, 0x00},
 		"n is 0":          {0xb1, 0x3f, 0xa1, 0x81, 'n', 0},
-		"mode is x":       run("", func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "mode", "x") }),
+		"mode is x":       runMessage("", func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "mode", "x") }),
 		"parameters":      {0xb3, 0x10, 0x80, 0x90, 0xa0},
 		"a lying map":     {0xb1, 0x11, 0xda, 0x7f, 0xff, 0xff, 0xff},
-		"negative time":   run("", func(b []byte) []byte { return AppendInt(AppendString(AppendMap(b, 1), "tx_timeout"), -1) }),
+		"negative time":   runMessage("", func(b []byte) []byte { return AppendInt(AppendString(AppendMap(b, 1), "tx_timeout"), -1) }),
 		"nothing at all":  {},
 		"unknown request": {0xb0, 0x55},
 	} {
@@ -212,7 +216,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	var rd Reader
 	rd.MaxSize = 1 << 16
 	read := func(b []byte) Response {
@@ -294,7 +298,7 @@
 // FuzzParsers: no input makes a parser give more than came, or what it gave before more came.
 func FuzzParsers(f *testing.F) {
 	f.Add(proposals(MakeVersion(5, 4)))
-	f.Add(AppendRaw(nil, run("MATCH (n) RETURN n", termsOf)))
+	f.Add(AppendRaw(nil, runMessage("MATCH (n) RETURN n", appendTestExtra)))
 	f.Add(AppendFailure(nil, MakeVersion(5, 8), NoThreadsAvailable, "text"))
 	f.Add(append([]byte{0, 0, 0, 1, 0xb1}, 0, 2, 0x3f, 0xa0, 0, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -328,7 +332,7 @@
 }
 
 func BenchmarkMessage(b *testing.B) {
-	whole := AppendRaw(nil, run("MATCH (n) RETURN n", termsOf))
+	whole := AppendRaw(nil, runMessage("MATCH (n) RETURN n", appendTestExtra))
 	r := Reader{MaxSize: 1 << 16}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/bolt/chunk.go
+++ b/internal/bolt/chunk.go
@@ -12,8 +12,8 @@
 const Magic = 0x6060B017
 
 var (
-	errMagic = errors.New("no Bolt handshake")
-	errLong  = errors.New("message is longer than allowed")
+	errNoHandshake    = errors.New("no Bolt handshake")
+	errMessageTooLong = errors.New("message is longer than allowed")
 )
 
 // Manifest is the proposal by which a client asks for the list of versions instead of naming some.
@@ -28,8 +28,8 @@
 func (v Version) Major() int { return int(v & 0xff) }
 func (v Version) Minor() int { return int(v >> 8 & 0xff) }
 
-// back is how many minor versions below its own a proposal means as well.
-func (v Version) back() int { return int(v >> 16 & 0xff) }
+// minorRange is how many minor versions below its own a proposal means as well.
+func (v Version) minorRange() int { return int(v >> 16 & 0xff) }
 
 // Spoken is what this package speaks, the best first.
 var SupportedVersions = []Version{MakeVersion(5, 8), MakeVersion(5, 7), MakeVersion(5, 6), MakeVersion(5, 5), MakeVersion(5, 4), MakeVersion(5, 3), MakeVersion(5, 2), MakeVersion(5, 1), MakeVersion(5, 0), MakeVersion(4, 4)}
@@ -40,7 +40,7 @@
 func Handshake(buf []byte) (v Version, size int, err error) {
 	for i := range min(len(buf), 4) {
 		if buf[i] != byte(uint32(Magic)>>(24-8*i)) {
-			return 0, 0, errMagic
+			return 0, 0, errNoHandshake
 		}
 	}
 	if len(buf) < 20 {
@@ -52,7 +52,7 @@
 			return Manifest, 20, nil
 		}
 		for _, s := range SupportedVersions {
-			if s.Major() == p.Major() && s.Minor() <= p.Minor() && s.Minor() >= p.Minor()-p.back() {
+			if s.Major() == p.Major() && s.Minor() <= p.Minor() && s.Minor() >= p.Minor()-p.minorRange() {
 				return s, 20, nil
 			}
 		}
@@ -104,53 +104,53 @@
 // Reader finds messages in a stream of chunks. It remembers how far it has looked, so that chunks of one byte do not
 // make it look again at all that came before.
 type Reader struct {
-	MaxSize int // bytes of a message with its headers
-	at      int // bytes of the present message that were looked at, with their headers
-	got     int // bytes of its body among them
-	parts   int
-	whole   []byte // the body, once it stands in more than one chunk
+	MaxSize  int // bytes of a message with its headers
+	scanned  int // bytes of the present message that were looked at, with their headers
+	bodySize int // bytes of its body among them
+	chunks   int
+	joined   []byte // the body, once it stands in more than one chunk
 }
 
 // Next takes the next message off the front of buf, which holds all that came and was not taken yet: its body and the
 // size of it with its headers, 0 if more is needed. Chunks that mean nothing are taken with an empty body. The
 // body is good until the next call.
 func (r *Reader) Next(buf []byte) (body []byte, size int, err error) {
-	for len(buf) >= r.at+2 {
-		n := int(binary.BigEndian.Uint16(buf[r.at:]))
+	for len(buf) >= r.scanned+2 {
+		n := int(binary.BigEndian.Uint16(buf[r.scanned:]))
 		if n == 0 {
-			size = r.at + 2
+			size = r.scanned + 2
 			switch {
-			case r.parts == 1:
-				body = buf[2 : 2+r.got]
-			case r.parts > 1:
-				body = r.whole
+			case r.chunks == 1:
+				body = buf[2 : 2+r.bodySize]
+			case r.chunks > 1:
+				body = r.joined
 			}
-			r.at, r.got, r.parts = 0, 0, 0
+			r.scanned, r.bodySize, r.chunks = 0, 0, 0
 			return body, size, nil
 		}
-		if r.at+2+n+2 > r.MaxSize { // Danger: to chunks of one byte come two of header, and all must fit the ring
-			return nil, 0, errLong
+		if r.scanned+2+n+2 > r.MaxSize { // Danger: to chunks of one byte come two of header, and all must fit the ring
+			return nil, 0, errMessageTooLong
 		}
-		if len(buf) < r.at+2+n {
+		if len(buf) < r.scanned+2+n {
 			return nil, 0, nil
 		}
-		if r.parts == 1 { // what was one chunk so far
-			r.whole = append(r.whole[:0], buf[2:2+r.got]...)
+		if r.chunks == 1 { // what was one chunk so far
+			r.joined = append(r.joined[:0], buf[2:2+r.bodySize]...)
 		}
-		if r.parts > 0 {
-			r.whole = append(r.whole, buf[r.at+2:r.at+2+n]...)
+		if r.chunks > 0 {
+			r.joined = append(r.joined, buf[r.scanned+2:r.scanned+2+n]...)
 		}
-		r.parts++
-		r.got += n
-		r.at += 2 + n
+		r.chunks++
+		r.bodySize += n
+		r.scanned += 2 + n
 	}
 	return nil, 0, nil
 }
 
 // Free gives back what a long message has left behind.
-func (r *Reader) Free() { r.whole = nil }
+func (r *Reader) Free() { r.joined = nil }
 
-const mostChunk = 0xffff
+const maxChunkSize = 0xffff
 
 // BeginMessage starts a message on dst; End, given what Begin gave, puts its chunk headers in.
 func BeginMessage(dst []byte) ([]byte, int) { return append(dst, 0, 0), len(dst) }
@@ -158,19 +158,19 @@
 // EndMessage ends the message that starts at at. One longer than a chunk is cut into several.
 func EndMessage(dst []byte, at int) []byte {
 	n := len(dst) - at - 2
-	if n <= mostChunk {
+	if n <= maxChunkSize {
 		binary.BigEndian.PutUint16(dst[at:], uint16(n))
 		return append(dst, 0, 0)
 	}
-	more := (n - 1) / mostChunk // headers beside the first
+	more := (n - 1) / maxChunkSize // headers beside the first
 	dst = append(dst, make([]byte, 2*more)...)
 	for k := more; k > 0; k-- { // from the last chunk on, each moved up by the headers before it
-		from := at + 2 + k*mostChunk
-		part := min(n-k*mostChunk, mostChunk)
+		from := at + 2 + k*maxChunkSize
+		part := min(n-k*maxChunkSize, maxChunkSize)
 		copy(dst[from+2*k:from+2*k+part], dst[from:from+part])
 		binary.BigEndian.PutUint16(dst[from+2*k-2:], uint16(part))
 	}
-	binary.BigEndian.PutUint16(dst[at:], mostChunk)
+	binary.BigEndian.PutUint16(dst[at:], maxChunkSize)
 	return append(dst, 0, 0)
 }
 
--- a/internal/bolt/dialogue_test.go
+++ b/internal/bolt/dialogue_test.go
@@ -10,7 +10,7 @@
 
 func init() { flag.Set("rapid.seed", "20261201") }
 
-func ready(t interface{ Fatalf(string, ...any) }) *Dialogue {
+func newReadyDialogue(t interface{ Fatalf(string, ...any) }) *Dialogue {
 	d := NewDialogue(MakeVersion(5, 4))
 	for _, w := range []MessageType{Hello, Logon} {
 		if a := d.Request(Request{Type: w}, 1); a != Reply {
@@ -22,7 +22,7 @@
 }
 
 func TestDialogue(t *testing.T) {
-	d := ready(t)
+	d := newReadyDialogue(t)
 	if a := d.Request(Request{Type: Commit}, 1); a != Reject {
 		t.Errorf("COMMIT without a transaction: %d", a)
 	}
@@ -112,10 +112,10 @@
 func TestDialogueAgainstStateMachine(t *testing.T) {
 	done := 0
 	rapid.Check(t, func(t *rapid.T) {
-		d := ready(t)
+		d := newReadyDialogue(t)
 		store, open := Ready, 0 // the store's own view
 		asked, answers := 0, 0
-		owed := []asked1{}
+		owed := []modelMessage{}
 		for _, op := range rapid.SliceOfN(rapid.IntRange(0, 1<<12), 100, 400).Draw(t, "ops") {
 			switch {
 			case op%4 < 2: // the client asks
@@ -137,7 +137,7 @@
 					for _, o := range owed { // as the store will see it
 						s, n = o.after(s, n, o.all)
 					}
-					m := asked1{w, d.queue[d.sent].all}
+					m := modelMessage{w, d.queue[d.sent].all}
 					if carried, _ := s.Accepts(MakeVersion(5, 4), w); !carried {
 						t.Fatalf("%v is passed on to a store in state %d", w, s)
 					}
@@ -146,8 +146,8 @@
 				}
 			case len(owed) > 0: // the store answers
 				w, ok := d.Awaiting()
-				if !ok || w != owed[0].w {
-					t.Fatalf("the answer to %v is taken for one to %v", owed[0].w, w)
+				if !ok || w != owed[0].messageType {
+					t.Fatalf("the answer to %v is taken for one to %v", owed[0].messageType, w)
 				}
 				more := (w == Pull || w == Discard) && !owed[0].all && op&1024 != 0
 				store, open = owed[0].after(store, open, !more)
@@ -174,14 +174,14 @@
 	}
 }
 
-// asked1 is what the model's store was passed on.
-type asked1 struct {
-	w   MessageType
-	all bool
+// modelMessage is what the model's store was passed on.
+type modelMessage struct {
+	messageType MessageType
+	all         bool
 }
 
-func (a asked1) after(s State, open int, whole bool) (State, int) {
-	switch a.w {
+func (a modelMessage) after(s State, open int, whole bool) (State, int) {
+	switch a.messageType {
 	case Run:
 		open++
 	case Pull, Discard:
@@ -189,7 +189,7 @@
 			open = max(open-1, 0)
 		}
 	}
-	return s.After(a.w, true, !whole, open), open
+	return s.After(a.messageType, true, !whole, open), open
 }
 
 func TestSummaries(t *testing.T) {
--- a/internal/bolt/message.go
+++ b/internal/bolt/message.go
@@ -63,13 +63,13 @@
 	ReadOnly  bool   // access mode "r"
 	Database  []byte
 	Metadata  []byte // packed map; nil: none
-	packed    []byte // all of it
+	raw       []byte // all of it
 }
 
-var errFields = errors.New("a message with another number of fields")
+var errFieldCount = errors.New("a message with another number of fields")
 
-// fields is how many each request has.
-func (w MessageType) fields() int {
+// fieldCount is how many each request has.
+func (w MessageType) fieldCount() int {
 	switch w {
 	case Hello, BeginTx, Discard, Pull, Telemetry, Logon:
 		return 1
@@ -89,15 +89,15 @@
 	if v.Err() != nil {
 		return r, v.Err()
 	}
-	switch want := r.Type.fields(); {
+	switch want := r.Type.fieldCount(); {
 	case want < 0:
 		return r, fmt.Errorf("%v is no request", r.Type)
 	case n != want:
-		return r, fmt.Errorf("%v: %w", r.Type, errFields)
+		return r, fmt.Errorf("%v: %w", r.Type, errFieldCount)
 	}
 	switch r.Type {
 	case Hello:
-		r.hello(&v)
+		r.readHello(&v)
 	case Run:
 		r.Query = v.String()
 		if v.Kind() != Map {
@@ -108,13 +108,13 @@
 	case BeginTx:
 		r.Extra.read(&v)
 	case Pull, Discard:
-		r.pull(&v)
+		r.readPull(&v)
 	case Route:
 		r.Routing = v.Skip()
 		r.Extra.Bookmarks = v.Skip()
 		r.Extra.read(&v)
 	case Logon:
-		pairs(&v, func([]byte) { v.Skip() })
+		readMap(&v, func([]byte) { v.Skip() })
 	case Telemetry:
 		v.Int()
 	}
@@ -127,8 +127,8 @@
 	return r, nil
 }
 
-// pairs reads a map; each is told a key and has to take its value.
-func pairs(v *Decoder, each func(key []byte)) {
+// readMap reads a map; each is told a key and has to take its value.
+func readMap(v *Decoder, each func(key []byte)) {
 	for n := v.Map(); n > 0 && v.Err() == nil; n-- {
 		if key := v.String(); v.Err() == nil {
 			each(key)
@@ -136,8 +136,8 @@
 	}
 }
 
-func (r *Request) hello(v *Decoder) {
-	pairs(v, func(key []byte) {
+func (r *Request) readHello(v *Decoder) {
+	readMap(v, func(key []byte) {
 		if string(key) == "user_agent" {
 			r.UserAgent = v.String()
 		} else {
@@ -146,8 +146,8 @@
 	})
 }
 
-func (r *Request) pull(v *Decoder) {
-	pairs(v, func(key []byte) {
+func (r *Request) readPull(v *Decoder) {
+	readMap(v, func(key []byte) {
 		switch string(key) {
 		case "n":
 			r.Limit = v.Int()
@@ -164,8 +164,8 @@
 
 func (e *Extra) read(v *Decoder) {
 	start := v.Remaining()
-	defer func() { e.packed = start[:len(start)-len(v.Remaining())] }()
-	pairs(v, func(key []byte) {
+	defer func() { e.raw = start[:len(start)-len(v.Remaining())] }()
+	readMap(v, func(key []byte) {
 		if v.Kind() == Null { // as if it were not there
 			v.Skip()
 			return
@@ -204,7 +204,7 @@
 // Address is where the client of a ROUTE has reached this front, as it says itself; empty: it does not.
 func (r *Request) Address() (address []byte) {
 	v := NewDecoder(r.Routing)
-	pairs(&v, func(key []byte) {
+	readMap(&v, func(key []byte) {
 		if string(key) == "address" && v.Kind() == String {
 			address = v.String()
 		} else {
@@ -215,7 +215,7 @@
 }
 
 // AppendWithTimeout writes RUN or BEGIN anew, with another tx_timeout in whole milliseconds; all else stays as it is.
-func (r *Request) AppendWithTimeout(dst []byte, left int64) []byte {
+func (r *Request) AppendWithTimeout(dst []byte, timeLeft int64) []byte {
 	dst, at := BeginMessage(dst)
 	if r.Type == Run {
 		dst = AppendString(AppendStruct(dst, byte(Run), 3), r.Query)
@@ -223,20 +223,20 @@
 	} else {
 		dst = AppendStruct(dst, byte(BeginTx), 1)
 	}
-	v, kept := NewDecoder(r.Extra.packed), 1
-	pairs(&v, func(key []byte) {
+	v, entries := NewDecoder(r.Extra.raw), 1
+	readMap(&v, func(key []byte) {
 		if v.Skip(); string(key) != "tx_timeout" {
-			kept++
+			entries++
 		}
 	})
-	dst = AppendMap(dst, kept)
-	v = NewDecoder(r.Extra.packed)
-	pairs(&v, func(key []byte) {
+	dst = AppendMap(dst, entries)
+	v = NewDecoder(r.Extra.raw)
+	readMap(&v, func(key []byte) {
 		if value := v.Skip(); string(key) != "tx_timeout" {
 			dst = append(AppendString(dst, key), value...)
 		}
 	})
-	return EndMessage(AppendInt(AppendString(dst, "tx_timeout"), left), at)
+	return EndMessage(AppendInt(AppendString(dst, "tx_timeout"), timeLeft), at)
 }
 
 // Response is a server's message. Its slices point into the message's body.
@@ -263,12 +263,12 @@
 	case a.Type < Success || a.Type != Success && a.Type != Record && a.Type != Ignored && a.Type != Failure:
 		return a, fmt.Errorf("%v is no answer", a.Type)
 	case n != want && !(a.Type == Ignored && n == 1): // some servers say why
-		return a, fmt.Errorf("%v: %w", a.Type, errFields)
+		return a, fmt.Errorf("%v: %w", a.Type, errFieldCount)
 	}
 	rest := v.Remaining()
 	switch a.Type {
 	case Success:
-		pairs(&v, func(key []byte) {
+		readMap(&v, func(key []byte) {
 			if string(key) == "has_more" {
 				a.More = v.Bool()
 			} else {
@@ -286,7 +286,7 @@
 			v.Skip()
 		}
 	case Failure: // from 5.7 on the code has another key
-		pairs(&v, func(key []byte) {
+		readMap(&v, func(key []byte) {
 			switch string(key) {
 			case "code", "neo4j_code":
 				a.Code = v.String()
--- a/internal/bolt/pack.go
+++ b/internal/bolt/pack.go
@@ -24,9 +24,9 @@
 )
 
 var (
-	errShort = errors.New("a value ends too early")
-	errKind  = errors.New("a value of another kind was expected")
-	errByte  = errors.New("a byte that begins no value")
+	errTruncated = errors.New("a value ends too early")
+	errKind      = errors.New("a value of another kind was expected")
+	errMarker    = errors.New("a byte that begins no value")
 )
 
 // Decoder reads PackStream values one after the other. What it gives points into the message. After an error it gives
@@ -80,18 +80,18 @@
 	return InvalidKind
 }
 
-// head takes a marker and the size or number behind it: n bytes, entries or fields, or the number itself.
-func (v *Decoder) head() (k Kind, n int64) {
+// readHead takes a marker and the size or number behind it: n bytes, entries or fields, or the number itself.
+func (v *Decoder) readHead() (k Kind, n int64) {
 	k = v.Kind()
 	if k == None {
-		v.fail(errShort)
+		v.fail(errTruncated)
 		return InvalidKind, 0
 	}
 	m := v.buf[0]
 	width := 0 // bytes of the size or number
 	switch {
 	case k == InvalidKind:
-		v.fail(errByte)
+		v.fail(errMarker)
 		return InvalidKind, 0
 	case k == Int && (m <= 0x7f || m >= 0xf0):
 		n = int64(int8(m))
@@ -113,7 +113,7 @@
 		width = 1 << (m - 0xd8)
 	}
 	if len(v.buf) < 1+width {
-		v.fail(errShort)
+		v.fail(errTruncated)
 		return InvalidKind, 0
 	}
 	switch b := v.buf[1:]; width {
@@ -134,9 +134,9 @@
 	return k, n
 }
 
-// want takes the head of a value of that kind.
-func (v *Decoder) want(k Kind) int64 {
-	got, n := v.head()
+// expect takes the head of a value of that kind.
+func (v *Decoder) expect(k Kind) int64 {
+	got, n := v.readHead()
 	if got != k {
 		v.fail(errKind)
 		return 0
@@ -145,17 +145,17 @@
 }
 
 // Int takes a whole number.
-func (v *Decoder) Int() int64 { return v.want(Int) }
+func (v *Decoder) Int() int64 { return v.expect(Int) }
 
 // Bool takes a truth value.
-func (v *Decoder) Bool() bool { return v.want(Bool) != 0 }
+func (v *Decoder) Bool() bool { return v.expect(Bool) != 0 }
 
 // Float takes a floating-point number.
-func (v *Decoder) Float() float64 { return math.Float64frombits(uint64(v.want(Float))) }
+func (v *Decoder) Float() float64 { return math.Float64frombits(uint64(v.expect(Float))) }
 
-func (v *Decoder) bytes(n int64) []byte {
+func (v *Decoder) take(n int64) []byte {
 	if n < 0 || n > int64(len(v.buf)) {
-		v.fail(errShort)
+		v.fail(errTruncated)
 		return nil
 	}
 	b := v.buf[:n:n]
@@ -164,36 +164,36 @@
 }
 
 // String takes a string.
-func (v *Decoder) String() []byte { return v.bytes(v.want(String)) }
+func (v *Decoder) String() []byte { return v.take(v.expect(String)) }
 
 // Bytes takes a string of bytes.
-func (v *Decoder) Bytes() []byte { return v.bytes(v.want(Bytes)) }
+func (v *Decoder) Bytes() []byte { return v.take(v.expect(Bytes)) }
 
-// count checks that n things of at least so many bytes each can still follow.
-func (v *Decoder) count(n, each int64) int {
+// checkCount checks that n things of at least so many bytes each can still follow.
+func (v *Decoder) checkCount(n, each int64) int {
 	if n < 0 || n > int64(len(v.buf))/each {
-		v.fail(errShort)
+		v.fail(errTruncated)
 		return 0
 	}
 	return int(n)
 }
 
 // List takes the head of a list and gives how many entries follow.
-func (v *Decoder) List() int { return v.count(v.want(List), 1) }
+func (v *Decoder) List() int { return v.checkCount(v.expect(List), 1) }
 
 // Map takes the head of a map and gives how many pairs of a string and a value follow.
-func (v *Decoder) Map() int { return v.count(v.want(Map), 2) }
+func (v *Decoder) Map() int { return v.checkCount(v.expect(Map), 2) }
 
 // Struct takes the head of a structure: its tag, and how many fields follow.
 func (v *Decoder) Struct() (tag byte, fields int) {
-	n := v.want(Struct)
+	n := v.expect(Struct)
 	if v.err != nil || len(v.buf) == 0 {
-		v.fail(errShort)
+		v.fail(errTruncated)
 		return 0, 0
 	}
 	tag = v.buf[0]
 	v.buf = v.buf[1:]
-	return tag, v.count(n, 1)
+	return tag, v.checkCount(n, 1)
 }
 
 // Skip takes a value of any kind with all that is in it, and gives its bytes. It goes no deeper than the message is
@@ -201,20 +201,20 @@
 func (v *Decoder) Skip() []byte {
 	start := v.buf
 	for left := int64(1); left > 0 && v.err == nil; left-- {
-		switch k, n := v.head(); k {
+		switch k, n := v.readHead(); k {
 		case String, Bytes:
-			v.bytes(n)
+			v.take(n)
 		case List:
 			left += n
 		case Map:
 			left += 2 * n
 		case Struct:
-			if v.bytes(1); v.err == nil {
+			if v.take(1); v.err == nil {
 				left += n
 			}
 		}
 		if left-1 > int64(len(v.buf)) {
-			v.fail(errShort)
+			v.fail(errTruncated)
 		}
 	}
 	if v.err != nil {
--- a/internal/bolt/state.go
+++ b/internal/bolt/state.go
@@ -17,14 +17,14 @@
 
 // InitialState is where a connection stands after the handshake.
 func InitialState(v Version) State {
-	if logsOn(v) {
+	if hasLogon(v) {
 		return Negotiation
 	}
 	return Authentication
 }
 
-// logsOn tells whether that version has messages of its own for logging on.
-func logsOn(v Version) bool { return v.Major() > 5 || v.Major() == 5 && v.Minor() >= 1 }
+// hasLogon tells whether that version has messages of its own for logging on.
+func hasLogon(v Version) bool { return v.Major() > 5 || v.Major() == 5 && v.Minor() >= 1 }
 
 // Accepts tells what becomes of a request in that state: carried out, ignored, or senseless, after which the connection
 // is defunct.
@@ -37,17 +37,17 @@
 	case w == Reset:
 		return s >= Ready, false
 	case s == Failed || s == Interrupted:
-		return false, w.fields() >= 0 && w != Hello && w != Logon
+		return false, w.fieldCount() >= 0 && w != Hello && w != Logon
 	case w == Telemetry:
 		return s == Ready && (v.Major() > 5 || v.Major() == 5 && v.Minor() >= 4), false
 	case w == Logon || w == Logoff:
-		return logsOn(v) && (w == Logon && s == Authentication || w == Logoff && s == Ready), false
+		return hasLogon(v) && (w == Logon && s == Authentication || w == Logoff && s == Ready), false
 	}
 	switch s {
 	case Negotiation:
 		return w == Hello, false
 	case Authentication:
-		return w == Hello && !logsOn(v), false
+		return w == Hello && !hasLogon(v), false
 	case Ready:
 		return w == Run || w == BeginTx || w == Route, false
 	case Streaming:
--- a/internal/bolt/terms.go
+++ b/internal/bolt/terms.go
@@ -72,7 +72,7 @@
 	group := e.Database
 	if e.Metadata != nil {
 		v := NewDecoder(e.Metadata)
-		pairs(&v, func(key []byte) {
+		readMap(&v, func(key []byte) {
 			switch string(key) {
 			case "id":
 				t.ID = v.String()
@@ -112,23 +112,23 @@
 		return t, fmt.Errorf("neither the database nor tx_metadata's cluster is a group's number: %.20q", group)
 	}
 	if e.Bookmarks != nil {
-		t.ReadAfter, err = newest(e.Bookmarks, t.Group)
+		t.ReadAfter, err = newestPosition(e.Bookmarks, t.Group)
 		t.HasReadAfter = t.ReadAfter > 0
 	}
 	return t, err
 }
 
-const bookmark = "mt1:"
+const bookmarkPrefix = "mt1:"
 
 // AppendBookmark writes the bookmark of a commit: its group, and its position in Unix tenths of a millisecond.
 func AppendBookmark(dst []byte, group uint64, position int64) []byte {
-	dst = strconv.AppendUint(append(dst, bookmark...), group, 10)
+	dst = strconv.AppendUint(append(dst, bookmarkPrefix...), group, 10)
 	return strconv.AppendInt(append(dst, ':'), position, 10)
 }
 
 // ReadBookmark reads one bookmark.
 func ReadBookmark(text []byte) (group uint64, position int64, err error) {
-	rest, ok := bytes.CutPrefix(text, []byte(bookmark))
+	rest, ok := bytes.CutPrefix(text, []byte(bookmarkPrefix))
 	a, b, ok2 := bytes.Cut(rest, []byte(":"))
 	if !ok || !ok2 {
 		return 0, 0, ErrInvalidBookmark
@@ -143,9 +143,9 @@
 	return group, position, nil
 }
 
-// newest gives the newest position that bookmarks name for a group. Those of other groups say nothing of it: logs of
+// newestPosition gives the newest position that bookmarks name for a group. Those of other groups say nothing of it: logs of
 // different groups have no order.
-func newest(packed []byte, group uint64) (position int64, err error) {
+func newestPosition(packed []byte, group uint64) (position int64, err error) {
 	v := NewDecoder(packed)
 	for n := v.List(); n > 0 && v.Err() == nil; n-- {
 		text := v.String()
--- a/internal/bolt/timed_test.go
+++ b/internal/bolt/timed_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // TestTimed: a statement or a transaction is passed on with another time left and all else as it was.
-func TestTimed(t *testing.T) {
-	for _, body := range [][]byte{run("RETURN 1", termsOf), termsOf(AppendStruct(nil, byte(BeginTx), 1)),
-		run("RETURN 1", func(b []byte) []byte { return AppendMap(b, 0) })} {
+func TestAppendWithTimeout(t *testing.T) {
+	for _, body := range [][]byte{runMessage("RETURN 1", appendTestExtra), appendTestExtra(AppendStruct(nil, byte(BeginTx), 1)),
+		runMessage("RETURN 1", func(b []byte) []byte { return AppendMap(b, 0) })} {
 		r, err := ReadRequest(body)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standin/bolt.go
+++ b/internal/standin/bolt.go
@@ -13,16 +13,16 @@
 // Bolt is a store that speaks Bolt. A statement that begins with CREATE, MERGE, SET or DELETE writes, any other
 // reads. "RETURN range(1, N)" has N records; any other statement has one, its job's id.
 type Bolt struct {
-	Name  string
-	group *Group
-	l     net.Listener
+	Name     string
+	group    *Group
+	listener net.Listener
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	before func(job string, w bolt.MessageType) Behavior // what happens instead of an answer, if anything
-	takes  time.Duration                                 // a statement
-	full   bool                                          // turns everything away unseen
-	closed bool
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	behavior func(job string, w bolt.MessageType) Behavior // what happens instead of an answer, if anything
+	delay    time.Duration                                 // a statement
+	full     bool                                          // turns everything away unseen
+	closed   bool
 }
 
 // Behavior is what a store does with a message instead of answering it rightly.
@@ -43,30 +43,30 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Bolt{Name: name, group: g, l: l, conns: map[net.Conn]bool{}}
+	b := &Bolt{Name: name, group: g, listener: l, conns: map[net.Conn]bool{}}
 	go b.accept()
 	return b, nil
 }
 
 // Addr is where it listens.
-func (b *Bolt) Addr() string { return b.l.Addr().String() }
+func (b *Bolt) Addr() string { return b.listener.Addr().String() }
 
 // SetBehavior sets what happens to messages; nil: all are answered.
 func (b *Bolt) SetBehavior(f func(job string, w bolt.MessageType) Behavior) {
 	b.mu.Lock()
-	b.before = f
+	b.behavior = f
 	b.mu.Unlock()
 }
 
 // SetDelay sets how long a statement takes.
-func (b *Bolt) SetDelay(d time.Duration) { b.mu.Lock(); b.takes = d; b.mu.Unlock() }
+func (b *Bolt) SetDelay(d time.Duration) { b.mu.Lock(); b.delay = d; b.mu.Unlock() }
 
 // SetFull has the store turn everything away unseen, or no more.
 func (b *Bolt) SetFull(full bool) { b.mu.Lock(); b.full = full; b.mu.Unlock() }
 
 // Close stops it: connections break, and new ones are refused.
 func (b *Bolt) Close() {
-	b.l.Close()
+	b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
@@ -77,7 +77,7 @@
 
 func (b *Bolt) accept() {
 	for {
-		c, err := b.l.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -88,29 +88,29 @@
 			b.conns[c] = true
 		}
 		b.mu.Unlock()
-		go (&serving{b: b, c: c, r: bolt.Reader{MaxSize: 1 << 20}}).serve()
+		go (&boltConn{store: b, conn: c, reader: bolt.Reader{MaxSize: 1 << 20}}).serve()
 	}
 }
 
-// serving is one connection.
-type serving struct {
-	b       *Bolt
-	c       net.Conn
-	in      []byte
-	r       bolt.Reader
-	v       bolt.Version
-	state   bolt.State
-	job     string // of the open result or transaction
-	mark    string
-	after   int64
-	writes  bool // the transaction holds a write
-	records int  // that are left to be pulled
-	open    int
-	out     []byte
+// boltConn is one connection.
+type boltConn struct {
+	store          *Bolt
+	conn           net.Conn
+	in             []byte
+	reader         bolt.Reader
+	version        bolt.Version
+	state          bolt.State
+	requestID      string // of the open result or transaction
+	idempotencyKey string
+	position       int64
+	writes         bool // the transaction holds a write
+	records        int  // that are left to be pulled
+	openResults    int
+	out            []byte
 }
 
-// more reads until take has taken something; false: the connection is over.
-func (s *serving) more(take func() (size int, err error)) bool {
+// readUntil reads until take has taken something; false: the connection is over.
+func (s *boltConn) readUntil(take func() (size int, err error)) bool {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := take()
@@ -121,7 +121,7 @@
 			s.in = s.in[:copy(s.in, s.in[n:])]
 			return true
 		}
-		got, err := s.c.Read(buf)
+		got, err := s.conn.Read(buf)
 		if err != nil {
 			return false
 		}
@@ -129,70 +129,70 @@
 	}
 }
 
-func (s *serving) serve() {
+func (s *boltConn) serve() {
 	defer func() {
-		s.c.Close()
-		s.b.mu.Lock()
-		delete(s.b.conns, s.c)
-		s.b.mu.Unlock()
+		s.conn.Close()
+		s.store.mu.Lock()
+		delete(s.store.conns, s.conn)
+		s.store.mu.Unlock()
 	}()
-	if !s.more(func() (n int, err error) { s.v, n, err = bolt.Handshake(s.in); return n, err }) {
+	if !s.readUntil(func() (n int, err error) { s.version, n, err = bolt.Handshake(s.in); return n, err }) {
 		return
 	}
-	if s.v == bolt.Manifest {
-		s.c.Write(bolt.AppendManifest(nil))
-		if !s.more(func() (n int, err error) { s.v, n, err = bolt.ReadChosenVersion(s.in); return n, err }) {
+	if s.version == bolt.Manifest {
+		s.conn.Write(bolt.AppendManifest(nil))
+		if !s.readUntil(func() (n int, err error) { s.version, n, err = bolt.ReadChosenVersion(s.in); return n, err }) {
 			return
 		}
-	} else if s.c.Write(bolt.AppendVersion(nil, s.v)); s.v == 0 {
+	} else if s.conn.Write(bolt.AppendVersion(nil, s.version)); s.version == 0 {
 		return
 	}
-	s.state = bolt.InitialState(s.v)
+	s.state = bolt.InitialState(s.version)
 	for {
 		going := true
-		if !s.more(func() (int, error) {
-			body, n, err := s.r.Next(s.in)
+		if !s.readUntil(func() (int, error) {
+			body, n, err := s.reader.Next(s.in)
 			if n > 0 && len(body) > 0 {
-				going = s.take(body)
+				going = s.handle(body)
 			}
 			return n, err
 		}) || !going {
 			return
 		}
-		if _, err := s.c.Write(s.out); err != nil {
+		if _, err := s.conn.Write(s.out); err != nil {
 			return
 		}
 		s.out = s.out[:0]
 	}
 }
 
-func (s *serving) fail(w bolt.MessageType, code, text string) bool {
-	s.out = bolt.AppendFailure(s.out, s.v, code, text)
+func (s *boltConn) fail(w bolt.MessageType, code, text string) bool {
+	s.out = bolt.AppendFailure(s.out, s.version, code, text)
 	s.state = s.state.After(w, false, false, 0)
 	return s.state != bolt.Defunct
 }
 
-// take carries one message out; false: the connection ends.
-func (s *serving) take(body []byte) bool {
+// handle carries one message out; false: the connection ends.
+func (s *boltConn) handle(body []byte) bool {
 	r, err := bolt.ReadRequest(body)
 	if err != nil {
-		s.out = bolt.AppendFailure(s.out, s.v, bolt.InvalidFormat, err.Error())
-		s.c.Write(s.out)
+		s.out = bolt.AppendFailure(s.out, s.version, bolt.InvalidFormat, err.Error())
+		s.conn.Write(s.out)
 		return false
 	}
-	carried, ignored := s.state.Accepts(s.v, r.Type)
+	carried, ignored := s.state.Accepts(s.version, r.Type)
 	if ignored {
 		s.out = bolt.AppendEmpty(s.out, bolt.Ignored)
 		return true
 	}
 	if !carried {
-		s.out = bolt.AppendFailure(s.out, s.v, bolt.Invalid, "unexpected "+r.Type.String())
-		s.c.Write(s.out)
+		s.out = bolt.AppendFailure(s.out, s.version, bolt.Invalid, "unexpected "+r.Type.String())
+		s.conn.Write(s.out)
 		return false
 	}
 	if (r.Type == bolt.Run || r.Type == bolt.BeginTx) && s.state == bolt.Ready {
 		if r.Type == bolt.Run && string(r.Query) == "CALL micatrack.report()" { // a probe
-			s.records, s.job, s.writes = 1, s.report(), false
+			s.records, s.requestID, s.writes = 1, s.report(), false
 			s.state = s.state.After(r.Type, true, false, 1)
 			s.out = bolt.AppendSuccess(s.out, 1, fields)
 			return true
@@ -204,14 +204,14 @@
 		if err != nil {
 			return s.fail(r.Type, bolt.Invalid, err.Error())
 		}
-		s.job, s.mark, s.after, s.writes, s.records, s.open = string(t.ID), string(t.Key), t.ReadAfter, false, 0, 0
+		s.requestID, s.idempotencyKey, s.position, s.writes, s.records, s.openResults = string(t.ID), string(t.Key), t.ReadAfter, false, 0, 0
 	}
 	act := Respond
-	s.b.mu.Lock()
-	before, takes, full := s.b.before, s.b.takes, s.b.full
-	s.b.mu.Unlock()
+	s.store.mu.Lock()
+	before, takes, full := s.store.behavior, s.store.delay, s.store.full
+	s.store.mu.Unlock()
 	if before != nil {
-		act = before(s.job, r.Type)
+		act = before(s.requestID, r.Type)
 	}
 	switch {
 	case act == Hang:
@@ -225,7 +225,7 @@
 	if r.Type == bolt.Run {
 		time.Sleep(takes)
 	}
-	going := s.carry(r)
+	going := s.execute(r)
 	switch act {
 	case RunThenDisconnect:
 		return false
@@ -239,11 +239,11 @@
 	return bolt.AppendString(bolt.AppendList(bolt.AppendString(dst, "fields"), 1), "value")
 }
 
-func (s *serving) report() string {
-	p := s.b.group.Position(s.b.Name)
-	primary, _ := s.b.group.Primary()
+func (s *boltConn) report() string {
+	p := s.store.group.Position(s.store.Name)
+	primary, _ := s.store.group.Primary()
 	role := "0"
-	if primary == s.b.Name {
+	if primary == s.store.Name {
 		role = "1"
 	}
 	return "x0=" + strconv.FormatFloat(float64(p)/10_000, 'f', 4, 64) + ",x1=" + role
@@ -258,8 +258,8 @@
 	return false
 }
 
-// carry does what the message asks for.
-func (s *serving) carry(r bolt.Request) bool {
+// execute does what the message asks for.
+func (s *boltConn) execute(r bolt.Request) bool {
 	was := s.state
 	switch r.Type {
 	case bolt.Hello:
@@ -270,7 +270,7 @@
 		return false
 	case bolt.Run:
 		if writes(string(r.Query)) {
-			if primary, _ := s.b.group.Primary(); primary != s.b.Name {
+			if primary, _ := s.store.group.Primary(); primary != s.store.Name {
 				return s.fail(r.Type, bolt.NotALeader, "this is no primary")
 			}
 			s.writes = true
@@ -280,18 +280,18 @@
 			s.records, _ = strconv.Atoi(strings.TrimSuffix(n, ")"))
 		}
 		if was == bolt.Ready && !s.writes || was != bolt.Ready && !writes(string(r.Query)) {
-			if _, ok := s.b.group.Read(s.b.Name, s.job, s.after); !ok {
+			if _, ok := s.store.group.Read(s.store.Name, s.requestID, s.position); !ok {
 				return s.fail(r.Type, bolt.BookmarkTimeout, "this store has not come so far")
 			}
 		}
 		if was == bolt.Ready && s.writes {
-			position, ok := s.b.group.Write(s.b.Name, s.job, s.mark)
+			position, ok := s.store.group.Write(s.store.Name, s.requestID, s.idempotencyKey)
 			if !ok {
 				return s.fail(r.Type, bolt.NotALeader, "this is no primary")
 			}
-			s.after = position
+			s.position = position
 		}
-		s.open++
+		s.openResults++
 		s.out = bolt.AppendSuccess(s.out, 1, fields)
 	case bolt.Pull, bolt.Discard:
 		n := s.records
@@ -303,10 +303,10 @@
 				var at int
 				s.out, at = bolt.BeginMessage(s.out)
 				s.out = bolt.AppendList(bolt.AppendStruct(s.out, byte(bolt.Record), 1), 1)
-				s.out = bolt.EndMessage(bolt.AppendString(s.out, s.job), at)
+				s.out = bolt.EndMessage(bolt.AppendString(s.out, s.requestID), at)
 			}
 			if i%1024 == 1023 { // a large result goes out as it is made
-				if _, err := s.c.Write(s.out); err != nil {
+				if _, err := s.conn.Write(s.out); err != nil {
 					return false
 				}
 				s.out = s.out[:0]
@@ -314,37 +314,37 @@
 		}
 		if s.records -= n; s.records > 0 {
 			s.out = bolt.AppendSuccess(s.out, 1, func(b []byte) []byte { return bolt.AppendBool(bolt.AppendString(b, "has_more"), true) })
-			s.state = s.state.After(r.Type, true, true, s.open)
+			s.state = s.state.After(r.Type, true, true, s.openResults)
 			return true
 		}
-		s.open--
+		s.openResults--
 		s.out = s.summary(s.out, was == bolt.Streaming)
 	case bolt.Commit:
 		if s.writes {
-			position, ok := s.b.group.Write(s.b.Name, s.job, s.mark)
+			position, ok := s.store.group.Write(s.store.Name, s.requestID, s.idempotencyKey)
 			if !ok {
 				return s.fail(r.Type, bolt.NotALeader, "this is no primary any more")
 			}
-			s.after = position
+			s.position = position
 		}
 		s.out = s.summary(s.out, true)
 	case bolt.Route:
-		s.out = bolt.AppendFailure(s.out, s.v, bolt.Invalid, "stores do not route")
+		s.out = bolt.AppendFailure(s.out, s.version, bolt.Invalid, "stores do not route")
 		s.state = bolt.Failed
 		return true
 	default:
 		s.out = bolt.AppendSuccess(s.out, 0, nil)
 	}
-	s.state = s.state.After(r.Type, true, false, max(s.open, 0))
+	s.state = s.state.After(r.Type, true, false, max(s.openResults, 0))
 	return true
 }
 
 // summary ends a result or a transaction: what the store says of itself, and the bookmark where something was
 // committed.
-func (s *serving) summary(dst []byte, ended bool) []byte {
-	primary, _ := s.b.group.Primary()
+func (s *boltConn) summary(dst []byte, ended bool) []byte {
+	primary, _ := s.store.group.Primary()
 	role := "replica"
-	if primary == s.b.Name {
+	if primary == s.store.Name {
 		role = "primary"
 	}
 	n := 2
@@ -353,9 +353,9 @@
 	}
 	return bolt.AppendSuccess(dst, n, func(b []byte) []byte {
 		b = bolt.AppendPair(b, "role", role)
-		b = bolt.AppendInt(bolt.AppendString(b, "applied_ms"), s.b.group.Position(s.b.Name)/10)
+		b = bolt.AppendInt(bolt.AppendString(b, "applied_ms"), s.store.group.Position(s.store.Name)/10)
 		if ended && s.writes {
-			b = bolt.AppendString(bolt.AppendString(b, "bookmark"), bolt.AppendBookmark(nil, s.b.group.ID, s.after))
+			b = bolt.AppendString(bolt.AppendString(b, "bookmark"), bolt.AppendBookmark(nil, s.store.group.ID, s.position))
 		}
 		return b
 	})
--- a/internal/standin/bolt_test.go
+++ b/internal/standin/bolt_test.go
@@ -11,7 +11,7 @@
 	"micatrack/internal/bolt"
 )
 
-func terms(id, profile string) func(*neo4j.TransactionConfig) {
+func txConfig(id, profile string) func(*neo4j.TransactionConfig) {
 	return func(c *neo4j.TransactionConfig) {
 		neo4j.WithTxTimeout(time.Second)(c)
 		neo4j.WithTxMetadata(map[string]any{"id": id, "c": profile, "t": "acme", "cluster": 1})(c)
@@ -50,7 +50,7 @@
 	primary, replica := open(p.Addr()), open(r.Addr())
 	s := primary.NewSession(ctx, neo4j.SessionConfig{})
 	defer s.Close(ctx)
-	res, err := s.Run(ctx, "RETURN range(1, 1000)", nil, terms("a", "read"))
+	res, err := s.Run(ctx, "RETURN range(1, 1000)", nil, txConfig("a", "read"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 			return nil, err
 		}
 		return rec.Values[0], nil
-	}, terms("b", "save"))
+	}, txConfig("b", "save"))
 	if err != nil || got != "b" {
 		t.Fatalf("%v, %v after %d calls", got, err, calls)
 	}
@@ -98,13 +98,13 @@
 			return nil, err
 		}
 		return res.Consume(ctx)
-	}, terms("c", "mine")); err != nil {
+	}, txConfig("c", "mine")); err != nil {
 		t.Errorf("a read that waits for its bookmark: %v", err)
 	}
 	if time.Since(began) < 100*time.Millisecond {
 		t.Error("a replica that is behind has answered")
 	}
-	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, terms("d", "save")); err == nil {
+	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, txConfig("d", "save")); err == nil {
 		t.Error("a replica takes a write")
 	}
 	told := []Outcome{{RequestID: "a", Delivered: true}, {RequestID: "b", Write: true, Delivered: true}, {RequestID: "c", Delivered: true, After: position},
@@ -115,7 +115,7 @@
 }
 
 // TestCheckBites: each rule that is broken is told.
-func TestCheckBites(t *testing.T) {
+func TestCheckReportsViolations(t *testing.T) {
 	g := NewGroup(1, time.Hour, "p", "r")
 	g.Write("p", "twice", "")
 	g.Write("p", "twice", "")
@@ -126,10 +126,10 @@
 	g.MarkDraining("r")
 	time.Sleep(2 * time.Millisecond)
 	g.Read("r", "late", 0)
-	broken := g.Check([]Outcome{{RequestID: "ghost", Delivered: true}, {RequestID: "twice", Write: true, Rejected: true}, {RequestID: "stale", Delivered: true, After: stale + 1},
+	violations := g.Check([]Outcome{{RequestID: "ghost", Delivered: true}, {RequestID: "twice", Write: true, Rejected: true}, {RequestID: "stale", Delivered: true, After: stale + 1},
 		{RequestID: "stale", Delivered: true}}, time.Millisecond)
-	if len(broken) != 6 {
-		t.Errorf("%d: %q", len(broken), broken)
+	if len(violations) != 6 {
+		t.Errorf("%d: %q", len(violations), violations)
 	}
 	if _, ok := g.Write("r", "x", ""); ok {
 		t.Error("a replica takes a write")
--- a/internal/standin/collector.go
+++ b/internal/standin/collector.go
@@ -20,17 +20,17 @@
 
 // Collector takes summaries of a fleet and notes who told them when. It stands for whatever leases protect.
 type Collector struct {
-	server *httptest.Server
-	mu     sync.Mutex
-	takes  time.Duration
-	newest uint64
-	acts   []Operation
+	server      *httptest.Server
+	mu          sync.Mutex
+	delay       time.Duration
+	newestToken uint64
+	operations  []Operation
 }
 
 // NewCollector starts one on a loopback address. An act takes so long there.
 func NewCollector(takes time.Duration) *Collector {
-	c := &Collector{takes: takes}
-	c.server = httptest.NewServer(http.HandlerFunc(c.take))
+	c := &Collector{delay: takes}
+	c.server = httptest.NewServer(http.HandlerFunc(c.serve))
 	return c
 }
 
@@ -47,10 +47,10 @@
 func (c *Collector) Operations() []Operation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Operation(nil), c.acts...)
+	return append([]Operation(nil), c.operations...)
 }
 
-func (c *Collector) take(w http.ResponseWriter, r *http.Request) {
+func (c *Collector) serve(w http.ResponseWriter, r *http.Request) {
 	token, err := strconv.ParseUint(r.Header.Get("Micatrack-Token"), 10, 64)
 	var s struct{ By string }
 	if err != nil || json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<20)).Decode(&s) != nil {
@@ -58,21 +58,21 @@
 		return
 	}
 	c.mu.Lock()
-	k := len(c.acts)
-	c.acts = append(c.acts, Operation{Token: token, Holder: s.By, Began: time.Now(), Refused: token < c.newest})
-	refused := c.acts[k].Refused
-	c.newest = max(c.newest, token)
+	k := len(c.operations)
+	c.operations = append(c.operations, Operation{Token: token, Holder: s.By, Began: time.Now(), Refused: token < c.newestToken})
+	refused := c.operations[k].Refused
+	c.newestToken = max(c.newestToken, token)
 	c.mu.Unlock()
 	if refused {
 		http.Error(w, "a newer token has been seen", http.StatusConflict)
 		c.mu.Lock()
-		c.acts[k].Ended = time.Now()
+		c.operations[k].Ended = time.Now()
 		c.mu.Unlock()
 		return
 	}
-	time.Sleep(c.takes)
+	time.Sleep(c.delay)
 	c.mu.Lock()
-	c.acts[k].Ended = time.Now()
+	c.operations[k].Ended = time.Now()
 	c.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -28,13 +28,13 @@
 	mu      sync.Mutex
 	changed *sync.Cond
 	version int
-	lines   []Server
-	done    bool
+	servers []Server
+	closed  bool
 }
 
 // NewServerList makes a list of these stores.
 func NewServerList(lines ...Server) *ServerList {
-	d := &ServerList{lines: lines, version: 1}
+	d := &ServerList{servers: lines, version: 1}
 	d.changed = sync.NewCond(&d.mu)
 	return d
 }
@@ -57,7 +57,7 @@
 // Close ends it and its watches.
 func (d *Discovery) Close() {
 	d.mu.Lock()
-	d.done = true
+	d.closed = true
 	d.changed.Broadcast()
 	d.mu.Unlock()
 	d.server.CloseClientConnections()
@@ -67,7 +67,7 @@
 // Update edits the list and tells it to all that watch.
 func (d *ServerList) Update(edit func(lines []Server) []Server) {
 	d.mu.Lock()
-	d.lines = edit(d.lines)
+	d.servers = edit(d.servers)
 	d.version++
 	d.changed.Broadcast()
 	d.mu.Unlock()
@@ -77,11 +77,11 @@
 func (d *ServerList) JSON() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.text()
+	return d.marshal()
 }
 
-func (d *ServerList) text() []byte {
-	b, err := json.Marshal(map[string]any{"version": d.version, "full": true, "servers": d.lines})
+func (d *ServerList) marshal() []byte {
+	b, err := json.Marshal(map[string]any{"version": d.version, "full": true, "servers": d.servers})
 	if err != nil {
 		panic(err) // plain strings and numbers
 	}
@@ -93,14 +93,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for at := -1; ; {
-		for at == d.version && !d.done {
+		for at == d.version && !d.closed {
 			d.changed.Wait()
 		}
-		if d.done {
+		if d.closed {
 			return
 		}
 		at = d.version
-		if _, err := io.WriteString(w, string(d.text())+"\n"); err != nil || http.NewResponseController(w).Flush() != nil {
+		if _, err := io.WriteString(w, string(d.marshal())+"\n"); err != nil || http.NewResponseController(w).Flush() != nil {
 			return
 		}
 	}
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -23,22 +23,22 @@
 type Group struct {
 	ID uint64
 
-	mu      sync.Mutex
-	primary string
-	lags    map[string]time.Duration
-	reached map[string]int64 // how far each had come when its lag or role last changed: a log is never undone
-	ledger  []Entry
-	marks   map[string]Entry // writes by mark, for as long as repeats are dropped
-	window  time.Duration
-	last    int64
-	drains  map[string]time.Time
-	epoch   int
-	now     func() time.Time
+	mu           sync.Mutex
+	primary      string
+	lags         map[string]time.Duration
+	minPositions map[string]int64 // how far each had come when its lag or role last changed: a log is never undone
+	ledger       []Entry
+	writesByKey  map[string]Entry // writes by mark, for as long as repeats are dropped
+	window       time.Duration
+	last         int64
+	drains       map[string]time.Time
+	epoch        int
+	now          func() time.Time
 }
 
 // NewGroup makes a group whose first store is the primary; window is for how long a repeat is dropped.
 func NewGroup(id uint64, window time.Duration, stores ...string) *Group {
-	g := &Group{ID: id, window: window, lags: map[string]time.Duration{}, reached: map[string]int64{}, marks: map[string]Entry{}, drains: map[string]time.Time{}, now: time.Now}
+	g := &Group{ID: id, window: window, lags: map[string]time.Duration{}, minPositions: map[string]int64{}, writesByKey: map[string]Entry{}, drains: map[string]time.Time{}, now: time.Now}
 	for i, s := range stores {
 		if i == 0 {
 			g.primary = s
@@ -54,10 +54,10 @@
 func tenths(t time.Time) int64 { return t.UnixNano() / 100_000 }
 
 // SetLag has a replica apply the log that much later.
-func (g *Group) SetLag(store string, by time.Duration) {
+func (g *Group) SetLag(store string, lag time.Duration) {
 	g.mu.Lock()
-	g.reached[store] = g.applied(store, g.now())
-	g.lags[store] = by
+	g.minPositions[store] = g.applied(store, g.now())
+	g.lags[store] = lag
 	g.mu.Unlock()
 }
 
@@ -65,7 +65,7 @@
 // a write is turned away.
 func (g *Group) Promote(store string) {
 	g.mu.Lock()
-	g.reached[g.primary] = g.applied(g.primary, g.now())
+	g.minPositions[g.primary] = g.applied(g.primary, g.now())
 	g.primary, g.epoch = store, g.epoch+1
 	g.mu.Unlock()
 }
@@ -89,7 +89,7 @@
 	if store == g.primary {
 		return tenths(now)
 	}
-	return max(tenths(now.Add(-g.lags[store])), g.reached[store])
+	return max(tenths(now.Add(-g.lags[store])), g.minPositions[store])
 }
 
 // Position is how far a store has the log now.
@@ -100,34 +100,34 @@
 }
 
 // Read notes a read and tells what it has seen; false: the store is behind what it has to see, and did nothing.
-func (g *Group) Read(store, job string, after int64) (position int64, ok bool) {
+func (g *Group) Read(store, requestID string, after int64) (position int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	if position = g.applied(store, now); position < after {
 		return position, false
 	}
-	g.ledger = append(g.ledger, Entry{At: now, Store: store, RequestID: job, Position: position})
+	g.ledger = append(g.ledger, Entry{At: now, Store: store, RequestID: requestID, Position: position})
 	return position, true
 }
 
 // Write commits a write and tells its position; false: this store is not the primary, and did nothing. A repeat of a
 // mark inside the window is not run again, and has the first one's position.
-func (g *Group) Write(store, job, mark string) (position int64, ok bool) {
+func (g *Group) Write(store, requestID, idempotencyKey string) (position int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if store != g.primary {
 		return 0, false
 	}
 	now := g.now()
-	e := Entry{At: now, Store: store, RequestID: job, IdempotencyKey: mark, Write: true}
-	if first, seen := g.marks[mark]; seen && mark != "" && now.Sub(first.At) < g.window {
+	e := Entry{At: now, Store: store, RequestID: requestID, IdempotencyKey: idempotencyKey, Write: true}
+	if first, seen := g.writesByKey[idempotencyKey]; seen && idempotencyKey != "" && now.Sub(first.At) < g.window {
 		e.Duplicate, e.Position = true, first.Position
 	} else {
 		g.last = max(tenths(now), g.last+1)
 		e.Position = g.last
-		if mark != "" {
-			g.marks[mark] = e
+		if idempotencyKey != "" {
+			g.writesByKey[idempotencyKey] = e
 		}
 	}
 	g.ledger = append(g.ledger, e)
@@ -135,11 +135,11 @@
 }
 
 // WritePosition gives the position of a job's write; 0: it did none.
-func (g *Group) WritePosition(job string) (position int64) {
+func (g *Group) WritePosition(requestID string) (position int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for k := len(g.ledger) - 1; k >= 0; k-- {
-		if e := &g.ledger[k]; e.RequestID == job && e.Write {
+		if e := &g.ledger[k]; e.RequestID == requestID && e.Write {
 			return e.Position
 		}
 	}
@@ -166,7 +166,7 @@
 
 // Check holds the ledger against what clients were told and gives the broken rules: an effect twice, a turn-back of
 // what ran, a delivery of what did not, a stale read, and work begun at a store after its drain's grace.
-func (g *Group) Check(answers []Outcome, grace time.Duration) (broken []string) {
+func (g *Group) Check(outcomes []Outcome, grace time.Duration) (violations []string) {
 	ran, effects := map[string][]Entry{}, map[string]int{}
 	for _, e := range g.Ledger() {
 		ran[e.RequestID] = append(ran[e.RequestID], e)
@@ -178,10 +178,10 @@
 			}
 		}
 		g.mu.Lock()
-		told, drains := g.drains[e.Store]
+		drainedAt, draining := g.drains[e.Store]
 		g.mu.Unlock()
-		if drains && e.At.Sub(told) > grace {
-			broken = append(broken, fmt.Sprintf("%s ran at %s %v after its drain was told", e.RequestID, e.Store, e.At.Sub(told)))
+		if draining && e.At.Sub(drainedAt) > grace {
+			violations = append(violations, fmt.Sprintf("%s ran at %s %v after its drain was told", e.RequestID, e.Store, e.At.Sub(drainedAt)))
 		}
 	}
 	for _, e := range g.Ledger() { // in the ledger's order
@@ -190,28 +190,28 @@
 			key = "mark " + e.IdempotencyKey
 		}
 		if n := effects[key]; n > 1 {
-			broken = append(broken, fmt.Sprintf("%s had its effect %d times", key, n))
+			violations = append(violations, fmt.Sprintf("%s had its effect %d times", key, n))
 			delete(effects, key)
 		}
 	}
 	seen := map[string]bool{}
-	for _, a := range answers {
+	for _, a := range outcomes {
 		if seen[a.RequestID] {
-			broken = append(broken, a.RequestID+" was answered twice")
+			violations = append(violations, a.RequestID+" was answered twice")
 		}
 		seen[a.RequestID] = true
 		entries := ran[a.RequestID]
 		switch {
 		case a.Delivered && len(entries) == 0:
-			broken = append(broken, a.RequestID+" was delivered and never ran")
+			violations = append(violations, a.RequestID+" was delivered and never ran")
 		case a.Rejected && a.Write && a.IdempotencyKey == "" && len(entries) > 0:
-			broken = append(broken, a.RequestID+" ran and was turned back")
+			violations = append(violations, a.RequestID+" ran and was turned back")
 		}
 		if a.Delivered && !a.Write && len(entries) > 0 {
 			if e := entries[len(entries)-1]; e.Position < a.After {
-				broken = append(broken, fmt.Sprintf("%s was answered from %d and had to see %d", a.RequestID, e.Position, a.After))
+				violations = append(violations, fmt.Sprintf("%s was answered from %d and had to see %d", a.RequestID, e.Position, a.After))
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/standin/postgres.go
+++ b/internal/standin/postgres.go
@@ -16,18 +16,18 @@
 // Postgres is a store that speaks PostgreSQL's protocol, simple queries only. INSERT writes, any other statement reads;
 // the value is the job's id.
 type Postgres struct {
-	Name  string
-	group *Group
-	l     net.Listener
+	Name     string
+	group    *Group
+	listener net.Listener
 
 	probes atomic.Int64
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	before func(job string) Behavior
-	takes  time.Duration
-	cores  chan struct{} // places for jobs that run; nil: as many as come
-	closed bool
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	behavior func(job string) Behavior
+	delay    time.Duration
+	slots    chan struct{} // places for jobs that run; nil: as many as come
+	closed   bool
 }
 
 // NewPostgres starts a store of a group on a loopback address.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Postgres{Name: name, group: g, l: l, conns: map[net.Conn]bool{}}
+	p := &Postgres{Name: name, group: g, listener: l, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -57,21 +57,25 @@
 }
 
 // Addr is where it listens.
-func (p *Postgres) Addr() string { return p.l.Addr().String() }
+func (p *Postgres) Addr() string { return p.listener.Addr().String() }
 
 // Probes tells how often it was asked for its position.
 func (p *Postgres) Probes() int64 { return p.probes.Load() }
 
 // SetBehavior sets what happens to jobs; nil: all are answered. It may be called from any connection.
-func (p *Postgres) SetBehavior(f func(job string) Behavior) { p.mu.Lock(); p.before = f; p.mu.Unlock() }
+func (p *Postgres) SetBehavior(f func(job string) Behavior) {
+	p.mu.Lock()
+	p.behavior = f
+	p.mu.Unlock()
+}
 
 // SetDelay sets how long a job takes.
-func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.takes = d; p.mu.Unlock() }
+func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.delay = d; p.mu.Unlock() }
 
 // SetConcurrency sets how many jobs run at a time; the others wait for a place.
 func (p *Postgres) SetConcurrency(n int) {
 	p.mu.Lock()
-	p.cores = make(chan struct{}, n)
+	p.slots = make(chan struct{}, n)
 	p.mu.Unlock()
 }
 
@@ -87,7 +91,7 @@
 
 // Close stops it for good.
 func (p *Postgres) Close() {
-	p.l.Close()
+	p.listener.Close()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
@@ -139,7 +143,7 @@
 		return err == nil
 	}
 	p.mu.Lock()
-	before, takes, cores := p.before, p.takes, p.cores
+	before, takes, cores := p.behavior, p.delay, p.slots
 	p.mu.Unlock()
 	act := Respond
 	if s, err := pgwire.ParseQuery(text); err == nil && before != nil {
@@ -199,13 +203,13 @@
 	ok := false
 	if isWrite(text) {
 		if position, ok = g.Write(store, string(s.ID), string(s.Key)); !ok {
-			return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
+			return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
 		}
 		position += 9 // a commit is told rounded up
 	} else if position, ok = g.Read(store, string(s.ID), s.ReadAfter); !ok {
-		return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
+		return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
 	}
-	return pgwire.AppendReady(g.notes(store, position, row(string(s.ID))))
+	return pgwire.AppendReady(g.appendReport(store, position, row(string(s.ID))))
 }
 
 func isWrite(text []byte) bool {
@@ -217,8 +221,8 @@
 	return false
 }
 
-// notes adds what a store says of itself: its role, and a position.
-func (g *Group) notes(store string, position int64, dst []byte) []byte {
+// appendReport adds what a store says of itself: its role, and a position.
+func (g *Group) appendReport(store string, position int64, dst []byte) []byte {
 	role := "replica"
 	if name, _ := g.Primary(); name == store {
 		role = "primary"
