--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy is a database to try the router with: one primary and two replicas that lag behind it, kept in
-// memory, and the discovery that lists them. It knows two statements and holds nothing back.
+// Command toy is a database for trying out the router: one primary and two replicas that lag behind it, held in memory,
+// and the discovery service that lists them. It knows two statements and never delays or withholds a
+// response.
 package main
 
 import (
@@ -20,20 +21,20 @@
 	"micatrack/internal/pgwire"
 )
 
-// entry is one write, in the order of commits.
+// entry is one write. Entries are kept in commit order.
 type entry struct {
-	commit int64 // Unix milliseconds
+	commit int64 // Commit time in Unix milliseconds.
 	value  string
 }
 
-// data is what all three hold; each sees of it what it has applied.
+// data is the log that all three stores share; each store sees the part that it has applied.
 var data = struct {
 	sync.Mutex
 	entries map[string][]entry
 	last    int64
 }{entries: map[string][]entry{}}
 
-// store is one of the three.
+// store is one of the three stores.
 type store struct {
 	id, addr string
 	lag      time.Duration
@@ -54,7 +55,7 @@
 	writes = regexp.MustCompile(`(?i)^\s*INSERT\s+INTO\s+entries\s*\(ref,\s*payload\)\s*VALUES\s*\('([^']*)',\s*'([^']*)'\)`)
 )
 
-// run answers one statement; an error's text is its SQLSTATE.
+// run executes one statement. The text of the error is its SQLSTATE.
 func (s *store) run(text string) (value, tag string, position int64, err error) {
 	if end := strings.Index(text, "*/"); strings.HasPrefix(text, "/*") && end > 0 {
 		text = text[end+2:]
@@ -68,7 +69,7 @@
 	case m != nil && !s.primary:
 		return "", "", position, errors.New(pgwire.ReadOnlyTransaction)
 	case m != nil:
-		data.last = max(time.Now().UnixMilli()+1, data.last) // commits are told rounded up
+		data.last = max(time.Now().UnixMilli()+1, data.last) // The position of a commit is rounded up.
 		data.entries[m[1]] = append(data.entries[m[1]], entry{data.last, m[2]})
 		return m[2], "INSERT 0 1", data.last, nil
 	}
@@ -129,7 +130,7 @@
 	}
 }
 
-// message reads one message whose header, up to and with its length, fits head.
+// message reads one message into head, which ends with the length field, and returns the body.
 func message(r io.Reader, head []byte) ([]byte, error) {
 	if _, err := io.ReadFull(r, head); err != nil {
 		return nil, err
--- a/example/toybolt/main.go
+++ b/example/toybolt/main.go
@@ -1,5 +1,6 @@
-// Command toybolt is a toy graph database for trying Bolt out: a primary, two replicas that are 200 ms behind, and their
-// discovery. Statements that begin with CREATE, MERGE, SET or DELETE write; "RETURN range(1, N)" has N records.
+// Command toybolt is a graph database for trying out the router over Bolt: a primary, two replicas that are 200 ms
+// behind, and the discovery service that lists them. Statements that begin with CREATE, MERGE, SET or DELETE write;
+// "RETURN range(1, N)" returns N records.
 package main
 
 import (
--- a/internal/bolt/bolt_test.go
+++ b/internal/bolt/bolt_test.go
@@ -34,7 +34,7 @@
 	} {
 		for n := range 20 {
 			if _, size, err := Handshake(c.in[:n]); size != 0 || err != nil {
-				t.Errorf("%x: %d bytes are enough, %v", c.in, n, err)
+				t.Errorf("%x: accepted with %d bytes, %v", c.in, n, err)
 			}
 		}
 		if v, size, err := Handshake(append(c.in, 1)); v != c.want || size != 20 || err != nil {
@@ -43,7 +43,7 @@
 	}
 	for _, in := range []string{"G", "GET / HTTP/1.1\r\n\r\n", "\x60\x60\xb0\x16"} {
 		if _, _, err := Handshake([]byte(in)); err == nil {
-			t.Errorf("%q is taken", in)
+			t.Errorf("%q was accepted", in)
 		}
 	}
 	if v, n, err := ReadChosenVersion(append(AppendVersion(nil, MakeVersion(5, 7)), 0)); v != MakeVersion(5, 7) || n != 5 || err != nil {
@@ -51,7 +51,7 @@
 	}
 	for _, bad := range [][]byte{append(AppendVersion(nil, MakeVersion(5, 9)), 0), append(AppendVersion(nil, MakeVersion(5, 7)), 1)} {
 		if _, _, err := ReadChosenVersion(bad); err == nil {
-			t.Errorf("%x is taken", bad)
+			t.Errorf("%x was accepted", bad)
 		}
 	}
 	if m := AppendManifest(nil); !bytes.Equal(m, []byte{0, 0, 1, 0xff, 2, 0, 8, 8, 5, 0, 0, 4, 4, 0}) {
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestChunks: a message is the same however it is cut and however it comes in; hostile sizes end it.
+// TestChunks checks that a message is read the same for any division into chunks and into reads, and that sizes above the
+// bound are rejected.
 func TestChunks(t *testing.T) {
 	body := []byte(strings.Repeat("0123456789", 20_000))
 	for _, n := range []int{1, 65534, 65535, 65536, 131070, 131071, 200_000} {
@@ -84,14 +85,14 @@
 		t.Errorf("chunks of one byte: %d bytes, %v", len(got), err)
 	}
 	if body, size, err := r.Next([]byte{0, 0, 0, 0}); body != nil || size != 2 || err != nil {
-		t.Errorf("a chunk that means nothing: %q %d %v", body, size, err)
+		t.Errorf("empty chunk: %q %d %v", body, size, err)
 	}
 	if _, _, err := r.Next([]byte{0xff, 0xff}); err == nil {
-		t.Error("a message past the bound is waited for")
+		t.Error("a message above the size limit was not rejected")
 	}
 	r = Reader{MaxSize: 1000}
 	if _, _, err := r.Next(append(AppendRaw(nil, body[:990])[:992], 0, 11)); err == nil {
-		t.Error("a message past the bound in its second chunk is waited for")
+		t.Error("a message above the size limit in its second chunk was not rejected")
 	}
 }
 
@@ -125,25 +126,25 @@
 	}
 	v = NewDecoder(b)
 	if v.Map() != 2 || string(v.String()) != "list" || v.List() != 3 {
-		t.Error("heads")
+		t.Error("heads of the map, its key and the list were not decoded")
 	}
 	v.Skip()
 	if !v.Bool() || v.Float() != 1.5 || string(v.String()) != "node" {
-		t.Error("values")
+		t.Error("values after the list were not decoded")
 	}
 	if tag, n := v.Struct(); tag != 'N' || n != 1 || v.Int() != 7 || v.Kind() != None || v.Err() != nil {
-		t.Error("structure")
+		t.Error("structure was not decoded")
 	}
 	for _, bad := range []string{"", "\xd2\xff\xff\xff\xff", "\xd6\xff\xff\xff\xff", "\xda\x7f\xff\xff\xff\x01", "\xb5", "\xc4", "\xdf", "\x91", "\xcb\x00", "\x85abcd",
 		strings.Repeat("\x91", 100_000), strings.Repeat("\xa1\x81k", 100_000)} {
 		v := NewDecoder([]byte(bad))
 		if got := v.Skip(); got != nil || v.Err() == nil {
-			t.Errorf("%.20q is taken", bad)
+			t.Errorf("%.20q was accepted", bad)
 		}
 	}
 	v = NewDecoder([]byte{1})
 	if v.String(); v.Err() == nil || v.Kind() != None {
-		t.Error("a number is taken for a string")
+		t.Error("an integer was decoded as a string")
 	}
 }
 
@@ -178,7 +179,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	for name, extra := range map[string]func(dst []byte) []byte{
-		"no profile": func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "db", "3") },
+		"no class": func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "db", "3") },
 		"no time": func(b []byte) []byte {
 			return AppendPair(AppendMap(AppendString(AppendMap(b, 1), "tx_metadata"), 1), "c", "x")
 		},
@@ -198,17 +199,17 @@
 		}
 	}
 	for what, body := range map[string][]byte{
-		"no structure":    {0x01},
-		"an answer":       {0xb1, 0x70, 0xa0},
-		"too few fields":  {0xb1, 0x10, 0x80},
-		"bytes behind":    {0xb0, 0x12, 0x00},
-		"n is 0":          {0xb1, 0x3f, 0xa1, 0x81, 'n', 0},
-		"mode is x":       runMessage("", func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "mode", "x") }),
-		"parameters":      {0xb3, 0x10, 0x80, 0x90, 0xa0},
-		"a lying map":     {0xb1, 0x11, 0xda, 0x7f, 0xff, 0xff, 0xff},
-		"negative time":   runMessage("", func(b []byte) []byte { return AppendInt(AppendString(AppendMap(b, 1), "tx_timeout"), -1) }),
-		"nothing at all":  {},
-		"unknown request": {0xb0, 0x55},
+		"no structure":       {0x01},
+		"a response":         {0xb1, 0x70, 0xa0},
+		"too few fields":     {0xb1, 0x10, 0x80},
+		"trailing bytes":     {0xb0, 0x12, 0x00},
+		"n is 0":             {0xb1, 0x3f, 0xa1, 0x81, 'n', 0},
+		"mode is x":          runMessage("", func(b []byte) []byte { return AppendPair(AppendMap(b, 1), "mode", "x") }),
+		"parameters":         {0xb3, 0x10, 0x80, 0x90, 0xa0},
+		"map size too large": {0xb1, 0x11, 0xda, 0x7f, 0xff, 0xff, 0xff},
+		"negative time":      runMessage("", func(b []byte) []byte { return AppendInt(AppendString(AppendMap(b, 1), "tx_timeout"), -1) }),
+		"empty body":         {},
+		"unknown request":    {0xb0, 0x55},
 	} {
 		if r, err := ReadRequest(body); err == nil {
 			t.Errorf("%s is read as %+v", what, r)
@@ -254,7 +255,7 @@
 	}
 }
 
-// TestStates walks the published state machine.
+// TestStates walks through the state machine of the specification.
 func TestStates(t *testing.T) {
 	type step struct {
 		what    MessageType
@@ -269,7 +270,7 @@
 		v     Version
 		steps []step
 	}{
-		"logon apart": {MakeVersion(5, 4), []step{{Run, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Authentication}, {Logon, true, false, 0, true, false, Ready},
+		"separate logon": {MakeVersion(5, 4), []step{{Run, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Authentication}, {Logon, true, false, 0, true, false, Ready},
 			{Run, true, false, 0, true, false, Streaming}, {BeginTx, true, false, 0, false, false, 0}, {Pull, true, true, 0, true, false, Streaming},
 			{Pull, true, false, 0, true, false, Ready}, {Telemetry, true, false, 0, true, false, Ready}, {Logoff, true, false, 0, true, false, Authentication}}},
 		"failure": {MakeVersion(4, 4), []step{{Logon, true, false, 0, false, false, 0}, {Hello, true, false, 0, true, false, Ready}, {Run, false, false, 0, true, false, Failed},
@@ -295,7 +296,8 @@
 	}
 }
 
-// FuzzParsers: no input makes a parser give more than came, or what it gave before more came.
+// FuzzParsers checks that no input makes a parser return more than it was given, or return a message differently if it
+// arrives byte by byte.
 func FuzzParsers(f *testing.F) {
 	f.Add(proposals(MakeVersion(5, 4)))
 	f.Add(AppendRaw(nil, runMessage("MATCH (n) RETURN n", appendTestExtra)))
@@ -312,7 +314,7 @@
 			}
 			var piece []byte
 			took := 0
-			for n := at; n <= len(in) && took == 0; n++ { // the same byte by byte
+			for n := at; n <= len(in) && took == 0; n++ { // Feeds the same bytes one at a time.
 				if piece, took, err = again.Next(in[at:n]); err != nil {
 					t.Fatalf("in pieces: %v", err)
 				}
--- a/internal/bolt/chunk.go
+++ b/internal/bolt/chunk.go
@@ -1,6 +1,6 @@
-// Package bolt reads and writes the Bolt protocol, versions 4.4 and 5.0 to 5.8, and PackStream, which its messages
-// are made of, from the published specification. Its parsers are incremental and bounded: they are given all that
-// has come in so far, copy nothing that they need not, and believe no size until as many bytes can be there.
+// Package bolt reads and writes the Bolt protocol, versions 4.4 and 5.0 to 5.8, and PackStream, the encoding of its
+// messages, as the published specification describes them. The parsers are incremental and bounded: they are given all
+// bytes received so far, copy only what they have to, and don't rely on a size until that many bytes can be there.
 package bolt
 
 import (
@@ -8,35 +8,40 @@
 	"errors"
 )
 
-// Magic is what a client begins with.
+// Magic is the number that opens a client's handshake.
 const Magic = 0x6060B017
 
+// Errors of the handshake and of Reader.
 var (
 	errNoHandshake    = errors.New("no Bolt handshake")
 	errMessageTooLong = errors.New("message is longer than allowed")
 )
 
-// Manifest is the proposal by which a client asks for the list of versions instead of naming some.
+// Manifest is the version proposal with which a client asks for the list of versions instead of naming some.
 const Manifest Version = 0x000001FF
 
-// Version is one version as the handshake has it, with the last proposed one's range in its second byte.
+// Version is a protocol version in the encoding of the handshake: the major version in the lowest byte, the minor
+// version in the second. In a proposal the third byte holds how many minor versions below it are proposed as well.
 type Version uint32
 
-// MakeVersion gives the version major.minor.
+// MakeVersion returns the version major.minor.
 func MakeVersion(major, minor int) Version { return Version(minor<<8 | major) }
 
+// Major returns the major version.
 func (v Version) Major() int { return int(v & 0xff) }
+
+// Minor returns the minor version.
 func (v Version) Minor() int { return int(v >> 8 & 0xff) }
 
-// minorRange is how many minor versions below its own a proposal means as well.
+// minorRange returns how many minor versions below its own a proposal includes.
 func (v Version) minorRange() int { return int(v >> 16 & 0xff) }
 
-// Spoken is what this package speaks, the best first.
+// SupportedVersions lists the versions that this package supports, the most preferred first.
 var SupportedVersions = []Version{MakeVersion(5, 8), MakeVersion(5, 7), MakeVersion(5, 6), MakeVersion(5, 5), MakeVersion(5, 4), MakeVersion(5, 3), MakeVersion(5, 2), MakeVersion(5, 1), MakeVersion(5, 0), MakeVersion(4, 4)}
 
-// Handshake takes a client's opening: the magic number and four proposals. It gives the first proposal's best version
-// that is spoken here, Manifest if that is asked for before any of them, 0 if none is spoken; size is 0 if more is
-// needed.
+// Handshake parses a client's handshake, the magic number and four proposals. It returns the best supported version of
+// the first proposal that has one, Manifest if a proposal before that asks for it, or 0 if no proposed version is
+// supported. size is 0 if more bytes are needed. It returns an error if buf doesn't begin with the magic number.
 func Handshake(buf []byte) (v Version, size int, err error) {
 	for i := range min(len(buf), 4) {
 		if buf[i] != byte(uint32(Magic)>>(24-8*i)) {
@@ -60,12 +65,13 @@
 	return 0, 20, nil
 }
 
-// AppendVersion writes the version that was chosen, 0 for none.
+// AppendVersion appends the server's choice of a version; 0 means none.
 func AppendVersion(dst []byte, v Version) []byte {
 	return binary.BigEndian.AppendUint32(dst, uint32(v))
 }
 
-// AppendManifest answers a client that asked for the list: Manifest, how many ranges, the ranges, no capabilities.
+// AppendManifest appends the response to a client that asked for the list of versions: Manifest, the number of ranges,
+// the ranges, and an empty set of capabilities.
 func AppendManifest(dst []byte) []byte {
 	dst = AppendVersion(dst, Manifest)
 	dst = append(dst, 2)
@@ -74,8 +80,9 @@
 	return append(dst, 0)
 }
 
-// ReadChosenVersion takes a client's answer to the manifest: one version, and the capabilities it takes up, of which there are
-// none. size is 0 if more is needed.
+// ReadChosenVersion parses a client's response to the manifest: one version, and the capabilities that it accepts, of
+// which none are offered. size is 0 if more bytes are needed. It returns an error if the client chose a version or a
+// capability that was not offered.
 func ReadChosenVersion(buf []byte) (v Version, size int, err error) {
 	if len(buf) < 5 {
 		return 0, 0, nil
@@ -92,7 +99,7 @@
 	return 0, 0, errors.New("a version was chosen that was not offered")
 }
 
-// AppendHandshake writes a front's opening to a store: all that is spoken here, as ranges.
+// AppendHandshake appends the handshake that a front sends to a store: all supported versions, as ranges.
 func AppendHandshake(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, Magic)
 	dst = AppendVersion(dst, MakeVersion(5, 8)|8<<16)
@@ -101,19 +108,20 @@
 	return AppendVersion(dst, 0)
 }
 
-// Reader finds messages in a stream of chunks. It remembers how far it has looked, so that chunks of one byte do not
-// make it look again at all that came before.
+// Reader finds messages in a stream of chunks. It remembers how far it has scanned, so that a message in chunks of one
+// byte isn't scanned from its start again on each call.
 type Reader struct {
-	MaxSize  int // bytes of a message with its headers
-	scanned  int // bytes of the present message that were looked at, with their headers
-	bodySize int // bytes of its body among them
-	chunks   int
-	joined   []byte // the body, once it stands in more than one chunk
+	MaxSize  int    // Limit of a message's size in bytes, chunk headers included.
+	scanned  int    // Bytes of the current message that were scanned, chunk headers included.
+	bodySize int    // Bytes of the body among them.
+	chunks   int    // Number of chunks among them.
+	joined   []byte // The body of a message that has more than one chunk.
 }
 
-// Next takes the next message off the front of buf, which holds all that came and was not taken yet: its body and the
-// size of it with its headers, 0 if more is needed. Chunks that mean nothing are taken with an empty body. The
-// body is good until the next call.
+// Next returns the body of the next message in buf, which holds all bytes received and not consumed yet, and the size of
+// the message with its chunk headers, or 0 if more bytes are needed. An empty chunk between messages (a NOOP) is returned
+// as a message with an empty body. The body is valid until the next call. Next returns an error if the message is longer
+// than MaxSize.
 func (r *Reader) Next(buf []byte) (body []byte, size int, err error) {
 	for len(buf) >= r.scanned+2 {
 		n := int(binary.BigEndian.Uint16(buf[r.scanned:]))
@@ -128,13 +136,13 @@
 			r.scanned, r.bodySize, r.chunks = 0, 0, 0
 			return body, size, nil
 		}
-		if r.scanned+2+n+2 > r.MaxSize { // Danger: to chunks of one byte come two of header, and all must fit the ring
+		if r.scanned+2+n+2 > r.MaxSize { // Counts headers: a chunk of one byte has two bytes of header, and all must fit the ring.
 			return nil, 0, errMessageTooLong
 		}
 		if len(buf) < r.scanned+2+n {
 			return nil, 0, nil
 		}
-		if r.chunks == 1 { // what was one chunk so far
+		if r.chunks == 1 { // The second chunk: the first was not copied yet.
 			r.joined = append(r.joined[:0], buf[2:2+r.bodySize]...)
 		}
 		if r.chunks > 0 {
@@ -147,24 +155,25 @@
 	return nil, 0, nil
 }
 
-// Free gives back what a long message has left behind.
+// Free releases the buffer that a long message was joined in.
 func (r *Reader) Free() { r.joined = nil }
 
+// maxChunkSize is the largest size of a chunk's body in bytes.
 const maxChunkSize = 0xffff
 
-// BeginMessage starts a message on dst; End, given what Begin gave, puts its chunk headers in.
+// BeginMessage starts a message on dst and returns its start, which EndMessage needs to fill in the chunk headers.
 func BeginMessage(dst []byte) ([]byte, int) { return append(dst, 0, 0), len(dst) }
 
-// EndMessage ends the message that starts at at. One longer than a chunk is cut into several.
+// EndMessage ends the message that starts at at. It splits a message longer than one chunk into several.
 func EndMessage(dst []byte, at int) []byte {
 	n := len(dst) - at - 2
 	if n <= maxChunkSize {
 		binary.BigEndian.PutUint16(dst[at:], uint16(n))
 		return append(dst, 0, 0)
 	}
-	more := (n - 1) / maxChunkSize // headers beside the first
+	more := (n - 1) / maxChunkSize // Number of headers besides the first.
 	dst = append(dst, make([]byte, 2*more)...)
-	for k := more; k > 0; k-- { // from the last chunk on, each moved up by the headers before it
+	for k := more; k > 0; k-- { // From the last chunk backwards, moves each up by the size of the headers before it.
 		from := at + 2 + k*maxChunkSize
 		part := min(n-k*maxChunkSize, maxChunkSize)
 		copy(dst[from+2*k:from+2*k+part], dst[from:from+part])
@@ -174,7 +183,7 @@
 	return append(dst, 0, 0)
 }
 
-// AppendRaw writes a message whose body is there already.
+// AppendRaw appends a message with an encoded body.
 func AppendRaw(dst, body []byte) []byte {
 	dst, at := BeginMessage(dst)
 	return EndMessage(append(dst, body...), at)
--- a/internal/bolt/dialogue.go
+++ b/internal/bolt/dialogue.go
@@ -1,62 +1,64 @@
 package bolt
 
-// Dialogue follows what one client asks, message by message, while a front stands between it and a store. Clients
-// write ahead: a whole transaction may have come before its first answer. The dialogue says what is answered here,
-// what begins a job, what may be passed on to the store already and what has to wait, and it keeps the answers in
-// the order of the questions. It does no I/O.
+// Dialogue tracks the state of one client's connection, message by message, while a front stands between the client and a
+// store. Clients pipeline: a whole transaction can arrive before the first response is sent. A Dialogue decides which
+// messages the front answers itself, which message starts a request, which messages may be forwarded to the store
+// already and which have to wait, and it keeps the responses in the order of the messages. It does no I/O.
 type Dialogue struct {
 	version    Version
-	state      State // that the client knows of
-	stateAhead State // once all that was passed on is answered well
+	state      State // State that the client knows of.
+	stateAhead State // State once all forwarded messages have succeeded.
 
-	queue        []queuedMessage // messages of the job in hand, the oldest first
-	sent         int             // of them, passed on to the store that has the job now
-	responded    int             // of them, answered by the store
-	delivered    int             // of those, answered to the client
-	openResults  int             // results of the transaction that would be open then
-	undetermined bool            // the state behind what was passed on hangs on its answer
+	queue        []queuedMessage // Messages of the current request, the oldest first.
+	sent         int             // Number of them forwarded to the current store.
+	responded    int             // Number of them answered by the store.
+	delivered    int             // Number of those whose responses the client was sent.
+	openResults  int             // Open results of the transaction in stateAhead.
+	undetermined bool            // stateAhead depends on a response that is still due.
 	active       bool
 	inTx         bool
-	noOpSize     int // bytes that meant nothing, in front of the next message
+	noOpSize     int // Bytes of empty chunks in front of the next message.
 }
 
-// queuedMessage is one message of the job in hand.
+// queuedMessage is a message of the current request.
 type queuedMessage struct {
 	messageType MessageType
-	all         bool // PULL or DISCARD of all that there is
-	size        int  // of it in the stream, with what stood before it
+	all         bool // A PULL or DISCARD without a limit.
+	size        int  // Bytes in the stream, with the empty chunks before it.
 }
 
-// MostAhead bounds the messages of a job that are kept before they are answered. What comes past it waits where it is.
+// MaxPipelined is the largest number of a request's messages that are queued before they are answered. Messages beyond it
+// stay in the input buffer.
 const MaxPipelined = 64
 
-// Action is what is to be done with a message.
+// Action is what the front does with a message.
 type Action uint8
 
+// The actions that Dialogue.Request returns.
 const (
-	Reply        Action = iota // answer it here: it was carried out
-	Ignore                     // answer it with IGNORED
-	Reject                     // answer it with FAILURE and end the connection
-	StartRequest               // it begins a job, and is kept
-	Enqueue                    // it belongs to the job in hand, and is kept
-	Abort                      // RESET while a job is in hand: give it up, and answer as Aborted tells
-	Disconnect                 // the client says goodbye
-	Wait                       // no room for it: ask again when something was answered
+	Reply        Action = iota // The front answers it, with SUCCESS if it succeeds.
+	Ignore                     // Answer it with IGNORED.
+	Reject                     // Answer it with FAILURE and close the connection.
+	StartRequest               // It starts a request, and is queued.
+	Enqueue                    // It belongs to the current request, and is queued.
+	Abort                      // RESET during a request: cancel it, and answer as Aborted says.
+	Disconnect                 // GOODBYE: the client closes the connection.
+	Wait                       // The queue is full: pass it again after the next response.
 )
 
-// NewDialogue begins where the handshake has ended.
+// NewDialogue returns a Dialogue for a connection of version v whose handshake is complete.
 func NewDialogue(v Version) *Dialogue { return &Dialogue{version: v, state: InitialState(v)} }
 
-// State is what the client knows of.
+// State returns the state of the connection as the client knows it.
 func (d *Dialogue) State() State { return d.state }
 
-// Busy tells that a job is in hand.
+// Busy reports whether a request is in progress.
 func (d *Dialogue) Busy() bool { return d.active }
 
-// InTransaction tells whether the job in hand is one.
+// InTransaction reports whether the current request is an explicit transaction.
 func (d *Dialogue) InTransaction() bool { return d.active && d.inTx }
 
-// Request takes the next message, which took size bytes of the stream.
+// Request handles the client's next message, which took size bytes of the stream.
 func (d *Dialogue) Request(r Request, size int) Action {
 	if r.Type == Goodbye {
 		return Disconnect
@@ -87,13 +89,13 @@
 	return Reply
 }
 
-// Replied takes in that a message that is answered here was carried out, or failed.
+// Replied records that the front answered a message itself; ok is false if the message failed.
 func (d *Dialogue) Replied(w MessageType, ok bool) { d.state = d.state.After(w, ok, false, 0) }
 
-// NoOp counts bytes of the stream that mean nothing to what is asked next.
+// NoOp counts size bytes of empty chunks in front of the next message.
 func (d *Dialogue) NoOp(size int) { d.noOpSize += size }
 
-// Span is where message i of the job stands, from the job's first byte on.
+// Span returns where message i of the request begins and ends, in bytes from the start of the request.
 func (d *Dialogue) Span(i int) (from, to int) {
 	for _, m := range d.queue[:i] {
 		from += m.size
@@ -101,22 +103,22 @@
 	return from, from + d.queue[i].size
 }
 
-// Next gives which message of the job may be passed on to the store now: those that the protocol allows if all before
-// it end well. Danger: what is sense only after one answer must not be passed on before it; a store would end the
-// connection, and count as broken for it.
+// Next returns the message of the request that may be forwarded to the store now: one that the protocol allows if all
+// messages before it succeed. A message that is valid only after a certain response must not be forwarded before that
+// response; otherwise the store would close the connection and be counted as broken.
 func (d *Dialogue) Next() (i int, w MessageType, ok bool) {
 	if !d.active || d.sent == len(d.queue) || d.undetermined {
 		return 0, 0, false
 	}
 	w = d.queue[d.sent].messageType
-	if d.sent > 0 && d.stateAhead == Ready { // the job ends before it
+	if d.sent > 0 && d.stateAhead == Ready { // The request ends before it.
 		return 0, 0, false
 	}
 	carried, _ := d.stateAhead.Accepts(d.version, w)
 	return d.sent, w, carried
 }
 
-// MarkSent takes in that the message that Next gave was passed on.
+// MarkSent records that the message that Next returned was forwarded.
 func (d *Dialogue) MarkSent() {
 	m := d.queue[d.sent]
 	d.sent++
@@ -131,8 +133,8 @@
 	d.stateAhead = d.stateAhead.After(m.messageType, true, d.undetermined, d.openResults)
 }
 
-// Invalid tells that the next message makes no sense where all before it are answered: the client has broken the
-// protocol.
+// Invalid reports whether all messages before the next one are answered and the next one is not allowed then: the client
+// has violated the protocol.
 func (d *Dialogue) Invalid() bool {
 	if !d.active || d.responded < d.sent || d.sent == len(d.queue) || d.undetermined {
 		return false
@@ -141,7 +143,7 @@
 	return !ok
 }
 
-// Awaiting is the message that the store's next answer is to; false: it owes none.
+// Awaiting returns the message that the store's next response belongs to; ok is false if no response is due.
 func (d *Dialogue) Awaiting() (w MessageType, ok bool) {
 	if d.responded == d.sent {
 		return 0, false
@@ -149,9 +151,10 @@
 	return d.queue[d.responded].messageType, true
 }
 
-// Responded takes in that the store has answered Asked, and not with a record. It returns hold if the answer should be
-// kept back: as long as the client has seen nothing of a request another store may still have it, and the client waits
-// for more anyway, since it has asked already; and over if the request is complete.
+// Responded records the store's response to the message that Awaiting returns, unless it is a record. hold reports
+// whether the response should be held back: until the client has seen a response, another store can still take the
+// request, and the client has already sent further messages and waits for their responses anyway. over reports whether
+// the request is complete.
 func (d *Dialogue) Responded(ok, more bool) (hold, over bool) {
 	m := d.queue[d.responded]
 	d.responded++
@@ -170,22 +173,22 @@
 	return (m.messageType == Run || m.messageType == BeginTx) && d.responded < len(d.queue), d.state == Ready
 }
 
-// Restart takes in that an attempt ended before the client saw anything of it, and that another store is to have the
-// request from its beginning.
+// Restart records that an attempt ended before the client saw any of it, and that another store gets the request from its
+// beginning.
 func (d *Dialogue) Restart() {
 	d.state, d.stateAhead = Ready, Ready
 	d.sent, d.responded, d.delivered, d.openResults, d.undetermined = 0, 0, 0, 0, false
 }
 
-// Fail ends the job with a failure that the front words itself, in answer to the oldest message without one.
+// Fail ends the request with a failure from the front, as the response to the oldest message without one.
 func (d *Dialogue) Fail() {
 	d.responded = min(d.delivered+1, len(d.queue))
 	d.state = Failed
 }
 
-// Delivered takes in that the client has been sent all that the store has answered, and returns the size of that in the
-// stream, in bytes. No other store can have the request from now on, so what was answered need not be kept. Danger: a
-// long result is pulled in more pieces than are kept.
+// Delivered records that the client was sent all that the store has responded, and returns the size in the stream of the
+// messages answered that way, in bytes. No other store can take the request from now on, so the answered messages are
+// dropped. Without this, a long result would fail: it is pulled with more messages than MaxPipelined.
 func (d *Dialogue) Delivered() (size int) {
 	for _, m := range d.queue[:d.responded] {
 		size += m.size
@@ -196,19 +199,19 @@
 	return size
 }
 
-// ClientWaiting tells that the client has asked something that it was not answered.
+// ClientWaiting reports whether the client has sent a message that was not answered.
 func (d *Dialogue) ClientWaiting() bool { return d.active && d.delivered < len(d.queue) }
 
-// Aborted ends the job by RESET and gives how many of its messages are answered with IGNORED before RESET is with
-// SUCCESS.
+// Aborted ends the request because of a RESET and returns how many of its messages have to be answered with IGNORED before
+// the RESET is answered with SUCCESS.
 func (d *Dialogue) Aborted() (ignored int) {
 	ignored = len(d.queue) - d.delivered
 	d.responded, d.state = len(d.queue), Ready
 	return ignored
 }
 
-// Release ends the job in hand and gives how many bytes of the stream are done with. What came behind them is asked
-// anew.
+// Release ends the current request and returns how many bytes of the stream are consumed. The messages behind them have
+// to be passed to Request again.
 func (d *Dialogue) Release() (size int) {
 	for _, m := range d.queue[:d.responded] {
 		size += m.size
@@ -217,8 +220,8 @@
 	return size
 }
 
-// AppendSummary writes a store's SUCCESS on to a client: its metadata without what the store says of itself to the
-// front, and with the bookmark given, if one is.
+// AppendSummary appends a store's SUCCESS as the client gets it: its metadata without the keys that only the front reads,
+// and with the given bookmark unless it is nil.
 func AppendSummary(dst, fields []byte, bookmark []byte) ([]byte, error) {
 	v := NewDecoder(fields)
 	n := 0
@@ -248,23 +251,24 @@
 	return EndMessage(dst, at), nil
 }
 
-// isInternalKey tells what a client is not shown, or shown in another form.
+// isInternalKey reports whether a metadata key is withheld from clients or replaced.
 func isInternalKey(key []byte) bool {
 	switch string(key) {
 	case "role", "applied_ms", "load":
 		return true
 	}
-	return string(key) == "bookmark" // one of a store's own would be none that a front can read
+	return string(key) == "bookmark" // A store's own bookmark is not one that a front can read.
 }
 
-// Report is what a store says of itself in a summary.
+// Report is the state that a store reports in the metadata of a summary.
 type Report struct {
-	Primary, Replica bool
-	Position         int64 // Unix tenths of a millisecond; 0: not said
-	Load             []byte
+	Primary  bool  // The store reports the role of primary.
+	Replica  bool  // The store reports the role of replica.
+	Position int64 // Log position in Unix tenths of a millisecond; 0 if unknown.
+	Load     []byte
 }
 
-// ReadReport reads a summary's metadata. What cannot be read says nothing.
+// ReadReport reads the metadata of a summary. It returns the zero Report if the metadata is malformed.
 func ReadReport(fields []byte) (r Report) {
 	v := NewDecoder(fields)
 	readMap(&v, func(key []byte) {
--- a/internal/bolt/dialogue_test.go
+++ b/internal/bolt/dialogue_test.go
@@ -26,7 +26,7 @@
 	if a := d.Request(Request{Type: Commit}, 1); a != Reject {
 		t.Errorf("COMMIT without a transaction: %d", a)
 	}
-	// A whole transaction ahead, and a statement behind it.
+	// A pipelined transaction, and a statement behind it.
 	for i, w := range []MessageType{BeginTx, Run, Pull, Commit, Run} {
 		want := Enqueue
 		if i == 0 {
@@ -42,7 +42,7 @@
 		d.MarkSent()
 	}
 	if fmt.Sprint(sent) != "[BEGIN RUN PULL COMMIT]" || !d.InTransaction() {
-		t.Errorf("passed on: %v", sent)
+		t.Errorf("forwarded: %v", sent)
 	}
 	holds := ""
 	for range 4 {
@@ -53,72 +53,73 @@
 		t.Errorf("held and over: %s, state %d", holds, d.State())
 	}
 	if n := d.Release(); n != 40 || d.Busy() {
-		t.Errorf("%d bytes are done with", n)
+		t.Errorf("%d bytes were released", n)
 	}
-	// Results in pieces: what follows hangs on the answer.
+	// A result in pieces: what may follow depends on the response.
 	d.Request(Request{Type: Run, Limit: -1}, 1)
 	d.Request(Request{Type: Pull, Limit: 5}, 1)
 	d.Request(Request{Type: Pull, Limit: 5}, 1)
 	d.MarkSent()
 	d.MarkSent()
 	if _, _, ok := d.Next(); ok {
-		t.Error("a second PULL is passed on before the first is answered")
+		t.Error("a second PULL is forwarded before the first is answered")
 	}
 	d.Responded(true, false)
 	if _, over := d.Responded(true, true); over || d.State() != Streaming {
-		t.Error("more is to come")
+		t.Error("the request is over although the result has more records")
 	}
 	if _, w, ok := d.Next(); !ok || w != Pull {
-		t.Error("the second PULL waits for ever")
+		t.Error("the second PULL is not forwarded after the response")
 	}
 	d.MarkSent()
 	if _, over := d.Responded(true, false); !over || d.Release() != 3 {
-		t.Error("the end of a result is no end")
+		t.Error("the request is not over after the end of the result")
 	}
-	// A failure, what was written ahead, RESET.
+	// A failure, the messages pipelined behind it, RESET.
 	d.Request(Request{Type: Run, Limit: -1}, 1)
 	d.Request(Request{Type: Pull, Limit: -1}, 1)
 	d.MarkSent()
 	d.Fail()
 	if d.Release() != 1 || d.Request(Request{Type: Pull, Limit: -1}, 1) != Ignore || d.Request(Request{Type: Reset}, 1) != Reply {
-		t.Error("behind a failure")
+		t.Error("wrong handling of messages after a failure")
 	}
 	d.Replied(Reset, true)
 	d.Request(Request{Type: BeginTx, Limit: -1}, 1)
 	d.Request(Request{Type: Run, Limit: -1}, 1)
 	if d.Request(Request{Type: Reset}, 1) != Abort || d.Aborted() != 2 || d.Release() != 2 || d.State() != Ready {
-		t.Error("RESET in a job")
+		t.Error("wrong handling of RESET during a request")
 	}
-	// Nonsense inside a job, and more than is kept.
+	// An invalid message inside a request, and more messages than MaxPipelined.
 	d.Request(Request{Type: BeginTx, Limit: -1}, 1)
 	d.Request(Request{Type: Pull, Limit: -1}, 1)
 	d.MarkSent()
 	if d.Invalid() {
-		t.Error("stuck before BEGIN is answered")
+		t.Error("the next message is invalid before BEGIN is answered")
 	}
 	if d.Responded(true, false); !d.Invalid() {
-		t.Error("PULL without a result makes sense")
+		t.Error("PULL without a result was accepted")
 	}
 	for range MaxPipelined {
 		d.Request(Request{Type: Run, Limit: -1}, 1)
 	}
 	if a := d.Request(Request{Type: Run, Limit: -1}, 1); a != Wait {
-		t.Errorf("without bound: %d", a)
+		t.Errorf("more than MaxPipelined messages: action %d", a)
 	}
 }
 
-// TestDialogueAgainstStateMachine: whatever clients ask, in whatever pieces stores answer, only what the published state
-// machine takes is passed on, in its order, and each message kept has one answer in the end.
+// TestDialogueAgainstStateMachine checks that, whatever clients send and however stores divide their responses, only
+// messages that the specification's state machine accepts are forwarded, in their order, and that each queued message gets
+// one response in the end.
 func TestDialogueAgainstStateMachine(t *testing.T) {
 	done := 0
 	rapid.Check(t, func(t *rapid.T) {
 		d := newReadyDialogue(t)
-		store, open := Ready, 0 // the store's own view
+		store, open := Ready, 0 // State and open results of the model store.
 		asked, answers := 0, 0
 		owed := []modelMessage{}
 		for _, op := range rapid.SliceOfN(rapid.IntRange(0, 1<<12), 100, 400).Draw(t, "ops") {
 			switch {
-			case op%4 < 2: // the client asks
+			case op%4 < 2: // The client sends a message.
 				w := []MessageType{Run, Pull, Pull, Discard, BeginTx, Commit, Rollback, Run}[op/4%8]
 				many := int64(-1)
 				if op&512 != 0 {
@@ -130,24 +131,24 @@
 				case Enqueue:
 					asked++
 				}
-			case op%4 == 2: // the front passes on
+			case op%4 == 2: // The front forwards a message.
 				if _, w, ok := d.Next(); ok {
 					s := store
 					n := open
-					for _, o := range owed { // as the store will see it
+					for _, o := range owed { // The state in which the store will get the message.
 						s, n = o.after(s, n, o.all)
 					}
 					m := modelMessage{w, d.queue[d.sent].all}
 					if carried, _ := s.Accepts(MakeVersion(5, 4), w); !carried {
-						t.Fatalf("%v is passed on to a store in state %d", w, s)
+						t.Fatalf("%v was forwarded to a store in state %d", w, s)
 					}
 					d.MarkSent()
 					owed = append(owed, m)
 				}
-			case len(owed) > 0: // the store answers
+			case len(owed) > 0: // The store responds.
 				w, ok := d.Awaiting()
 				if !ok || w != owed[0].messageType {
-					t.Fatalf("the answer to %v is taken for one to %v", owed[0].messageType, w)
+					t.Fatalf("the response to %v was matched to %v", owed[0].messageType, w)
 				}
 				more := (w == Pull || w == Discard) && !owed[0].all && op&1024 != 0
 				store, open = owed[0].after(store, open, !more)
@@ -170,11 +171,11 @@
 		}
 	})
 	if done < 20 {
-		t.Errorf("only %d jobs came to their end", done)
+		t.Errorf("only %d requests completed", done)
 	}
 }
 
-// modelMessage is what the model's store was passed on.
+// modelMessage is a message that was forwarded to the model of the store.
 type modelMessage struct {
 	messageType MessageType
 	all         bool
@@ -221,7 +222,7 @@
 		t.Errorf("%q", a.Fields)
 	}
 	if _, err := AppendSummary(nil, []byte{0xa1, 0x81}, nil); err == nil {
-		t.Error("half a map is passed on")
+		t.Error("a truncated map was forwarded")
 	}
 	if r := ReadReport([]byte{0xa1, 0x84, 'r', 'o', 'l', 'e'}); r.Primary {
 		t.Errorf("%+v", r)
--- a/internal/bolt/message.go
+++ b/internal/bolt/message.go
@@ -6,9 +6,10 @@
 	"strconv"
 )
 
-// MessageType is the tag of a message.
+// MessageType is the tag byte of a message.
 type MessageType byte
 
+// Messages that clients send, then those that servers send.
 const (
 	Hello     MessageType = 0x01
 	Goodbye   MessageType = 0x02
@@ -30,6 +31,7 @@
 	Failure MessageType = 0x7f
 )
 
+// String returns the name of the message in the specification.
 func (w MessageType) String() string {
 	for _, n := range [...]struct {
 		what MessageType
@@ -44,31 +46,32 @@
 	return "message 0x" + strconv.FormatUint(uint64(w), 16)
 }
 
-// Request is a client's message. Its slices point into the message's body.
+// Request is a message from a client. Its slices point into the message's body.
 type Request struct {
 	Type       MessageType
-	Query      []byte // of RUN
-	Parameters []byte // of RUN, packed as they came
-	Extra      Extra  // of RUN and BEGIN
-	Limit      int64  // of PULL and DISCARD: how many records, below 0: all
-	QueryID    int64  // of PULL and DISCARD: which of the transaction's results, below 0: the last
-	Routing    []byte // of ROUTE: the context, packed
-	UserAgent  []byte // of HELLO: what the client calls itself
+	Query      []byte // Of RUN: the statement.
+	Parameters []byte // Of RUN: the packed parameters.
+	Extra      Extra  // Of RUN and BEGIN.
+	Limit      int64  // Of PULL and DISCARD: the number of records; negative for all.
+	QueryID    int64  // Of PULL and DISCARD: the result in the transaction; negative for the last.
+	Routing    []byte // Of ROUTE: the packed routing context.
+	UserAgent  []byte // Of HELLO: the client's user agent.
 }
 
-// Extra is what RUN and BEGIN say beside a statement.
+// Extra holds the additional settings of RUN and BEGIN.
 type Extra struct {
-	Bookmarks []byte // packed list; nil: none
-	Timeout   int64  // milliseconds; 0: not said
-	ReadOnly  bool   // access mode "r"
-	Database  []byte
-	Metadata  []byte // packed map; nil: none
-	raw       []byte // all of it
+	Bookmarks []byte // Packed list; nil if absent.
+	Timeout   int64  // tx_timeout in milliseconds; 0 if absent.
+	ReadOnly  bool   // The access mode is "r".
+	Database  []byte // Name of the database; empty if absent.
+	Metadata  []byte // Packed map; nil if absent.
+	raw       []byte // The whole packed map.
 }
 
+// errFieldCount is the error of a message with a wrong number of fields.
 var errFieldCount = errors.New("a message with another number of fields")
 
-// fieldCount is how many each request has.
+// fieldCount returns the number of fields of a request, or -1 if w is not one.
 func (w MessageType) fieldCount() int {
 	switch w {
 	case Hello, BeginTx, Discard, Pull, Telemetry, Logon:
@@ -81,7 +84,7 @@
 	return -1
 }
 
-// ReadRequest reads a client's message.
+// ReadRequest parses a message from a client. It returns an error if the message is malformed.
 func ReadRequest(body []byte) (r Request, err error) {
 	v := NewDecoder(body)
 	tag, n := v.Struct()
@@ -127,7 +130,7 @@
 	return r, nil
 }
 
-// readMap reads a map; each is told a key and has to take its value.
+// readMap reads a map. It calls each with every key; each has to consume the value.
 func readMap(v *Decoder, each func(key []byte)) {
 	for n := v.Map(); n > 0 && v.Err() == nil; n-- {
 		if key := v.String(); v.Err() == nil {
@@ -136,6 +139,7 @@
 	}
 }
 
+// readHello reads the map of HELLO.
 func (r *Request) readHello(v *Decoder) {
 	readMap(v, func(key []byte) {
 		if string(key) == "user_agent" {
@@ -146,6 +150,7 @@
 	})
 }
 
+// readPull reads the map of PULL or DISCARD.
 func (r *Request) readPull(v *Decoder) {
 	readMap(v, func(key []byte) {
 		switch string(key) {
@@ -162,11 +167,12 @@
 	}
 }
 
+// read reads the map of extra settings.
 func (e *Extra) read(v *Decoder) {
 	start := v.Remaining()
 	defer func() { e.raw = start[:len(start)-len(v.Remaining())] }()
 	readMap(v, func(key []byte) {
-		if v.Kind() == Null { // as if it were not there
+		if v.Kind() == Null { // Null counts as absent.
 			v.Skip()
 			return
 		}
@@ -201,7 +207,8 @@
 	})
 }
 
-// Address is where the client of a ROUTE has reached this front, as it says itself; empty: it does not.
+// Address returns the address at which the client of a ROUTE says it has reached this front, or an empty slice if it says
+// none.
 func (r *Request) Address() (address []byte) {
 	v := NewDecoder(r.Routing)
 	readMap(&v, func(key []byte) {
@@ -214,7 +221,7 @@
 	return address
 }
 
-// AppendWithTimeout writes RUN or BEGIN anew, with another tx_timeout in whole milliseconds; all else stays as it is.
+// AppendWithTimeout appends RUN or BEGIN with another tx_timeout, in whole milliseconds, and all else unchanged.
 func (r *Request) AppendWithTimeout(dst []byte, timeLeft int64) []byte {
 	dst, at := BeginMessage(dst)
 	if r.Type == Run {
@@ -239,16 +246,16 @@
 	return EndMessage(AppendInt(AppendString(dst, "tx_timeout"), timeLeft), at)
 }
 
-// Response is a server's message. Its slices point into the message's body.
+// Response is a message from a server. Its slices point into the message's body.
 type Response struct {
 	Type    MessageType
-	Fields  []byte // of SUCCESS: the metadata, packed; of RECORD: the list, packed
-	Code    []byte // of FAILURE
-	Message []byte
-	More    bool // SUCCESS of PULL or DISCARD: there is more
+	Fields  []byte // Of SUCCESS: the packed metadata. Of RECORD: the packed list.
+	Code    []byte // Of FAILURE: the status code.
+	Message []byte // Of FAILURE: the text.
+	More    bool   // Of SUCCESS to PULL or DISCARD: the result has more records.
 }
 
-// ReadResponse reads a server's message.
+// ReadResponse parses a message from a server. It returns an error if the message is malformed.
 func ReadResponse(body []byte) (a Response, err error) {
 	v := NewDecoder(body)
 	tag, n := v.Struct()
@@ -262,7 +269,7 @@
 		return a, v.Err()
 	case a.Type < Success || a.Type != Success && a.Type != Record && a.Type != Ignored && a.Type != Failure:
 		return a, fmt.Errorf("%v is no answer", a.Type)
-	case n != want && !(a.Type == Ignored && n == 1): // some servers say why
+	case n != want && !(a.Type == Ignored && n == 1): // Some servers add a reason to IGNORED.
 		return a, fmt.Errorf("%v: %w", a.Type, errFieldCount)
 	}
 	rest := v.Remaining()
@@ -285,7 +292,7 @@
 		if n == 1 {
 			v.Skip()
 		}
-	case Failure: // from 5.7 on the code has another key
+	case Failure: // From version 5.7 on, the code has another key.
 		readMap(&v, func(key []byte) {
 			switch string(key) {
 			case "code", "neo4j_code":
@@ -309,7 +316,7 @@
 	return a, nil
 }
 
-// AppendFailure writes a FAILURE in the form of that version, with the class of its status where the version has one.
+// AppendFailure appends a FAILURE in the form of version v, with the GQL status in the versions that have one.
 func AppendFailure(dst []byte, v Version, code, text string) []byte {
 	dst, at := BeginMessage(dst)
 	dst = AppendStruct(dst, byte(Failure), 1)
@@ -328,7 +335,7 @@
 	return EndMessage(AppendPair(dst, "CURRENT_SCHEMA", "/"), at)
 }
 
-// AppendSuccess writes a SUCCESS whose metadata holds n pairs, which pairs appends.
+// AppendSuccess appends a SUCCESS whose metadata has n pairs, which the function pairs appends.
 func AppendSuccess(dst []byte, n int, pairs func(dst []byte) []byte) []byte {
 	dst, at := BeginMessage(dst)
 	dst = AppendMap(AppendStruct(dst, byte(Success), 1), n)
@@ -338,7 +345,7 @@
 	return EndMessage(dst, at)
 }
 
-// AppendEmpty writes a message without fields.
+// AppendEmpty appends a message without fields.
 func AppendEmpty(dst []byte, w MessageType) []byte {
 	dst, at := BeginMessage(dst)
 	return EndMessage(AppendStruct(dst, byte(w), 0), at)
--- a/internal/bolt/pack.go
+++ b/internal/bolt/pack.go
@@ -6,11 +6,12 @@
 	"math"
 )
 
-// Kind is what a PackStream value is.
+// Kind is the type of a PackStream value.
 type Kind uint8
 
+// The kinds of values.
 const (
-	None Kind = iota // nothing is left
+	None Kind = iota // No bytes are left.
 	Null
 	Bool
 	Int
@@ -20,7 +21,7 @@
 	List
 	Map
 	Struct
-	InvalidKind
+	InvalidKind // The next byte is not a marker.
 )
 
 var (
@@ -29,22 +30,23 @@
 	errMarker    = errors.New("a byte that begins no value")
 )
 
-// Decoder reads PackStream values one after the other. What it gives points into the message. After an error it gives
-// nothing more, and Err tells it.
+// Decoder reads PackStream values one after the other. The slices it returns point into the message. After an error it
+// returns only zero values, and Err returns the error.
 type Decoder struct {
 	buf []byte
 	err error
 }
 
-// NewDecoder reads the values of a message's body.
+// NewDecoder returns a Decoder of the values in a message's body.
 func NewDecoder(body []byte) Decoder { return Decoder{buf: body} }
 
-// Err tells the first fault.
+// Err returns the first error.
 func (v *Decoder) Err() error { return v.err }
 
-// Remaining is what has not been read.
+// Remaining returns the bytes that have not been read.
 func (v *Decoder) Remaining() []byte { return v.buf }
 
+// fail records the first error and discards the remaining bytes.
 func (v *Decoder) fail(err error) {
 	if v.err == nil {
 		v.err = err
@@ -52,7 +54,7 @@
 	v.buf = nil
 }
 
-// Kind tells what comes next without taking it.
+// Kind returns the kind of the next value without consuming it.
 func (v *Decoder) Kind() Kind {
 	if len(v.buf) == 0 {
 		return None
@@ -80,7 +82,8 @@
 	return InvalidKind
 }
 
-// readHead takes a marker and the size or number behind it: n bytes, entries or fields, or the number itself.
+// readHead consumes a marker and the size or number behind it. It returns the number of bytes, entries or fields that
+// follow, or the number itself.
 func (v *Decoder) readHead() (k Kind, n int64) {
 	k = v.Kind()
 	if k == None {
@@ -88,7 +91,7 @@
 		return InvalidKind, 0
 	}
 	m := v.buf[0]
-	width := 0 // bytes of the size or number
+	width := 0 // Bytes of the size or number behind the marker.
 	switch {
 	case k == InvalidKind:
 		v.fail(errMarker)
@@ -126,7 +129,7 @@
 	case 8:
 		n = int64(binary.BigEndian.Uint64(b))
 	}
-	if k == Int && width > 0 && width < 8 { // sizes have no sign, numbers have
+	if k == Int && width > 0 && width < 8 { // Sizes are unsigned, integers are signed.
 		shift := 64 - 8*width
 		n = n << shift >> shift
 	}
@@ -134,7 +137,7 @@
 	return k, n
 }
 
-// expect takes the head of a value of that kind.
+// expect consumes the head of a value of kind k.
 func (v *Decoder) expect(k Kind) int64 {
 	got, n := v.readHead()
 	if got != k {
@@ -144,15 +147,16 @@
 	return n
 }
 
-// Int takes a whole number.
+// Int consumes an integer.
 func (v *Decoder) Int() int64 { return v.expect(Int) }
 
-// Bool takes a truth value.
+// Bool consumes a Boolean.
 func (v *Decoder) Bool() bool { return v.expect(Bool) != 0 }
 
-// Float takes a floating-point number.
+// Float consumes a floating-point number.
 func (v *Decoder) Float() float64 { return math.Float64frombits(uint64(v.expect(Float))) }
 
+// take consumes n bytes.
 func (v *Decoder) take(n int64) []byte {
 	if n < 0 || n > int64(len(v.buf)) {
 		v.fail(errTruncated)
@@ -163,13 +167,13 @@
 	return b
 }
 
-// String takes a string.
+// String consumes a string.
 func (v *Decoder) String() []byte { return v.take(v.expect(String)) }
 
-// Bytes takes a string of bytes.
+// Bytes consumes a byte array.
 func (v *Decoder) Bytes() []byte { return v.take(v.expect(Bytes)) }
 
-// checkCount checks that n things of at least so many bytes each can still follow.
+// checkCount checks that n items of at least each bytes can still follow.
 func (v *Decoder) checkCount(n, each int64) int {
 	if n < 0 || n > int64(len(v.buf))/each {
 		v.fail(errTruncated)
@@ -178,13 +182,13 @@
 	return int(n)
 }
 
-// List takes the head of a list and gives how many entries follow.
+// List consumes the head of a list and returns the number of entries that follow.
 func (v *Decoder) List() int { return v.checkCount(v.expect(List), 1) }
 
-// Map takes the head of a map and gives how many pairs of a string and a value follow.
+// Map consumes the head of a map and returns the number of pairs, a string and a value each, that follow.
 func (v *Decoder) Map() int { return v.checkCount(v.expect(Map), 2) }
 
-// Struct takes the head of a structure: its tag, and how many fields follow.
+// Struct consumes the head of a structure and returns its tag and the number of fields that follow.
 func (v *Decoder) Struct() (tag byte, fields int) {
 	n := v.expect(Struct)
 	if v.err != nil || len(v.buf) == 0 {
@@ -196,8 +200,8 @@
 	return tag, v.checkCount(n, 1)
 }
 
-// Skip takes a value of any kind with all that is in it, and gives its bytes. It goes no deeper than the message is
-// long, and keeps no stack: it counts what is still to come.
+// Skip consumes a value of any kind with everything nested in it, and returns its bytes. It needs no stack, since it
+// counts the values that are still to come; so the nesting is bounded only by the length of the message.
 func (v *Decoder) Skip() []byte {
 	start := v.buf
 	for left := int64(1); left > 0 && v.err == nil; left-- {
@@ -223,10 +227,10 @@
 	return start[:len(start)-len(v.buf)]
 }
 
-// AppendNull writes the value that there is none.
+// AppendNull appends Null.
 func AppendNull(dst []byte) []byte { return append(dst, 0xc0) }
 
-// AppendBool writes a truth value.
+// AppendBool appends a Boolean.
 func AppendBool(dst []byte, b bool) []byte {
 	if b {
 		return append(dst, 0xc3)
@@ -234,7 +238,7 @@
 	return append(dst, 0xc2)
 }
 
-// AppendInt writes a whole number in the shortest form.
+// AppendInt appends an integer in the shortest form.
 func AppendInt(dst []byte, n int64) []byte {
 	switch {
 	case n >= -16 && n <= 127:
@@ -249,13 +253,13 @@
 	return binary.BigEndian.AppendUint64(append(dst, 0xcb), uint64(n))
 }
 
-// AppendFloat writes a floating-point number.
+// AppendFloat appends a floating-point number.
 func AppendFloat(dst []byte, f float64) []byte {
 	return binary.BigEndian.AppendUint64(append(dst, 0xc1), math.Float64bits(f))
 }
 
-// appendSize writes a marker with a size: tiny|n for small ones where there is such a form, else one of three from
-// wide on.
+// appendSize appends a marker with a size: tiny|n for a size below 16 if the kind has that form, else one of the three
+// markers from wide on.
 func appendSize(dst []byte, tiny, wide byte, n int) []byte {
 	switch {
 	case n < 16 && tiny != 0:
@@ -268,26 +272,26 @@
 	return binary.BigEndian.AppendUint32(append(dst, wide+2), uint32(n))
 }
 
-// AppendString writes a string.
+// AppendString appends a string.
 func AppendString[T string | []byte](dst []byte, s T) []byte {
 	return append(appendSize(dst, 0x80, 0xd0, len(s)), s...)
 }
 
-// AppendBytes writes a string of bytes.
+// AppendBytes appends a byte array.
 func AppendBytes(dst, b []byte) []byte { return append(appendSize(dst, 0, 0xcc, len(b)), b...) }
 
-// AppendList writes the head of a list of n entries.
+// AppendList appends the head of a list of n entries.
 func AppendList(dst []byte, n int) []byte { return appendSize(dst, 0x90, 0xd4, n) }
 
-// AppendMap writes the head of a map of n pairs.
+// AppendMap appends the head of a map of n pairs.
 func AppendMap(dst []byte, n int) []byte { return appendSize(dst, 0xa0, 0xd8, n) }
 
-// AppendStruct writes the head of a structure of up to 15 fields.
+// AppendStruct appends the head of a structure of up to 15 fields.
 func AppendStruct(dst []byte, tag byte, fields int) []byte {
 	return append(dst, 0xb0|byte(fields&15), tag)
 }
 
-// AppendPair writes a key and a string for a map.
+// AppendPair appends a key and a string value, for a map.
 func AppendPair(dst []byte, key, value string) []byte {
 	return AppendString(AppendString(dst, key), value)
 }
--- a/internal/bolt/state.go
+++ b/internal/bolt/state.go
@@ -1,11 +1,12 @@
 package bolt
 
-// State is where a connection stands, as the specification's server states have it.
+// State is a server state of the specification.
 type State uint8
 
+// The server states.
 const (
-	Authentication State = iota // from 5.1 on: HELLO was taken, LOGON is awaited; before: HELLO is awaited
-	Negotiation                 // from 5.1 on: HELLO is awaited
+	Authentication State = iota // From version 5.1 on: HELLO succeeded, LOGON is expected; before: HELLO is expected.
+	Negotiation                 // From version 5.1 on: HELLO is expected.
 	Ready
 	Streaming
 	TxReady
@@ -15,7 +16,7 @@
 	Defunct
 )
 
-// InitialState is where a connection stands after the handshake.
+// InitialState returns the state of a connection after the handshake.
 func InitialState(v Version) State {
 	if hasLogon(v) {
 		return Negotiation
@@ -23,11 +24,11 @@
 	return Authentication
 }
 
-// hasLogon tells whether that version has messages of its own for logging on.
+// hasLogon reports whether version v has the messages LOGON and LOGOFF.
 func hasLogon(v Version) bool { return v.Major() > 5 || v.Major() == 5 && v.Minor() >= 1 }
 
-// Accepts tells what becomes of a request in that state: carried out, ignored, or senseless, after which the connection
-// is defunct.
+// Accepts reports whether request w is carried out or ignored in state s. If neither, the request is a protocol error and
+// the connection becomes defunct.
 func (s State) Accepts(v Version, w MessageType) (carried, ignored bool) {
 	switch {
 	case w == Goodbye:
@@ -60,7 +61,7 @@
 	return false, false
 }
 
-// After gives the state behind a request that was carried out: how it ended, whether its result has more records, and
+// After returns the state after request w was carried out: whether it succeeded, whether its result has more records, and
 // how many results of the transaction are open then.
 func (s State) After(w MessageType, ok, more bool, open int) State {
 	switch {
--- a/internal/bolt/terms.go
+++ b/internal/bolt/terms.go
@@ -9,8 +9,8 @@
 	"micatrack/internal/metadata"
 )
 
-// Status codes that are given or understood. What drivers do on each is the specification's: a transient one is tried
-// again by them, the two of the cluster are too after the routing table was asked for anew, all others are told to
+// Status codes that the front sends or understands. The specification says how drivers handle each: they retry a
+// transient one, and the two that concern the cluster after fetching the routing table anew; all others are returned to
 // the application.
 const (
 	NoThreadsAvailable  = "Neo.TransientError.Request.NoThreadsAvailable"
@@ -27,16 +27,17 @@
 	NotPermitted        = "Neo.ClientError.Statement.AccessMode"
 )
 
-// FailureKind is what a store's FAILURE proves about what it was sent.
+// FailureKind is what a store's FAILURE proves about the request that it was sent.
 type FailureKind uint8
 
 const (
-	MayHaveRun         FailureKind = iota
-	RejectedBehind                 // turned away untouched: no primary, or too far behind
-	RejectedOverloaded             // turned away unseen
+	MayHaveRun         FailureKind = iota // The request may have run.
+	RejectedBehind                        // Rejected without an effect: the store is no primary, or too far behind.
+	RejectedOverloaded                    // Rejected before it was executed.
 )
 
-// ClassifyFailure tells what a code proves. Danger: a code that is not known to prove anything proves nothing.
+// ClassifyFailure returns what a status code proves. A code that is not known to prove that the request did not run
+// proves nothing: it may have run.
 func ClassifyFailure(code []byte) FailureKind {
 	switch string(code) {
 	case BookmarkTimeout, NotALeader, ReadOnly:
@@ -47,26 +48,28 @@
 	return MayHaveRun
 }
 
-// ClientMayRetry tells whether drivers, or applications by the code's class, try again what failed with it.
+// ClientMayRetry reports whether drivers, or applications that go by the class of the code, retry a request that failed
+// with it.
 func ClientMayRetry(code []byte) bool {
 	return bytes.HasPrefix(code, []byte("Neo.TransientError.")) || string(code) == NotALeader || string(code) == ReadOnly
 }
 
-// IsClientError tells whether a code says that what was asked was at fault, and not the store.
+// IsClientError reports whether a code blames the request and not the store.
 func IsClientError(code []byte) bool {
 	return bytes.HasPrefix(code, []byte("Neo.ClientError.")) && !ClientMayRetry(code)
 }
 
-// ErrFaultyBookmark is the error of a bookmark that cannot be read; no read may ignore one.
+// ErrInvalidBookmark is returned for a bookmark that cannot be parsed. Such a bookmark fails the request: no read may
+// ignore one.
 var ErrInvalidBookmark = errors.New("a bookmark was not handed out here")
 
-// ParseRequest reads what transaction metadata, timeout, database, access mode and bookmarks say of a job.
+// ParseRequest returns what transaction metadata, timeout, database, access mode and bookmarks say of a request.
 //
-//	metadata id, c, t, k, s, r   as in the comment of a PostgreSQL query: id, profile, customer, mark; the session; further try
+//	metadata id, c, t, k, s, r   as in the comment of a PostgreSQL query: ID, class, tenant, idempotency key, session, retry
 //	database or metadata cluster the group
 //	tx_timeout                   how long the client will wait
-//	mode                         "r": the job writes nothing
-//	bookmarks                    the newest of the group is what a read has to see
+//	mode                         "r": the request writes nothing
+//	bookmarks                    the newest of the group is the fence of a read
 func (e *Extra) ParseRequest() (t metadata.Request, err error) {
 	t.TimeLeft = e.Timeout * 10
 	group := e.Database
@@ -118,15 +121,16 @@
 	return t, err
 }
 
+// bookmarkPrefix begins each bookmark and names its format.
 const bookmarkPrefix = "mt1:"
 
-// AppendBookmark writes the bookmark of a commit: its group, and its position in Unix tenths of a millisecond.
+// AppendBookmark appends the bookmark of a commit: its group, and its position in Unix tenths of a millisecond.
 func AppendBookmark(dst []byte, group uint64, position int64) []byte {
 	dst = strconv.AppendUint(append(dst, bookmarkPrefix...), group, 10)
 	return strconv.AppendInt(append(dst, ':'), position, 10)
 }
 
-// ReadBookmark reads one bookmark.
+// ReadBookmark parses a bookmark. It returns ErrInvalidBookmark if text is not one.
 func ReadBookmark(text []byte) (group uint64, position int64, err error) {
 	rest, ok := bytes.CutPrefix(text, []byte(bookmarkPrefix))
 	a, b, ok2 := bytes.Cut(rest, []byte(":"))
@@ -143,8 +147,8 @@
 	return group, position, nil
 }
 
-// newestPosition gives the newest position that bookmarks name for a group. Those of other groups say nothing of it: logs of
-// different groups have no order.
+// newestPosition returns the newest position that the bookmarks name for a group, or 0 if none does. It skips those of
+// other groups: the logs of different groups have no common order.
 func newestPosition(packed []byte, group uint64) (position int64, err error) {
 	v := NewDecoder(packed)
 	for n := v.List(); n > 0 && v.Err() == nil; n-- {
--- a/internal/bolt/timed_test.go
+++ b/internal/bolt/timed_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestTimed: a statement or a transaction is passed on with another time left and all else as it was.
+// TestAppendWithTimeout: a RUN or BEGIN is forwarded with another timeout and all else unchanged.
 func TestAppendWithTimeout(t *testing.T) {
 	for _, body := range [][]byte{runMessage("RETURN 1", appendTestExtra), appendTestExtra(AppendStruct(nil, byte(BeginTx), 1)),
 		runMessage("RETURN 1", func(b []byte) []byte { return AppendMap(b, 0) })} {
--- a/internal/standin/bolt.go
+++ b/internal/standin/bolt.go
@@ -10,8 +10,8 @@
 	"micatrack/internal/bolt"
 )
 
-// Bolt is a store that speaks Bolt. A statement that begins with CREATE, MERGE, SET or DELETE writes, any other
-// reads. "RETURN range(1, N)" has N records; any other statement has one, its job's id.
+// Bolt is a store that speaks Bolt. A statement that begins with CREATE, MERGE, SET or DELETE is a write, any other a
+// read. "RETURN range(1, N)" returns N records; any other statement returns one, the ID of its request.
 type Bolt struct {
 	Name     string
 	group    *Group
@@ -19,22 +19,23 @@
 
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
-	behavior func(job string, w bolt.MessageType) Behavior // what happens instead of an answer, if anything
-	delay    time.Duration                                 // a statement
-	full     bool                                          // turns everything away unseen
+	behavior func(requestID string, w bolt.MessageType) Behavior // Decides what happens to a message; nil: all are answered.
+	delay    time.Duration                                       // Duration of a statement.
+	full     bool                                                // Rejects every RUN and BEGIN without executing it.
 	closed   bool
 }
 
-// Behavior is what a store does with a message instead of answering it rightly.
+// Behavior is what a store does with a message instead of answering it correctly.
 type Behavior uint8
 
+// The behaviors.
 const (
-	Respond           Behavior = iota // as it should
-	Hang                              // says nothing more on this connection
-	Reject                            // turns it away unseen
-	Disconnect                        // closes without carrying it out
-	RunThenDisconnect                 // carries it out and closes
-	Corrupt                           // carries it out and answers nonsense
+	Respond           Behavior = iota // Answers correctly.
+	Hang                              // Sends nothing more on this connection.
+	Reject                            // Rejects the message without executing it.
+	Disconnect                        // Closes the connection without executing the message.
+	RunThenDisconnect                 // Executes the message, then closes the connection.
+	Corrupt                           // Executes the message and sends a malformed response.
 )
 
 // NewBolt starts a store of a group on a loopback address.
@@ -48,23 +49,23 @@
 	return b, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the store listens on.
 func (b *Bolt) Addr() string { return b.listener.Addr().String() }
 
-// SetBehavior sets what happens to messages; nil: all are answered.
-func (b *Bolt) SetBehavior(f func(job string, w bolt.MessageType) Behavior) {
+// SetBehavior sets the function that decides what happens to each message; with nil all are answered.
+func (b *Bolt) SetBehavior(f func(requestID string, w bolt.MessageType) Behavior) {
 	b.mu.Lock()
 	b.behavior = f
 	b.mu.Unlock()
 }
 
-// SetDelay sets how long a statement takes.
+// SetDelay sets how long each statement takes.
 func (b *Bolt) SetDelay(d time.Duration) { b.mu.Lock(); b.delay = d; b.mu.Unlock() }
 
-// SetFull has the store turn everything away unseen, or no more.
+// SetFull sets whether the store rejects every RUN and BEGIN without executing it.
 func (b *Bolt) SetFull(full bool) { b.mu.Lock(); b.full = full; b.mu.Unlock() }
 
-// Close stops it: connections break, and new ones are refused.
+// Close stops the store: it closes all connections and refuses new ones.
 func (b *Bolt) Close() {
 	b.listener.Close()
 	b.mu.Lock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// boltConn is one connection.
+// boltConn is one connection to a store.
 type boltConn struct {
 	store          *Bolt
 	conn           net.Conn
@@ -100,16 +101,16 @@
 	reader         bolt.Reader
 	version        bolt.Version
 	state          bolt.State
-	requestID      string // of the open result or transaction
+	requestID      string // Of the open result or transaction.
 	idempotencyKey string
 	position       int64
-	writes         bool // the transaction holds a write
-	records        int  // that are left to be pulled
+	writes         bool // The transaction contains a write.
+	records        int  // Records that are left to be pulled.
 	openResults    int
 	out            []byte
 }
 
-// readUntil reads until take has taken something; false: the connection is over.
+// readUntil reads until take has consumed bytes. It returns false if the connection has ended.
 func (s *boltConn) readUntil(take func() (size int, err error)) bool {
 	buf := make([]byte, 16<<10)
 	for {
@@ -172,7 +173,7 @@
 	return s.state != bolt.Defunct
 }
 
-// handle carries one message out; false: the connection ends.
+// handle executes one message and appends the response. It returns false if the connection ends.
 func (s *boltConn) handle(body []byte) bool {
 	r, err := bolt.ReadRequest(body)
 	if err != nil {
@@ -191,7 +192,7 @@
 		return false
 	}
 	if (r.Type == bolt.Run || r.Type == bolt.BeginTx) && s.state == bolt.Ready {
-		if r.Type == bolt.Run && string(r.Query) == "CALL micatrack.report()" { // a probe
+		if r.Type == bolt.Run && string(r.Query) == "CALL micatrack.report()" { // A probe.
 			s.records, s.requestID, s.writes = 1, s.report(), false
 			s.state = s.state.After(r.Type, true, false, 1)
 			s.out = bolt.AppendSuccess(s.out, 1, fields)
@@ -258,7 +259,7 @@
 	return false
 }
 
-// execute does what the message asks for.
+// execute executes a valid request and appends the response. It returns false if the connection ends.
 func (s *boltConn) execute(r bolt.Request) bool {
 	was := s.state
 	switch r.Type {
@@ -305,7 +306,7 @@
 				s.out = bolt.AppendList(bolt.AppendStruct(s.out, byte(bolt.Record), 1), 1)
 				s.out = bolt.EndMessage(bolt.AppendString(s.out, s.requestID), at)
 			}
-			if i%1024 == 1023 { // a large result goes out as it is made
+			if i%1024 == 1023 { // Sends a large result while it is being produced.
 				if _, err := s.conn.Write(s.out); err != nil {
 					return false
 				}
@@ -339,8 +340,8 @@
 	return true
 }
 
-// summary ends a result or a transaction: what the store says of itself, and the bookmark where something was
-// committed.
+// summary appends the SUCCESS that ends a result or a transaction, with the store's role and position, and with the
+// bookmark if a write was committed.
 func (s *boltConn) summary(dst []byte, ended bool) []byte {
 	primary, _ := s.store.group.Primary()
 	role := "replica"
--- a/internal/standin/bolt_test.go
+++ b/internal/standin/bolt_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestRealDriver: an unmodified driver speaks to the stand-in: auto-commit, transactions, bookmarks, results pulled in
-// pieces, a failure and a reset behind it, and a write at a replica.
+// TestRealDriver checks that an unmodified driver can use the test store: auto-commit, transactions, bookmarks, results
+// pulled in pieces, a failure followed by a reset, and a write at a replica.
 func TestRealDriver(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -59,8 +59,8 @@
 	}
 	calls := 0
 	got, err := s.ExecuteWrite(ctx, func(tx neo4j.ManagedTransaction) (any, error) {
-		if calls++; calls == 1 { // a transient failure, and the driver's own repeat behind it
-			p.SetBehavior(func(job string, w bolt.MessageType) Behavior {
+		if calls++; calls == 1 { // A transient failure, which the driver itself retries.
+			p.SetBehavior(func(requestID string, w bolt.MessageType) Behavior {
 				if w == bolt.Run {
 					return Reject
 				}
@@ -99,13 +99,13 @@
 		}
 		return res.Consume(ctx)
 	}, txConfig("c", "mine")); err != nil {
-		t.Errorf("a read that waits for its bookmark: %v", err)
+		t.Errorf("read after a bookmark at a lagging replica: %v", err)
 	}
 	if time.Since(began) < 100*time.Millisecond {
-		t.Error("a replica that is behind has answered")
+		t.Error("a replica answered before it reached the bookmark")
 	}
 	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, txConfig("d", "save")); err == nil {
-		t.Error("a replica takes a write")
+		t.Error("a replica accepted a write")
 	}
 	told := []Outcome{{RequestID: "a", Delivered: true}, {RequestID: "b", Write: true, Delivered: true}, {RequestID: "c", Delivered: true, After: position},
 		{RequestID: "d", Write: true, Rejected: true}}
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestCheckBites: each rule that is broken is told.
+// TestCheckReportsViolations checks that Check reports each rule that is violated.
 func TestCheckReportsViolations(t *testing.T) {
 	g := NewGroup(1, time.Hour, "p", "r")
 	g.Write("p", "twice", "")
@@ -132,6 +132,6 @@
 		t.Errorf("%d: %q", len(violations), violations)
 	}
 	if _, ok := g.Write("r", "x", ""); ok {
-		t.Error("a replica takes a write")
+		t.Error("a replica accepted a write")
 	}
 }
--- a/internal/standin/collector.go
+++ b/internal/standin/collector.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// Operation is one act that the holder of a lease did at the collector.
+// Operation is one operation that the holder of a lease performed at the collector.
 type Operation struct {
 	Token        uint64
 	Holder       string
-	Began, Ended time.Time // by the collector's clock
+	Began, Ended time.Time // By the collector's clock.
 	Refused      bool
 }
 
-// Collector takes summaries of a fleet and notes who told them when. It stands for whatever leases protect.
+// Collector receives a fleet's summaries and records who sent each and when. It stands for any resource that a lease
+// protects.
 type Collector struct {
 	server      *httptest.Server
 	mu          sync.Mutex
@@ -27,23 +28,23 @@
 	operations  []Operation
 }
 
-// NewCollector starts one on a loopback address. An act takes so long there.
+// NewCollector starts a collector on a loopback address. Each operation lasts for the duration takes.
 func NewCollector(takes time.Duration) *Collector {
 	c := &Collector{delay: takes}
 	c.server = httptest.NewServer(http.HandlerFunc(c.serve))
 	return c
 }
 
-// Addr is where it listens.
+// Addr returns the address that the collector listens on.
 func (c *Collector) Addr() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-// Close ends it.
+// Close stops the collector and closes its connections.
 func (c *Collector) Close() {
 	c.server.CloseClientConnections()
 	c.server.Close()
 }
 
-// Operations gives all, in the order in which they began.
+// Operations returns all operations in the order in which they began.
 func (c *Collector) Operations() []Operation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,8 +78,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Overlaps gives those pairs of acts that were under way at once under different tokens, and those that began under an
-// older token than one before; none of them refused.
+// Overlaps returns those pairs of operations that ran at the same time under different tokens, and those where the later
+// one began under an older token. Refused operations don't count.
 func Overlaps(acts []Operation) (pairs [][2]Operation) {
 	for k := range acts {
 		for n := k + 1; n < len(acts); n++ {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -9,21 +9,21 @@
 	"sync"
 )
 
-// Server is one store as discovery lists it.
+// Server is one store in the list that discovery serves.
 type Server struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
 	Zone     string  `json:"zone"`
 	Kind     string  `json:"kind"`
 	Group    uint64  `json:"cell"`
-	State    string  `json:"state"` // active, leaving or left
+	State    string  `json:"state"` // "active", "leaving" or "left".
 	Weight   float64 `json:"weight"`
 	Started  int64   `json:"started_ms"`
 	Role     string  `json:"role,omitempty"`
-	Protocol string  `json:"protocol,omitempty"` // "bolt"; without it PostgreSQL's
+	Protocol string  `json:"protocol,omitempty"` // "bolt"; empty for PostgreSQL's protocol.
 }
 
-// ServerList answers calls for the list of stores, and watches on it.
+// ServerList is an HTTP handler that serves a list of stores and streams its changes.
 type ServerList struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -32,29 +32,29 @@
 	closed  bool
 }
 
-// NewServerList makes a list of these stores.
+// NewServerList returns a list of the given stores.
 func NewServerList(lines ...Server) *ServerList {
 	d := &ServerList{servers: lines, version: 1}
 	d.changed = sync.NewCond(&d.mu)
 	return d
 }
 
-// Discovery is a list that listens on a loopback address.
+// Discovery serves a ServerList on a loopback address.
 type Discovery struct {
 	*ServerList
 	server *httptest.Server
 }
 
-// NewDiscovery starts it.
+// NewDiscovery starts serving a list of the given stores.
 func NewDiscovery(lines ...Server) *Discovery {
 	l := NewServerList(lines...)
 	return &Discovery{l, httptest.NewServer(l)}
 }
 
-// Addr is where it listens.
+// Addr returns the address that discovery listens on.
 func (d *Discovery) Addr() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// Close ends it and its watches.
+// Close stops serving and ends all streams.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -64,7 +64,7 @@
 	d.server.Close()
 }
 
-// Update edits the list and tells it to all that watch.
+// Update replaces the list with the result of edit and sends it to all open streams.
 func (d *ServerList) Update(edit func(lines []Server) []Server) {
 	d.mu.Lock()
 	d.servers = edit(d.servers)
@@ -73,7 +73,7 @@
 	d.mu.Unlock()
 }
 
-// JSON gives the list as JSON.
+// JSON returns the list in the format of discovery.
 func (d *ServerList) JSON() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,12 +83,12 @@
 func (d *ServerList) marshal() []byte {
 	b, err := json.Marshal(map[string]any{"version": d.version, "full": true, "servers": d.servers})
 	if err != nil {
-		panic(err) // plain strings and numbers
+		panic(err) // Cannot happen: the list holds only strings and numbers.
 	}
 	return b
 }
 
-// ServeHTTP answers with the list, and with the whole of it again after each change.
+// ServeHTTP sends the whole list, and sends it again after each change until the client disconnects or the list is closed.
 func (d *ServerList) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins of the servers that a front speaks to, for tests and for trying the program out:
-// what they are asked runs against a group's ledger, from which rules are checked, and not from what a front believes.
+// Package standin holds stand-ins for the servers that a front talks to, for tests and for trying the program out. They
+// execute requests against a group's ledger, and the rules are checked on that ledger, not on what a front reports.
 package standin
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Entry is one thing that a store did.
+// Entry is one operation that a store executed.
 type Entry struct {
 	At             time.Time
 	Store          string
-	RequestID      string // its id, or its mark where it has none
+	RequestID      string // ID of the request, or its idempotency key if it has no ID.
 	IdempotencyKey string
 	Write          bool
-	Duplicate      bool  // a repeat that was told from its mark and not run again
-	Position       int64 // Unix tenths of a millisecond: of the commit, or that a read has seen
+	Duplicate      bool  // A repeat, recognized by its idempotency key and not run again.
+	Position       int64 // Position of the commit, or that the read has seen, in Unix tenths of a millisecond.
 }
 
-// Group is a primary and its replicas: one log, and how far each has applied it.
+// Group is a primary and its replicas: one log, and how far each store has applied it.
 type Group struct {
 	ID uint64
 
 	mu           sync.Mutex
 	primary      string
 	lags         map[string]time.Duration
-	minPositions map[string]int64 // how far each had come when its lag or role last changed: a log is never undone
+	minPositions map[string]int64 // Position of each store when its lag or role last changed: a store never goes back in its log.
 	ledger       []Entry
-	writesByKey  map[string]Entry // writes by mark, for as long as repeats are dropped
+	writesByKey  map[string]Entry // First write of each idempotency key, to recognize repeats within the window.
 	window       time.Duration
 	last         int64
 	drains       map[string]time.Time
@@ -36,7 +36,8 @@
 	now          func() time.Time
 }
 
-// NewGroup makes a group whose first store is the primary; window is for how long a repeat is dropped.
+// NewGroup returns a group whose first store is the primary. window is how long a repeated write is recognized by its
+// idempotency key and not run again.
 func NewGroup(id uint64, window time.Duration, stores ...string) *Group {
 	g := &Group{ID: id, window: window, lags: map[string]time.Duration{}, minPositions: map[string]int64{}, writesByKey: map[string]Entry{}, drains: map[string]time.Time{}, now: time.Now}
 	for i, s := range stores {
@@ -48,12 +49,13 @@
 	return g
 }
 
-// SetClock has the group go by another clock than the machine's, from before it is used.
+// SetClock replaces the clock of the group. It must be called before the group is used.
 func (g *Group) SetClock(now func() time.Time) { g.now = now }
 
+// tenths returns t in Unix tenths of a millisecond.
 func tenths(t time.Time) int64 { return t.UnixNano() / 100_000 }
 
-// SetLag has a replica apply the log that much later.
+// SetLag sets how far a replica is behind the primary in applying the log.
 func (g *Group) SetLag(store string, lag time.Duration) {
 	g.mu.Lock()
 	g.minPositions[store] = g.applied(store, g.now())
@@ -61,8 +63,8 @@
 	g.mu.Unlock()
 }
 
-// Promote makes another store the primary. What ran on the old one before stands; what is asked of it from now on as
-// a write is turned away.
+// Promote makes another store the primary. What the old primary has executed stays valid; it rejects writes from now
+// on.
 func (g *Group) Promote(store string) {
 	g.mu.Lock()
 	g.minPositions[g.primary] = g.applied(g.primary, g.now())
@@ -70,21 +72,21 @@
 	g.mu.Unlock()
 }
 
-// MarkDraining notes when a front was told that a store drains.
+// MarkDraining records that a front was told now that a store drains.
 func (g *Group) MarkDraining(store string) {
 	g.mu.Lock()
 	g.drains[store] = g.now()
 	g.mu.Unlock()
 }
 
-// Primary tells who it is, and how often that has changed.
+// Primary returns the primary, and how often it has changed.
 func (g *Group) Primary() (store string, epoch int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.primary, g.epoch
 }
 
-// applied is how far a store has the log; the lock is held.
+// applied returns how far a store has applied the log. The caller holds the lock.
 func (g *Group) applied(store string, now time.Time) int64 {
 	if store == g.primary {
 		return tenths(now)
@@ -92,14 +94,15 @@
 	return max(tenths(now.Add(-g.lags[store])), g.minPositions[store])
 }
 
-// Position is how far a store has the log now.
+// Position returns how far a store has applied the log by now.
 func (g *Group) Position(store string) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.applied(store, g.now())
 }
 
-// Read notes a read and tells what it has seen; false: the store is behind what it has to see, and did nothing.
+// Read records a read and returns the position that it has seen. ok is false if the store is behind the position after,
+// which the read has to see; then the read is not executed.
 func (g *Group) Read(store, requestID string, after int64) (position int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,8 +114,9 @@
 	return position, true
 }
 
-// Write commits a write and tells its position; false: this store is not the primary, and did nothing. A repeat of a
-// mark inside the window is not run again, and has the first one's position.
+// Write commits a write and returns its position. ok is false if this store is not the primary; then the write is not
+// executed. A write that repeats an idempotency key within the window is not run again and returns the position of the
+// first.
 func (g *Group) Write(store, requestID, idempotencyKey string) (position int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,7 +138,7 @@
 	return e.Position, true
 }
 
-// WritePosition gives the position of a job's write; 0: it did none.
+// WritePosition returns the position of a request's write, or 0 if it wrote nothing.
 func (g *Group) WritePosition(requestID string) (position int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,51 +150,52 @@
 	return 0
 }
 
-// Ledger gives all that the group's stores did, the oldest first.
+// Ledger returns all operations of the group's stores, the oldest first.
 func (g *Group) Ledger() []Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Entry(nil), g.ledger...)
 }
 
-// Outcome is what a client of the front was told in the end, for Check.
+// Outcome is the final outcome of a request as the client of a front saw it, for Check.
 type Outcome struct {
 	RequestID      string
-	IdempotencyKey string // numbered
+	IdempotencyKey string // Idempotency key of a write; empty if it has none.
 	Write          bool
-	Retried        bool // a client tried it again after a turn-back: the tries are one job
+	Retried        bool // The client retried it after a rejection; all tries count as one request.
 	Delivered      bool
-	Rejected       bool  // turned back: it must not have run
-	After          int64 // a read had to see it
+	Rejected       bool  // Reported as rejected: it must not have run.
+	After          int64 // Position that a read had to see.
 }
 
-// Check holds the ledger against what clients were told and gives the broken rules: an effect twice, a turn-back of
-// what ran, a delivery of what did not, a stale read, and work begun at a store after its drain's grace.
+// Check compares the ledger with the outcomes that clients saw and returns the violations: a write that took effect
+// twice, a request reported as rejected that ran, one delivered that did not run, one answered twice, a stale read, and
+// an operation that began at a store more than grace after it was told to drain.
 func (g *Group) Check(outcomes []Outcome, grace time.Duration) (violations []string) {
 	ran, effects := map[string][]Entry{}, map[string]int{}
 	for _, e := range g.Ledger() {
 		ran[e.RequestID] = append(ran[e.RequestID], e)
 		if e.Write && !e.Duplicate {
 			if e.IdempotencyKey != "" {
-				effects["mark "+e.IdempotencyKey]++
+				effects["key "+e.IdempotencyKey]++
 			} else {
-				effects["job "+e.RequestID]++
+				effects["request "+e.RequestID]++
 			}
 		}
 		g.mu.Lock()
 		drainedAt, draining := g.drains[e.Store]
 		g.mu.Unlock()
 		if draining && e.At.Sub(drainedAt) > grace {
-			violations = append(violations, fmt.Sprintf("%s ran at %s %v after its drain was told", e.RequestID, e.Store, e.At.Sub(drainedAt)))
+			violations = append(violations, fmt.Sprintf("%s ran at %s %v after the store was told to drain", e.RequestID, e.Store, e.At.Sub(drainedAt)))
 		}
 	}
-	for _, e := range g.Ledger() { // in the ledger's order
-		key := "job " + e.RequestID
+	for _, e := range g.Ledger() { // In the order of the ledger.
+		key := "request " + e.RequestID
 		if e.IdempotencyKey != "" {
-			key = "mark " + e.IdempotencyKey
+			key = "key " + e.IdempotencyKey
 		}
 		if n := effects[key]; n > 1 {
-			violations = append(violations, fmt.Sprintf("%s had its effect %d times", key, n))
+			violations = append(violations, fmt.Sprintf("%s took effect %d times", key, n))
 			delete(effects, key)
 		}
 	}
@@ -203,9 +208,9 @@
 		entries := ran[a.RequestID]
 		switch {
 		case a.Delivered && len(entries) == 0:
-			violations = append(violations, a.RequestID+" was delivered and never ran")
+			violations = append(violations, a.RequestID+" was delivered but never ran")
 		case a.Rejected && a.Write && a.IdempotencyKey == "" && len(entries) > 0:
-			violations = append(violations, a.RequestID+" ran and was turned back")
+			violations = append(violations, a.RequestID+" ran and was reported as rejected")
 		}
 		if a.Delivered && !a.Write && len(entries) > 0 {
 			if e := entries[len(entries)-1]; e.Position < a.After {
--- a/internal/standin/postgres.go
+++ b/internal/standin/postgres.go
@@ -13,8 +13,8 @@
 	"micatrack/internal/pgwire"
 )
 
-// Postgres is a store that speaks PostgreSQL's protocol, simple queries only. INSERT writes, any other statement reads;
-// the value is the job's id.
+// Postgres is a store that speaks PostgreSQL's protocol, simple queries only. INSERT is a write, any other statement a
+// read; the value returned is the ID of the request.
 type Postgres struct {
 	Name     string
 	group    *Group
@@ -24,9 +24,9 @@
 
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
-	behavior func(job string) Behavior
+	behavior func(requestID string) Behavior
 	delay    time.Duration
-	slots    chan struct{} // places for jobs that run; nil: as many as come
+	slots    chan struct{} // Slots for running requests; nil for no limit.
 	closed   bool
 }
 
@@ -56,30 +56,31 @@
 	return p, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the store listens on.
 func (p *Postgres) Addr() string { return p.listener.Addr().String() }
 
-// Probes tells how often it was asked for its position.
+// Probes returns how often the store was asked for its position.
 func (p *Postgres) Probes() int64 { return p.probes.Load() }
 
-// SetBehavior sets what happens to jobs; nil: all are answered. It may be called from any connection.
-func (p *Postgres) SetBehavior(f func(job string) Behavior) {
+// SetBehavior sets the function that decides what happens to each request; with nil all are answered. Any connection's
+// goroutine may call the function.
+func (p *Postgres) SetBehavior(f func(requestID string) Behavior) {
 	p.mu.Lock()
 	p.behavior = f
 	p.mu.Unlock()
 }
 
-// SetDelay sets how long a job takes.
+// SetDelay sets how long each request takes.
 func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.delay = d; p.mu.Unlock() }
 
-// SetConcurrency sets how many jobs run at a time; the others wait for a place.
+// SetConcurrency sets how many requests run at a time; the others wait.
 func (p *Postgres) SetConcurrency(n int) {
 	p.mu.Lock()
 	p.slots = make(chan struct{}, n)
 	p.mu.Unlock()
 }
 
-// CloseConnections breaks all connections that there are.
+// CloseConnections resets all open connections.
 func (p *Postgres) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +90,7 @@
 	}
 }
 
-// Close stops it for good.
+// Close stops the store: it resets all connections and refuses new ones.
 func (p *Postgres) Close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -175,18 +176,18 @@
 	return err == nil
 }
 
-// Probe is the statement that asks a store for its position and role.
+// ProbeQuery is the statement that asks a store for its position and role.
 const ProbeQuery = "SHOW load"
 
-// StartupResponse is what a store says to a new connection.
+// StartupResponse returns what a store sends on a new connection.
 func StartupResponse() []byte { return pgwire.AppendReady([]byte("R\x00\x00\x00\x08\x00\x00\x00\x00")) }
 
-// FullResponse is what a store says that turns a job away unseen.
+// FullResponse returns what a store sends when it rejects a request without executing it because it is overloaded.
 func FullResponse() []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.TooManyConnections, "full", ""))
 }
 
-// Execute carries out a statement at one of the group's stores, now, and gives all that the store says to it.
+// Execute executes a statement at one of the group's stores and returns the store's whole response.
 func (g *Group) Execute(store string, text []byte) []byte {
 	position := g.Position(store)
 	if string(text) == ProbeQuery {
@@ -205,13 +206,14 @@
 		if position, ok = g.Write(store, string(s.ID), string(s.Key)); !ok {
 			return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
 		}
-		position += 9 // a commit is told rounded up
+		position += 9 // The position of a commit is reported rounded up to whole milliseconds.
 	} else if position, ok = g.Read(store, string(s.ID), s.ReadAfter); !ok {
 		return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
 	}
 	return pgwire.AppendReady(g.appendReport(store, position, row(string(s.ID))))
 }
 
+// isWrite reports whether a statement contains INSERT.
 func isWrite(text []byte) bool {
 	for i := 0; i+6 <= len(text); i++ {
 		if string(text[i:i+6]) == "INSERT" {
@@ -221,7 +223,7 @@
 	return false
 }
 
-// appendReport adds what a store says of itself: its role, and a position.
+// appendReport appends what a store reports about itself: its role, and a position.
 func (g *Group) appendReport(store string, position int64, dst []byte) []byte {
 	role := "replica"
 	if name, _ := g.Primary(); name == store {
