--- a/internal/standin/bolt_test.go
+++ b/internal/standin/bolt_test.go
@@ -11,15 +11,15 @@
 	"micatrack/internal/bolt"
 )
 
-func terms(id, profile string) func(*neo4j.TransactionConfig) {
+func txConfig(id, profile string) func(*neo4j.TransactionConfig) {
 	return func(c *neo4j.TransactionConfig) {
 		neo4j.WithTxTimeout(time.Second)(c)
 		neo4j.WithTxMetadata(map[string]any{"id": id, "c": profile, "t": "acme", "cluster": 1})(c)
 	}
 }
 
-// TestRealDriver: an unmodified driver speaks to the stand-in: auto-commit, transactions, bookmarks, results pulled in
-// pieces, a failure and a reset behind it, and a write at a replica.
+// TestRealDriver checks that an unmodified driver can use the test store: auto-commit, transactions, bookmarks, results
+// pulled in pieces, a failure followed by a reset, and a write at a replica.
 func TestRealDriver(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -50,7 +50,7 @@
 	primary, replica := open(p.Addr()), open(r.Addr())
 	s := primary.NewSession(ctx, neo4j.SessionConfig{})
 	defer s.Close(ctx)
-	res, err := s.Run(ctx, "RETURN range(1, 1000)", nil, terms("a", "read"))
+	res, err := s.Run(ctx, "RETURN range(1, 1000)", nil, txConfig("a", "read"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	}
 	calls := 0
 	got, err := s.ExecuteWrite(ctx, func(tx neo4j.ManagedTransaction) (any, error) {
-		if calls++; calls == 1 { // a transient failure, and the driver's own repeat behind it
-			p.SetBehavior(func(job string, w bolt.MessageType) Behavior {
+		if calls++; calls == 1 { // A transient failure, which the driver itself retries.
+			p.SetBehavior(func(requestID string, w bolt.MessageType) Behavior {
 				if w == bolt.Run {
 					return Reject
 				}
@@ -77,7 +77,7 @@
 			return nil, err
 		}
 		return rec.Values[0], nil
-	}, terms("b", "save"))
+	}, txConfig("b", "save"))
 	if err != nil || got != "b" {
 		t.Fatalf("%v, %v after %d calls", got, err, calls)
 	}
@@ -98,14 +98,14 @@
 			return nil, err
 		}
 		return res.Consume(ctx)
-	}, terms("c", "mine")); err != nil {
-		t.Errorf("a read that waits for its bookmark: %v", err)
+	}, txConfig("c", "mine")); err != nil {
+		t.Errorf("read after a bookmark at a lagging replica: %v", err)
 	}
 	if time.Since(began) < 100*time.Millisecond {
-		t.Error("a replica that is behind has answered")
+		t.Error("a replica answered before it reached the bookmark")
 	}
-	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, terms("d", "save")); err == nil {
-		t.Error("a replica takes a write")
+	if _, err := replica.NewSession(ctx, neo4j.SessionConfig{}).Run(ctx, "CREATE (n)", nil, txConfig("d", "save")); err == nil {
+		t.Error("a replica accepted a write")
 	}
 	told := []Outcome{{RequestID: "a", Delivered: true}, {RequestID: "b", Write: true, Delivered: true}, {RequestID: "c", Delivered: true, After: position},
 		{RequestID: "d", Write: true, Rejected: true}}
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestCheckBites: each rule that is broken is told.
-func TestCheckBites(t *testing.T) {
+// TestCheckReportsViolations checks that Check reports each rule that is violated.
+func TestCheckReportsViolations(t *testing.T) {
 	g := NewGroup(1, time.Hour, "p", "r")
 	g.Write("p", "twice", "")
 	g.Write("p", "twice", "")
@@ -126,12 +126,12 @@
 	g.MarkDraining("r")
 	time.Sleep(2 * time.Millisecond)
 	g.Read("r", "late", 0)
-	broken := g.Check([]Outcome{{RequestID: "ghost", Delivered: true}, {RequestID: "twice", Write: true, Rejected: true}, {RequestID: "stale", Delivered: true, After: stale + 1},
+	violations := g.Check([]Outcome{{RequestID: "ghost", Delivered: true}, {RequestID: "twice", Write: true, Rejected: true}, {RequestID: "stale", Delivered: true, After: stale + 1},
 		{RequestID: "stale", Delivered: true}}, time.Millisecond)
-	if len(broken) != 6 {
-		t.Errorf("%d: %q", len(broken), broken)
+	if len(violations) != 6 {
+		t.Errorf("%d: %q", len(violations), violations)
 	}
 	if _, ok := g.Write("r", "x", ""); ok {
-		t.Error("a replica takes a write")
+		t.Error("a replica accepted a write")
 	}
 }
--- a/internal/standin/postgres.go
+++ b/internal/standin/postgres.go
@@ -13,21 +13,21 @@
 	"micatrack/internal/pgwire"
 )
 
-// Postgres is a store that speaks PostgreSQL's protocol, simple queries only. INSERT writes, any other statement reads;
-// the value is the job's id.
+// Postgres is a store that speaks PostgreSQL's protocol, simple queries only. INSERT is a write, any other statement a
+// read; the value returned is the ID of the request.
 type Postgres struct {
-	Name  string
-	group *Group
-	l     net.Listener
+	Name     string
+	group    *Group
+	listener net.Listener
 
 	probes atomic.Int64
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	before func(job string) Behavior
-	takes  time.Duration
-	cores  chan struct{} // places for jobs that run; nil: as many as come
-	closed bool
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	behavior func(requestID string) Behavior
+	delay    time.Duration
+	slots    chan struct{} // Slots for running requests; nil for no limit.
+	closed   bool
 }
 
 // NewPostgres starts a store of a group on a loopback address.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Postgres{Name: name, group: g, l: l, conns: map[net.Conn]bool{}}
+	p := &Postgres{Name: name, group: g, listener: l, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -56,26 +56,31 @@
 	return p, nil
 }
 
-// Addr is where it listens.
-func (p *Postgres) Addr() string { return p.l.Addr().String() }
+// Addr returns the address that the store listens on.
+func (p *Postgres) Addr() string { return p.listener.Addr().String() }
 
-// Probes tells how often it was asked for its position.
+// Probes returns how often the store was asked for its position.
 func (p *Postgres) Probes() int64 { return p.probes.Load() }
 
-// SetBehavior sets what happens to jobs; nil: all are answered. It may be called from any connection.
-func (p *Postgres) SetBehavior(f func(job string) Behavior) { p.mu.Lock(); p.before = f; p.mu.Unlock() }
+// SetBehavior sets the function that decides what happens to each request; with nil all are answered. Any connection's
+// goroutine may call the function.
+func (p *Postgres) SetBehavior(f func(requestID string) Behavior) {
+	p.mu.Lock()
+	p.behavior = f
+	p.mu.Unlock()
+}
 
-// SetDelay sets how long a job takes.
-func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.takes = d; p.mu.Unlock() }
+// SetDelay sets how long each request takes.
+func (p *Postgres) SetDelay(d time.Duration) { p.mu.Lock(); p.delay = d; p.mu.Unlock() }
 
-// SetConcurrency sets how many jobs run at a time; the others wait for a place.
+// SetConcurrency sets how many requests run at a time; the others wait.
 func (p *Postgres) SetConcurrency(n int) {
 	p.mu.Lock()
-	p.cores = make(chan struct{}, n)
+	p.slots = make(chan struct{}, n)
 	p.mu.Unlock()
 }
 
-// CloseConnections breaks all connections that there are.
+// CloseConnections resets all open connections.
 func (p *Postgres) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,9 +90,9 @@
 	}
 }
 
-// Close stops it for good.
+// Close stops the store: it resets all connections and refuses new ones.
 func (p *Postgres) Close() {
-	p.l.Close()
+	p.listener.Close()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
@@ -139,7 +144,7 @@
 		return err == nil
 	}
 	p.mu.Lock()
-	before, takes, cores := p.before, p.takes, p.cores
+	before, takes, cores := p.behavior, p.delay, p.slots
 	p.mu.Unlock()
 	act := Respond
 	if s, err := pgwire.ParseQuery(text); err == nil && before != nil {
@@ -171,18 +176,18 @@
 	return err == nil
 }
 
-// Probe is the statement that asks a store for its position and role.
+// ProbeQuery is the statement that asks a store for its position and role.
 const ProbeQuery = "SHOW load"
 
-// StartupResponse is what a store says to a new connection.
+// StartupResponse returns what a store sends on a new connection.
 func StartupResponse() []byte { return pgwire.AppendReady([]byte("R\x00\x00\x00\x08\x00\x00\x00\x00")) }
 
-// FullResponse is what a store says that turns a job away unseen.
+// FullResponse returns what a store sends when it rejects a request without executing it because it is overloaded.
 func FullResponse() []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.TooManyConnections, "full", ""))
 }
 
-// Execute carries out a statement at one of the group's stores, now, and gives all that the store says to it.
+// Execute executes a statement at one of the group's stores and returns the store's whole response.
 func (g *Group) Execute(store string, text []byte) []byte {
 	position := g.Position(store)
 	if string(text) == ProbeQuery {
@@ -199,15 +204,16 @@
 	ok := false
 	if isWrite(text) {
 		if position, ok = g.Write(store, string(s.ID), string(s.Key)); !ok {
-			return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
+			return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.ReadOnlyTransaction, "no primary", "")))
 		}
-		position += 9 // a commit is told rounded up
+		position += 9 // The position of a commit is reported rounded up to whole milliseconds.
 	} else if position, ok = g.Read(store, string(s.ID), s.ReadAfter); !ok {
-		return pgwire.AppendReady(g.notes(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
+		return pgwire.AppendReady(g.appendReport(store, position, pgwire.AppendError(nil, "ERROR", pgwire.SnapshotTooOld, "too far behind", "")))
 	}
-	return pgwire.AppendReady(g.notes(store, position, row(string(s.ID))))
+	return pgwire.AppendReady(g.appendReport(store, position, row(string(s.ID))))
 }
 
+// isWrite reports whether a statement contains INSERT.
 func isWrite(text []byte) bool {
 	for i := 0; i+6 <= len(text); i++ {
 		if string(text[i:i+6]) == "INSERT" {
@@ -217,8 +223,8 @@
 	return false
 }
 
-// notes adds what a store says of itself: its role, and a position.
-func (g *Group) notes(store string, position int64, dst []byte) []byte {
+// appendReport appends what a store reports about itself: its role, and a position.
+func (g *Group) appendReport(store string, position int64, dst []byte) []byte {
 	role := "replica"
 	if name, _ := g.Primary(); name == store {
 		role = "primary"
