--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -21,7 +21,10 @@
 
 // Plan is what a rig is made of.
 type Plan struct {
-	Program    string         // path of the program
+	Program string // path of the program
+	// ProgramOf gives the path of the program that a front runs in a life, which is 1 from its first start on and one more
+	// with each start; nil: Program for all.
+	ProgramOf  func(front, life int) string
 	Config     map[string]any // a front's configuration; addresses, name, seed, zone and number of fronts are filled in
 	Zones      []string
 	Fronts     int              // spread over the zones in turn
@@ -274,7 +277,7 @@
 	text, _ = json.Marshal(switches)
 	operators := filepath.Join(r.dir, f.alias+f.Name+"-operators.json")
 	os.WriteFile(operators, text, 0o600)
-	cmd := exec.Command(r.Plan.Program, "serve", "-config", path, "-operators", operators)
+	cmd := exec.Command(f.program(), "serve", "-config", path, "-operators", operators)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no front outlives a test that is killed
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "GORACE=halt_on_error=1 exitcode=66"}
 	out, err := cmd.StderrPipe()
@@ -324,6 +327,14 @@
 	}
 }
 
+// program gives the path of the program that the front runs in its present life, or in its first one before that.
+func (f *Front) program() string {
+	if f.rig.Plan.ProgramOf == nil {
+		return f.rig.Plan.Program
+	}
+	return f.rig.Plan.ProgramOf(f.n, max(f.life, 1))
+}
+
 // lease gives the front's part of the operators' file about leases, and makes its vote once.
 func (f *Front) lease() map[string]any {
 	r := f.rig
@@ -348,7 +359,7 @@
 // Vote makes the state of a vote for the front's next start, and gives its number.
 func (f *Front) Vote(first bool, voters ...string) (number string) {
 	f.state = filepath.Join(f.rig.dir, fmt.Sprintf("%s%s-%d.state", f.alias, f.Name, f.life))
-	out, err := exec.Command(f.rig.Plan.Program, "state", "create", f.state, "--fleet", "rig", "--voter", f.Name,
+	out, err := exec.Command(f.program(), "state", "create", f.state, "--fleet", "rig", "--voter", f.Name,
 		"--voters", strings.Join(voters, ","), fmt.Sprintf("--first=%v", first)).CombinedOutput()
 	if err != nil {
 		f.rig.T.Errorf("%s: %v: %s", f.Name, err, out)
@@ -357,6 +368,9 @@
 	return strings.TrimSpace(string(out[strings.LastIndex(string(out), " ")+1:]))
 }
 
+// State is the file of the front's vote; empty if it has none.
+func (f *Front) State() string { return f.state }
+
 // Stored is the front's file of the fleet's configuration.
 func (f *Front) Stored() string { return filepath.Join(f.rig.dir, f.alias+f.Name+".configuration") }
 
