--- a/cmd/micatrack/builds_test.go
+++ b/cmd/micatrack/builds_test.go
@@ -345,9 +345,9 @@
 		inForceHere(t, f, version+1, text)
 	}
 	next(r, a.Token, time.Now(), buildsFollowed, "the change that followed the second start")
-	for _, x := range r.Acts.Acts() {
+	for _, x := range r.Acts.Operations() {
 		if !x.Refused && x.Began.After(again) && x.Token <= a.Token {
-			t.Errorf("%s acts under token %d after token %d was used", x.By, x.Token, a.Token)
+			t.Errorf("%s acts under token %d after token %d was used", x.Holder, x.Token, a.Token)
 		}
 	}
 	alone(r, false)
