--- a/deploy/knownred_test.go
+++ b/deploy/knownred_test.go
@@ -11,14 +11,14 @@
 // TestKnownRed: what CI passes over is named whole and exists, with its command, what was seen and the issue; all else fails it.
 func TestKnownRed(t *testing.T) {
 	const a, b, c, d = "TestKnownRed | go test ./deploy, no seed | seen one | issue 1\n", "TestServed | go test, seed 2 | seen two | issue 2\n",
-		"TestOutcomes | go test, seed 3 | seen three | issue 3\n", "TestDecode | go test, seed 4 | seen four | issue 4\n"
+		"TestStoreAnswerOutcomes | go test, seed 3 | seen three | issue 3\n", "TestDecode | go test, seed 4 | seen four | issue 4\n"
 	for _, k := range []struct {
 		name, text, pattern string
 		fails               bool
 	}{
 		{"none", "", "", false},
 		{"one", a, "^(TestKnownRed)$", false},
-		{"four", a + "\n" + b + c + d, "^(TestKnownRed|TestServed|TestOutcomes|TestDecode)$", false},
+		{"four", a + "\n" + b + c + d, "^(TestKnownRed|TestServed|TestStoreAnswerOutcomes|TestDecode)$", false},
 		{"no end of line", strings.TrimSpace(a), "^(TestKnownRed)$", false},
 		{"one of them faulty", a + "TestServed | go test | issue 2\n" + c, "", true},
 		{"unknown", "TestThatIsNot | go test | seen | issue 1\n", "", true},
