--- a/cmd/micatrack/zones_test.go
+++ b/cmd/micatrack/zones_test.go
@@ -861,8 +861,8 @@
 		}
 	}
 	do("give --fleet", 2, "create", file)
-	do("not named", 1, "create", file, "--fleet", "orders", "--voter", "f1", "--first")
-	do("none of the first voters", 1, "create", file, "--fleet", "orders", "--voter", "f1", "--first", "--voters", "f2,f3,f4")
+	do("names one twice", 1, "create", file, "--fleet", "orders", "--voter", "f1", "--first")
+	do("f1 is not one of the initial voters", 1, "create", file, "--fleet", "orders", "--voter", "f1", "--first", "--voters", "f2,f3,f4")
 	do("voter f1 of fleet orders", 0, "create", file, "--fleet", "orders", "--voter", "f1", "--first", "--voters", "f1,f2,f3")
 	do("there is a file already", 1, "create", file, "--fleet", "orders", "--voter", "f1", "--voters", "f1,f2,f3")
 	do("voter f1 of fleet orders", 0, "show", file)
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -192,7 +192,7 @@
 	case m.InitialVotersHash != l.localVoter.file.Identity.InitialVotersHash():
 		l.DroppedMessages.Add(1)
 		l.localVoter.mismatchLogged.Do(func() {
-			l.log.Error("a voter of this fleet was created with another list of initial voters; its messages are dropped", "voter", m.From)
+			l.log.Error("a voter of this fleet began from another list of first voters; its messages are dropped", "voter", m.From)
 		})
 	default:
 		var in pb.Message
